--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -5,7 +5,7 @@
     lynxwheel_engine::{
         CallOutcome, ClientAccount, ClientAccounts, EndKind, EndedTask, EndpointEntry,
         EndpointReport, Engine, EngineSettings, Event, FleetConfig, JobId, JobSpec, Now, Pool,
-        Queue, Room, RunningTask, StepSpec, TaskRef, VmEntry, VmState,
+        Queue, Resources, RunningTask, StepSpec, TaskRef, VmEntry, VmState,
     },
 };
 
@@ -70,7 +70,7 @@
 fn submit(engine: &mut Engine, number: u64, accounts: u64) {
     let step = StepSpec {
         count: TASKS,
-        room: Room {
+        room: Resources {
             cpu_millis: CPU_MILLIS / 4,
             memory_mb: 100,
             gpus: 0,
@@ -100,9 +100,9 @@
     ClientAccount {
         name: account_name(number).into(),
         weight: 1.0,
-        quota: Room {
+        quota: Resources {
             cpu_millis: u64::from(ACCOUNTS_ENDPOINTS) * CPU_MILLIS,
-            ..Room::default()
+            ..Resources::default()
         },
         ..ClientAccount::default()
     }
@@ -137,7 +137,7 @@
         ..FleetConfig::default()
     };
     engine.handle(Event::Config(config.into()), now(0));
-    let capacity = Room {
+    let capacity = Resources {
         cpu_millis: CPU_MILLIS,
         memory_mb: 32_000,
         gpus: 0,
--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -1,7 +1,7 @@
 //! Client accounts as operators have configured them, and the keys by which callers are known.
 
 use {
-    crate::job::Room,
+    crate::job::Resources,
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
     sha2::{Digest, Sha256},
@@ -81,19 +81,19 @@
     /// Jobs a second that are its share when there is not room for everybody.
     pub weight: f64,
     /// Most that it may have running at once on all endpoints; 0 is no limit.
-    pub quota: Room,
+    pub quota: Resources,
 }
 
 impl ClientAccount {
     /// Tells whether runs that take this room together fit into the quota.
     #[must_use]
-    pub fn may_ever_run(&self, room: &Room) -> bool {
+    pub fn may_ever_run(&self, room: &Resources) -> bool {
         !exceeds_quota(room, &self.quota)
     }
 }
 
 /// Tells whether a room is larger than a quota, of which 0 is no limit.
-pub(crate) fn exceeds_quota(room: &Room, quota: &Room) -> bool {
+pub(crate) fn exceeds_quota(room: &Resources, quota: &Resources) -> bool {
     let exceeds = |room: u64, quota: u64| quota > 0 && room > quota;
     exceeds(room.cpu_millis, quota.cpu_millis)
         || exceeds(room.memory_mb, quota.memory_mb)
--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -4,7 +4,7 @@
     crate::{
         balance::Trait,
         event::Now,
-        job::{JobSpec, Room},
+        job::{JobSpec, Resources},
         quota::AccountNumber,
     },
     compact_str::CompactString,
@@ -23,7 +23,7 @@
     pool: CompactString,
     account: AccountNumber,
     /// Room times milliseconds.
-    work: Room,
+    work: Resources,
 }
 
 impl Arrival {
@@ -47,12 +47,12 @@
         spec: &JobSpec,
         now: Now,
     ) {
-        let mut work = Room::default();
+        let mut work = Resources::default();
         for step in &spec.steps {
             let is_plain = !step.long_running && !Trait::of_step(step).any(|one| one.is_required());
             if is_plain && spec.repeat_count == 0 {
                 let task_ms = step.estimated_ms * u64::from(step.count);
-                work.add(&step.charged().times(task_ms));
+                work.add(&step.charged().scaled(task_ms));
             }
         }
         self.lately.push_back(Arrival {
@@ -78,9 +78,9 @@
         &self,
         pool: &str,
         now: Now,
-        quota_of: impl Fn(AccountNumber) -> Room,
-    ) -> Room {
-        let mut works: Vec<(AccountNumber, Room)> = Vec::new();
+        quota_of: impl Fn(AccountNumber) -> Resources,
+    ) -> Resources {
+        let mut works: Vec<(AccountNumber, Resources)> = Vec::new();
         let mut jobs = 0;
         for arrival in &self.lately {
             if arrival.pool != pool || arrival.is_old(now) {
@@ -93,14 +93,14 @@
             }
         }
         if jobs < 2 {
-            return Room::default();
+            return Resources::default();
         }
         let share = |work: u64| work / WINDOW_MS * (jobs - 1) / jobs;
         let capped = |room: u64, quota: u64| if quota == 0 { room } else { room.min(quota) };
-        let mut load = Room::default();
+        let mut load = Resources::default();
         for (account, work) in works {
             let quota = quota_of(account);
-            load.add(&Room {
+            load.add(&Resources {
                 cpu_millis: capped(share(work.cpu_millis), quota.cpu_millis),
                 memory_mb: capped(share(work.memory_mb), quota.memory_mb),
                 gpus: 0,
--- a/crates/engine/src/balance.rs
+++ b/crates/engine/src/balance.rs
@@ -1,7 +1,7 @@
 //! Room that a pool has and wants, and what only some VMs have.
 
 use {
-    crate::job::{Room, StepSpec},
+    crate::job::{Resources, StepSpec},
     compact_str::CompactString,
 };
 
@@ -28,7 +28,7 @@
 }
 
 impl Trait {
-    pub(crate) fn is_of(&self, labels: &[CompactString], capacity: &Room) -> bool {
+    pub(crate) fn is_of(&self, labels: &[CompactString], capacity: &Resources) -> bool {
         match self {
             Self::Accelerators => capacity.gpus > 0,
             Self::Label(label) | Self::DataRack(label) => labels.contains(label),
@@ -41,11 +41,11 @@
     }
 
     /// Returns the room in which it is counted: accelerators by themselves, the rest as usual.
-    pub(crate) fn counted(&self, room: &Room) -> Room {
+    pub(crate) fn counted(&self, room: &Resources) -> Resources {
         match self {
-            Self::Accelerators => Room {
+            Self::Accelerators => Resources {
                 cpu_millis: room.gpus * ACCELERATOR_MILLIS,
-                ..Room::default()
+                ..Resources::default()
             },
             Self::Label(_) | Self::DataRack(_) => *room,
         }
@@ -68,21 +68,21 @@
     /// Room of VMs on their way here, in thousandths of a core.
     pub(crate) arriving: u64,
     /// Room in use.
-    pub(crate) used: Room,
+    pub(crate) used: Resources,
     /// Part of it that long-running tasks use.
-    pub(crate) used_lasting: Room,
+    pub(crate) used_lasting: Resources,
     /// Room that the work takes that is handed in at the moment.
-    pub(crate) handed_in: Room,
+    pub(crate) handed_in: Resources,
     /// Work that waits: room times milliseconds.
-    waiting: Room,
+    waiting: Resources,
     /// Room that all of it takes at once.
-    waiting_room: Room,
+    waiting_room: Resources,
     /// Work of jobs that are late, as far as it waits; it counts when no pool misses room for others.
-    late: Room,
+    late: Resources,
     /// Room that all of that takes at once.
-    late_room: Room,
+    late_room: Resources,
     /// Work that waits of long-running tasks of which only so many of a step may share an endpoint.
-    waiting_apart: Room,
+    waiting_apart: Resources,
     /// Endpoints that take starts.
     pub(crate) members: usize,
     /// Endpoints with long-running tasks.
@@ -98,7 +98,7 @@
 }
 
 impl Balance {
-    pub(crate) fn new(vm: &Room) -> Self {
+    pub(crate) fn new(vm: &Resources) -> Self {
         let cpu_micros = vm.cpu_millis * MICROS_PER_MILLI;
         Self {
             vm_cpu_millis: vm.cpu_millis,
@@ -130,7 +130,7 @@
         // What is handed in at the moment counts before it waits: a VM comes 1.6 s after it was asked
         // for, more than most callers can spare.
         let lasting = self.used_lasting;
-        let ending = self.used.less(&lasting);
+        let ending = self.used.saturating_sub(&lasting);
         let coming = self.handed_in;
         let cpu = lasting.cpu_millis
             + ending.cpu_millis.max(coming.cpu_millis)
@@ -155,12 +155,12 @@
     pub(crate) fn add_work(
         &mut self,
         spec: &StepSpec,
-        room: &Room,
+        room: &Resources,
         work_ms: u64,
         waiting: Waiting,
     ) {
-        let work = room.times(work_ms * waiting.count);
-        let at_once = room.times(waiting.count);
+        let work = room.scaled(work_ms * waiting.count);
+        let at_once = room.scaled(waiting.count);
         if needs_members(spec) {
             self.waiting_apart.add(&work);
             self.waiting_room.add(&at_once);
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -5,7 +5,7 @@
         balance::{Balance, Trait, WORK_OFF_MS, Waiting, needs_members},
         engine::Engine,
         event::Now,
-        job::{Room, StepSpec},
+        job::{Resources, StepSpec},
         note::PoolPlan,
         reports::VmState,
         vms::{Vm, VmOrder},
@@ -131,7 +131,7 @@
         }
     }
 
-    fn add_step(&mut self, spec: &StepSpec, waiting: Waiting, vm: &Room) {
+    fn add_step(&mut self, spec: &StepSpec, waiting: Waiting, vm: &Resources) {
         self.room.need_members(spec);
         let work_ms = spec.estimated_ms.max(WORK_OFF_MS / 2);
         let charged = spec.charged();
@@ -239,7 +239,7 @@
     }
 
     /// Returns the room of the largest VM, by which memory is weighed against processor.
-    fn largest_vm(&self) -> Room {
+    fn largest_vm(&self) -> Resources {
         let rooms = self.vms.iter().map(|vm| vm.entry.capacity);
         rooms.max_by_key(|room| room.cpu_millis).unwrap_or_default()
     }
@@ -277,7 +277,7 @@
 
     /// Counts waiting tasks as far as their accounts' quotas let them start: VMs for more would come for
     /// nothing.
-    fn add_waiting(&self, loads: &mut [PoolLoad], vm: &Room, now: Now) {
+    fn add_waiting(&self, loads: &mut [PoolLoad], vm: &Resources, now: Now) {
         let mut left = self.quotas.left();
         for step in self.open_steps.iter() {
             let Some(job) = self.jobs.get(step.first.job) else {
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         event::{EndpointKey, Now},
-        job::{Room, StepSpec, TaskRef},
+        job::{Resources, StepSpec, TaskRef},
         reports::EndpointEntry,
     },
     compact_str::CompactString,
@@ -36,7 +36,7 @@
     /// Run.
     pub run: u32,
     /// Room taken.
-    pub room: Room,
+    pub room: Resources,
     /// Whether it serves users of its own.
     pub serves: bool,
     /// Whether it uses only what others leave.
@@ -86,7 +86,7 @@
     /// VM on which it runs; empty while it is not known.
     pub(crate) vm: CompactString,
     /// Room in all.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Labels, the rack among them.
     pub labels: Vec<CompactString>,
     /// Whether it is leaving.
@@ -112,9 +112,9 @@
     /// Until when nothing new starts there, on the steady clock.
     pub rests_until_ms: u64,
     /// Room taken by runs that may be under way.
-    pub used: Room,
+    pub used: Resources,
     /// Part of it that long-running tasks take.
-    pub used_lasting: Room,
+    pub used_lasting: Resources,
     /// Long-running tasks that may be under way.
     pub lasting_runs: usize,
     /// Those runs.
@@ -151,7 +151,7 @@
             pool: CompactString::default(),
             zone: CompactString::default(),
             vm: CompactString::default(),
-            capacity: Room::default(),
+            capacity: Resources::default(),
             labels: Vec::new(),
             is_draining: false,
             is_listed: false,
@@ -164,8 +164,8 @@
             silent_calls: 0,
             failed_runs: 0,
             rests_until_ms: 0,
-            used: Room::default(),
-            used_lasting: Room::default(),
+            used: Resources::default(),
+            used_lasting: Resources::default(),
             lasting_runs: 0,
             placed: Vec::new(),
             renewals: 0,
@@ -244,8 +244,8 @@
 
     /// Returns the room that is left.
     #[must_use]
-    pub fn free(&self) -> Room {
-        self.capacity.less(&self.used)
+    pub fn free(&self) -> Resources {
+        self.capacity.saturating_sub(&self.used)
     }
 
     /// Tells whether the endpoint has a label.
@@ -325,9 +325,9 @@
             .position(|placed| placed.task == *task && placed.run == run);
         if let Some(place) = place {
             let placed = self.placed.swap_remove(place);
-            self.used = self.used.less(&placed.room);
+            self.used = self.used.saturating_sub(&placed.room);
             if placed.lasts {
-                self.used_lasting = self.used_lasting.less(&placed.room);
+                self.used_lasting = self.used_lasting.saturating_sub(&placed.room);
                 self.lasting_runs -= 1;
             }
             if self.placed.is_empty() {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -13,7 +13,7 @@
         endpoint_table::Endpoints,
         event::{CallerAnswer, Effect, EndpointKey, Event, Now, ReplyToken},
         free_room::FreeRoom,
-        job::{JobId, JobState, Room, TaskRef},
+        job::{JobId, JobState, Resources, TaskRef},
         job_table::JobTable,
         note::Note,
         order_rate::OrderRate,
@@ -314,7 +314,7 @@
         account.is_none_or(|account| {
             job.spec.steps.iter().all(|step| {
                 let together = if step.gang { u64::from(step.count) } else { 1 };
-                account.may_ever_run(&step.room.times(together))
+                account.may_ever_run(&step.room.scaled(together))
             })
         })
     }
@@ -371,7 +371,7 @@
 
     /// Returns what an account has running, as far as that is known; unknown outcomes count.
     #[must_use]
-    pub fn running_of(&self, account: &str) -> Room {
+    pub fn running_of(&self, account: &str) -> Resources {
         self.quotas.running_of(account)
     }
 
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -119,7 +119,7 @@
 
 /// Amounts of an endpoint's room.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MB.
@@ -128,10 +128,10 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// Tells whether `wanted` fits in.
     #[must_use]
-    pub fn holds(&self, wanted: &Self) -> bool {
+    pub fn can_fit(&self, wanted: &Self) -> bool {
         self.cpu_millis >= wanted.cpu_millis
             && self.memory_mb >= wanted.memory_mb
             && self.gpus >= wanted.gpus
@@ -146,7 +146,7 @@
 
     /// Returns so many times the amount.
     #[must_use]
-    pub fn times(&self, count: u64) -> Self {
+    pub fn scaled(&self, count: u64) -> Self {
         Self {
             cpu_millis: self.cpu_millis * count,
             memory_mb: self.memory_mb * count,
@@ -156,7 +156,7 @@
 
     /// Returns what is left after `other` was taken, or nothing of an amount that does not suffice.
     #[must_use]
-    pub fn less(&self, other: &Self) -> Self {
+    pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
@@ -175,7 +175,7 @@
     /// Number of tasks.
     pub count: u16,
     /// Room that each task asks for.
-    pub room: Room,
+    pub room: Resources,
     /// Caller's rough estimate of a task's duration, in milliseconds.
     pub estimated_ms: u64,
     /// Steps of which every task must be done first.
@@ -209,9 +209,9 @@
 impl StepSpec {
     /// Returns the room that a task takes of its endpoint.
     #[must_use]
-    pub fn charged(&self) -> Room {
+    pub fn charged(&self) -> Resources {
         if self.fills {
-            return Room {
+            return Resources {
                 cpu_millis: 0,
                 ..self.room
             };
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -73,7 +73,7 @@
         ReplyToken, StartOrder, VmOutcome,
     },
     fair_share::{Claim, fair_level},
-    job::{BadName, JobId, JobSpec, JobState, Room, StepSpec, TaskRef},
+    job::{BadName, JobId, JobSpec, JobState, Resources, StepSpec, TaskRef},
     note::{Note, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
     quota::{AccountNumber, QuotaLedger, QuotasLeft},
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/note.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        job::{JobId, JobState, Room, TaskRef},
+        job::{JobId, JobState, Resources, TaskRef},
         reports::EndKind,
     },
     compact_str::CompactString,
@@ -58,11 +58,11 @@
     /// First job that waits.
     pub job: JobId,
     /// Room that each of its waiting tasks takes.
-    pub wanted: Room,
+    pub wanted: Resources,
     /// What the account has running.
-    pub running: Room,
+    pub running: Resources,
     /// Most that it may have running; 0 is no limit.
-    pub quota: Room,
+    pub quota: Resources,
 }
 
 /// Tasks that wait as their account has its share of what there is.
@@ -73,7 +73,7 @@
     /// First job that waits.
     pub job: JobId,
     /// What the account has running.
-    pub running: Room,
+    pub running: Resources,
     /// Its share of all processors, in thousandths of a core.
     pub share_cpu_millis: f64,
 }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -8,7 +8,7 @@
         accounts::{ClientAccounts, exceeds_quota},
         event::Now,
         fair_share::{Claim, fair_level},
-        job::Room,
+        job::Resources,
     },
     compact_str::CompactString,
 };
@@ -25,8 +25,8 @@
 struct AccountUse {
     name: CompactString,
     /// Most that may run at once; 0 is no limit.
-    quota: Room,
-    running: Room,
+    quota: Resources,
+    running: Resources,
     /// Its part of the room when there is not enough for all.
     weight: f64,
     /// Jobs in progress.
@@ -47,7 +47,7 @@
 }
 
 impl QuotaLeft {
-    fn startable(&self, room: &Room) -> u64 {
+    fn startable(&self, room: &Resources) -> u64 {
         let dimensions = [
             (self.cpu_millis, room.cpu_millis),
             (self.memory_mb, room.memory_mb),
@@ -60,7 +60,7 @@
             .unwrap_or(u64::MAX)
     }
 
-    fn take(&mut self, room: &Room) {
+    fn take(&mut self, room: &Resources) {
         let less =
             |left: &mut Option<u64>, room| *left = left.map(|left| left.saturating_sub(room));
         less(&mut self.cpu_millis, room.cpu_millis);
@@ -77,10 +77,10 @@
 
 impl QuotasLeft {
     /// Takes runs of this room as far as the quota lets them start, at most `count`; returns how many.
-    pub fn take(&mut self, number: AccountNumber, room: &Room, count: u64) -> u64 {
+    pub fn take(&mut self, number: AccountNumber, room: &Resources, count: u64) -> u64 {
         let left = &mut self.rows[place(number)];
         let taken = left.startable(room).min(count);
-        left.take(&room.times(taken));
+        left.take(&room.scaled(taken));
         taken
     }
 }
@@ -107,7 +107,7 @@
     }
 
     fn is_forgettable(&self) -> bool {
-        !self.is_configured && self.jobs == 0 && self.running == Room::default()
+        !self.is_configured && self.jobs == 0 && self.running == Resources::default()
     }
 }
 
@@ -139,7 +139,7 @@
     pub fn configure(&mut self, accounts: &ClientAccounts) {
         for row in &mut self.rows[1..] {
             row.is_configured = false;
-            row.quota = Room::default();
+            row.quota = Resources::default();
         }
         for account in accounts.iter() {
             let number = self.number(&account.name);
@@ -187,19 +187,19 @@
     }
 
     /// Counts a run from its decision on.
-    pub fn charge(&mut self, number: AccountNumber, room: &Room) {
+    pub fn charge(&mut self, number: AccountNumber, room: &Resources) {
         self.row_mut(number).running.add(room);
     }
 
     /// Counts a run no more, as its end is known.
-    pub fn release(&mut self, number: AccountNumber, room: &Room) {
+    pub fn release(&mut self, number: AccountNumber, room: &Resources) {
         let row = self.row_mut(number);
-        row.running = row.running.less(room);
+        row.running = row.running.saturating_sub(room);
     }
 
     /// Returns how many runs of this room the account may start now.
     #[must_use]
-    pub fn startable(&self, number: AccountNumber, room: &Room) -> u64 {
+    pub fn startable(&self, number: AccountNumber, room: &Resources) -> u64 {
         self.row(number).left().startable(room)
     }
 
@@ -264,22 +264,22 @@
 
     /// Returns the quota of an account; 0 is no limit.
     #[must_use]
-    pub fn quota(&self, number: AccountNumber) -> Room {
+    pub fn quota(&self, number: AccountNumber) -> Resources {
         self.row(number).quota
     }
 
     /// Returns what an account has running.
     #[must_use]
-    pub fn running(&self, number: AccountNumber) -> Room {
+    pub fn running(&self, number: AccountNumber) -> Resources {
         self.row(number).running
     }
 
     /// Returns what the account with a name has running.
     #[must_use]
-    pub fn running_of(&self, name: &str) -> Room {
+    pub fn running_of(&self, name: &str) -> Resources {
         let place = self.search(name);
         place.map_or_else(
-            |_| Room::default(),
+            |_| Resources::default(),
             |place| self.running(self.by_name[place]),
         )
     }
--- a/crates/engine/src/reports.rs
+++ b/crates/engine/src/reports.rs
@@ -1,7 +1,7 @@
 //! What the platform tells: endpoints in the registry, VMs, tasks on an endpoint, waves ordered.
 
 use {
-    crate::job::{Room, TaskRef},
+    crate::job::{Resources, TaskRef},
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -19,7 +19,7 @@
     /// Availability zone.
     pub zone: CompactString,
     /// Room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Labels, the rack among them.
     pub labels: Vec<CompactString>,
     /// Whether the endpoint is leaving.
@@ -119,7 +119,7 @@
     /// Labels, the rack among them.
     pub labels: Vec<CompactString>,
     /// Room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Id of the endpoint that runs on it; empty for none.
     pub endpoint: CompactString,
 }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -8,7 +8,7 @@
         engine::Engine,
         event::{Effect, EndpointKey, Now},
         free_room::FreeSlot,
-        job::{Room, StepSpec, TaskRef},
+        job::{Resources, StepSpec, TaskRef},
         note::{Note, QuotaWait, ShareWait},
         quota::AccountNumber,
         state::{Attempt, Job},
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct Slot {
     key: EndpointKey,
-    free: Room,
+    free: Resources,
     siblings: u16,
 }
 
@@ -324,7 +324,7 @@
         let endpoint = endpoints.get(key);
         let may_share =
             spec.max_per_endpoint == 0 || siblings(endpoint, task) < spec.max_per_endpoint;
-        if !may_share || !endpoint.free().holds(&needed) || !has_required_label(endpoint, spec) {
+        if !may_share || !endpoint.free().can_fit(&needed) || !has_required_label(endpoint, spec) {
             continue;
         }
         let mismatch = mismatch(endpoint, spec, avoid);
@@ -366,7 +366,7 @@
         .iter()
         .map(|&key| (key, endpoints.get(key)))
         .filter(|(_, endpoint)| has_required_label(endpoint, spec))
-        .filter(|(_, endpoint)| endpoint.free().holds(&needed))
+        .filter(|(_, endpoint)| endpoint.free().can_fit(&needed))
         .map(|(key, endpoint)| Slot {
             key,
             free: endpoint.free(),
@@ -445,7 +445,7 @@
     let needed = spec.charged();
     slots
         .iter_mut()
-        .filter(|slot| slot.free.holds(&needed))
+        .filter(|slot| slot.free.can_fit(&needed))
         .filter(|slot| spec.max_per_endpoint == 0 || slot.siblings < spec.max_per_endpoint)
         .min_by_key(|slot| {
             let mismatch = mismatch(endpoints.get(slot.key), spec, avoid);
@@ -454,6 +454,6 @@
 }
 
 fn take(slot: &mut Slot, spec: &StepSpec) {
-    slot.free = slot.free.less(&spec.charged());
+    slot.free = slot.free.saturating_sub(&spec.charged());
     slot.siblings += 1;
 }
--- a/crates/engine/src/waiting.rs
+++ b/crates/engine/src/waiting.rs
@@ -5,7 +5,7 @@
         balance::needs_members,
         event::Now,
         free_room::PoolNumber,
-        job::{JobId, Room, StepSpec, TaskRef},
+        job::{JobId, Resources, StepSpec, TaskRef},
         quota::AccountNumber,
         state::{Job, StepRun},
         timing::{Timing, Urgency},
@@ -22,9 +22,9 @@
     /// Tasks that wait.
     pub(crate) waiting: u64,
     /// Room that each of them takes of an endpoint.
-    pub(crate) room: Room,
+    pub(crate) room: Resources,
     /// Room that each of them takes of its account's quota.
-    pub(crate) quota_room: Room,
+    pub(crate) quota_room: Resources,
     pub(crate) account: AccountNumber,
     priority: u32,
     is_lasting: bool,
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use lynxwheel_engine::{
     Batch, CallOutcome, CallerAnswer, ClientAccount, ClientAccounts, Effect, EndKind, EndedTask,
     EndpointEntry, EndpointReport, Engine, EngineSettings, Event, FleetConfig, JobId, JobSpec,
-    JobState, KeyDigest, Now, Pool, Queue, Record, Room, RunningTask, StartOrder, StepSpec,
+    JobState, KeyDigest, Now, Pool, Queue, Record, Resources, RunningTask, StartOrder, StepSpec,
     TaskRef, VmEntry, VmState,
 };
 
@@ -44,7 +44,7 @@
 pub fn step(count: u16) -> StepSpec {
     StepSpec {
         count,
-        room: Room {
+        room: Resources {
             cpu_millis: 1_000,
             memory_mb: 100,
             gpus: 0,
@@ -60,9 +60,9 @@
         name: name.into(),
         keys: vec![KeyDigest::new(name.as_bytes())],
         weight: 1.0,
-        quota: Room {
+        quota: Resources {
             cpu_millis: cores * 1_000,
-            ..Room::default()
+            ..Resources::default()
         },
     }
 }
@@ -111,7 +111,7 @@
         state: VmState::Up,
         zone: "zone-1".into(),
         labels: vec!["a".into(), "r1".into()],
-        capacity: Room {
+        capacity: Resources {
             cpu_millis: 16_000,
             memory_mb: 64_000,
             gpus: 0,
@@ -128,7 +128,7 @@
         state: VmState::Up,
         zone: "zone-1".into(),
         labels: Vec::new(),
-        capacity: Room::default(),
+        capacity: Resources::default(),
         endpoint: endpoint.into(),
     }])
 }
@@ -209,7 +209,7 @@
             address: ([127, 0, 0, 1], port).into(),
             pool: POOL.into(),
             zone: "zone-1".into(),
-            capacity: Room {
+            capacity: Resources {
                 cpu_millis,
                 memory_mb: 64_000,
                 gpus: 0,
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -12,7 +12,7 @@
     lynxwheel_engine::{
         Batch, CallOutcome, ClientAccounts, Effect, EndKind, EndedTask, EndpointEntry,
         EndpointReport, Engine, EngineSettings, Event, FleetConfig, JobId, JobSpec, JobState, Now,
-        Record, Refusal, Room, RunningTask, StartOrder, StepSpec, TaskRef,
+        Record, Refusal, Resources, RunningTask, StartOrder, StepSpec, TaskRef,
     },
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
@@ -171,7 +171,7 @@
             address: ([127, 0, 0, 1], 9_000 + number).into(),
             pool: POOL.into(),
             zone: "zone-1".into(),
-            capacity: Room {
+            capacity: Resources {
                 cpu_millis: CORES * 1_000,
                 memory_mb: 64_000,
                 gpus: 0,
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -5,8 +5,8 @@
 use {
     common::{Fleet, POOL, job_id, step},
     lynxwheel_engine::{
-        EndKind, Endpoint, EndpointKey, Endpoints, Engine, Job, JobSpec, Phase, Room, StepSpec,
-        TaskRef,
+        EndKind, Endpoint, EndpointKey, Endpoints, Engine, Job, JobSpec, Phase, Resources,
+        StepSpec, TaskRef,
     },
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
@@ -27,7 +27,7 @@
 /// Room of an endpoint and its tasks of one step, as they change while tasks are placed.
 struct Slot<'a> {
     endpoint: &'a Endpoint,
-    free: Room,
+    free: Resources,
     placed: Vec<TaskRef>,
 }
 
@@ -65,7 +65,7 @@
             let Some(slot) = best(&mut slots, &task, &spec, avoid) else {
                 break;
             };
-            slot.free = slot.free.less(&spec.charged());
+            slot.free = slot.free.saturating_sub(&spec.charged());
             slot.placed.push(task);
             starts.push((task, slot.endpoint.key));
         }
@@ -139,7 +139,7 @@
 ) -> Option<&'a mut Slot<'b>> {
     slots
         .iter_mut()
-        .filter(|slot| slot.free.holds(&spec.charged()))
+        .filter(|slot| slot.free.can_fit(&spec.charged()))
         .filter(|slot| {
             spec.required_label.is_empty() || slot.endpoint.has_label(&spec.required_label)
         })
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -6,7 +6,7 @@
     common::{Fleet, account, job_id, step},
     lynxwheel_engine::{
         CallerAnswer, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest, Note,
-        QuotaLedger, Room, StepSpec,
+        QuotaLedger, Resources, StepSpec,
     },
 };
 
@@ -153,7 +153,7 @@
         let wide = |gang| StepSpec { gang, ..step(4) };
         fleet.submit_as("maps", 1, wide(true));
         fleet.submit_as("maps", 2, wide(false));
-        let large = Room { cpu_millis: 3_001, memory_mb: 1, gpus: 0 };
+        let large = Resources { cpu_millis: 3_001, memory_mb: 1, gpus: 0 };
         fleet.submit_as("maps", 3, StepSpec { room: large, ..step(1) });
         fleet.settle();
         assert_eq!(answer(&fleet, 1), Some(CallerAnswer::OverQuota));
@@ -297,7 +297,7 @@
     let mut ledger = QuotaLedger::default();
     ledger.configure(&ClientAccounts::new(vec![account("maps", 2)]));
     let number = ledger.number("maps");
-    let room = |cpu_millis, memory_mb| Room {
+    let room = |cpu_millis, memory_mb| Resources {
         cpu_millis,
         memory_mb,
         gpus: 1,
--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -5,7 +5,8 @@
 use {
     common::{Fleet, POOL, listed, step},
     lynxwheel_engine::{
-        Effect, EndKind, Event, JobSpec, Room, StepSpec, VmEntry, VmOutcome, VmState, WaveOrder,
+        Effect, EndKind, Event, JobSpec, Resources, StepSpec, VmEntry, VmOutcome, VmState,
+        WaveOrder,
     },
 };
 
@@ -16,7 +17,7 @@
         state: VmState::Up,
         zone: "zone-1".into(),
         labels: Vec::new(),
-        capacity: Room {
+        capacity: Resources {
             cpu_millis: 16_000,
             memory_mb: 64_000,
             gpus: 0,
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -6,7 +6,7 @@
         ledger::Ledger,
     },
     http::{Method, StatusCode},
-    lynxwheel_engine::{JobId, JobSpec, Room, StepSpec},
+    lynxwheel_engine::{JobId, JobSpec, Resources, StepSpec},
     lynxwheel_platform_standin::{
         LASTING_PAYLOAD, QueueSpec, is_count, job_body, key_header, read_state, wait_header,
     },
@@ -282,7 +282,7 @@
     };
     let steps = (0..count).map(|step| StepSpec {
         count: random.random_range(1..5),
-        room: Room {
+        room: Resources {
             cpu_millis: random.random_range(200..1_500),
             memory_mb: 64,
             gpus: 0,
