--- a/crates/controller/src/notes.rs
+++ b/crates/controller/src/notes.rs
@@ -2,7 +2,7 @@
 
 use {
     log::info,
-    lynxwheel_engine::{EndKind, Note, PoolPlan, QuotaWait, RunEnd},
+    lynxwheel_engine::{EndKind, LogEvent, PoolPlan, QuotaWait, RunEnd},
     metrics::{counter, gauge, histogram},
     std::time::Duration,
 };
@@ -21,10 +21,10 @@
 ///
 /// Runs that ended as done are left out: there are hundreds a second, and their job's end tells of
 /// them.
-pub fn log_notes(epoch: u64, notes: &[Note]) {
+pub fn log_notes(epoch: u64, notes: &[LogEvent]) {
     for note in notes {
         match note {
-            Note::RunOver {
+            LogEvent::RunEnded {
                 end: RunEnd::Reported(EndKind::Done),
                 after_ms,
                 ..
@@ -32,7 +32,7 @@
                 counter!("lynxwheel_runs_total", "end" => "done").increment(1);
                 histogram!("lynxwheel_run_seconds").record(Duration::from_millis(*after_ms));
             }
-            Note::RunOver {
+            LogEvent::RunEnded {
                 task,
                 run,
                 endpoint,
@@ -46,7 +46,7 @@
                 ""
                 );
             }
-            Note::JobEnded {
+            LogEvent::JobEnded {
                 job,
                 state,
                 after_ms,
@@ -58,7 +58,7 @@
                 ""
                 );
             }
-            Note::ShareReached(wait) => {
+            LogEvent::ShareReached(wait) => {
                 counter!("lynxwheel_share_waits_total").increment(1);
                 info!(
                     event = "share_reached", epoch = epoch, account = wait.account.as_str(),
@@ -67,9 +67,9 @@
                     ""
                 );
             }
-            Note::QuotaReached(wait) => log_quota_wait(epoch, wait),
-            Note::PoolPlanned(plan) => log_plan(epoch, plan),
-            Note::EndpointOver { endpoint, vm, runs } => info!(
+            LogEvent::QuotaReached(wait) => log_quota_wait(epoch, wait),
+            LogEvent::PoolPlanned(plan) => log_plan(epoch, plan),
+            LogEvent::EndpointEnded { endpoint, vm, runs } => info!(
                 event = "endpoint_over", epoch = epoch, endpoint = endpoint.as_str(),
                 vm = vm.as_str(), runs = runs;
                 ""
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -223,7 +223,7 @@
         // Placing asks for advice at once.
         let effects = self.engine.take_at_once();
         self.carry_out(effects, now, context);
-        notes::log_notes(self.epoch, &self.engine.take_notes());
+        notes::log_notes(self.epoch, &self.engine.take_log_events());
         self.load.note_message(begun);
     }
 }
--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -113,7 +113,7 @@
     let batch = engine.cut_batch(now(ms));
     black_box(engine.committed(batch, now(ms)));
     black_box(engine.take_at_once());
-    black_box(engine.take_notes());
+    black_box(engine.take_log_events());
 }
 
 /// Returns an engine with endpoints that are full, four tasks on each, and tasks that wait.
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -5,7 +5,7 @@
         engine::{Engine, ORDER_RETRY_MS},
         event::{CallOutcome, Effect, EndpointKey, Now, Refusal, StartOrder},
         job::{JobState, TaskRef},
-        note::{Note, RunEnd},
+        log_event::{LogEvent, RunEnd},
         reports::{EndKind, EndedTask},
         state::{Attempt, Job, Phase},
     },
@@ -75,7 +75,7 @@
         }
         let endpoint = self.endpoints.get_mut(attempt.endpoint);
         endpoint.release(task, run, now.steady_ms);
-        self.notes.push(Note::RunOver {
+        self.log_events.push(LogEvent::RunEnded {
             task: *task,
             run,
             endpoint: endpoint.id.clone(),
@@ -330,7 +330,7 @@
             job.state = JobState::Completed;
             job.is_dirty = true;
             job.ended_ms = now.steady_ms;
-            self.notes.push(Note::JobEnded {
+            self.log_events.push(LogEvent::JobEnded {
                 job: job.id,
                 state: job.state,
                 after_ms: now.wall_ms.saturating_sub(job.accepted_ms),
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -4,7 +4,7 @@
     engine::Engine,
     event::{CallerAnswer, Effect, EndpointKey, Now, StartOrder},
     job::{JobId, JobState},
-    note::RunEnd,
+    log_event::RunEnd,
     state::Phase,
     stored::{Record, progress_record, spec_record},
 };
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -6,7 +6,7 @@
         engine::Engine,
         event::Now,
         job::{Resources, StepSpec},
-        note::PoolPlan,
+        log_event::PoolPlan,
         reports::VmState,
         vms::{Vm, VmOrder},
     },
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -15,7 +15,7 @@
         free_room::FreeRoom,
         job::{JobId, JobState, Resources, TaskRef},
         job_table::JobTable,
-        note::Note,
+        log_event::LogEvent,
         order_rate::OrderRate,
         quota::{AccountNumber, QuotaLedger},
         rests::RestingVm,
@@ -116,7 +116,7 @@
     pub(crate) advice: Vec<StepAdvice>,
     /// Work handed in lately.
     pub(crate) arrivals: Arrivals,
-    pub(crate) notes: Vec<Note>,
+    pub(crate) log_events: Vec<LogEvent>,
     /// When the pools were noted last, on the steady clock.
     pub(crate) plans_noted_ms: u64,
     /// Entries of endpoints that were seen being written.
@@ -158,7 +158,7 @@
             drops: Vec::new(),
             advice: Vec::new(),
             arrivals: Arrivals::default(),
-            notes: Vec::new(),
+            log_events: Vec::new(),
             plans_noted_ms: 0,
             fresh_entries: 0,
             lives_forgotten_ms: 0,
@@ -355,7 +355,7 @@
         job.state = state;
         job.is_dirty = true;
         job.ended_ms = now.steady_ms;
-        self.notes.push(Note::JobEnded {
+        self.log_events.push(LogEvent::JobEnded {
             job: job.id,
             state,
             after_ms: now.wall_ms.saturating_sub(job.accepted_ms),
@@ -460,8 +460,8 @@
     }
 
     /// Takes the notes on what was found out, for the log.
-    pub fn take_notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_log_events(&mut self) -> Vec<LogEvent> {
+        std::mem::take(&mut self.log_events)
     }
 
     /// Keeps only the state of a job that has ended.
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -5,7 +5,7 @@
     engine::Engine,
     event::{CallOutcome, Effect, EndpointKey, Now},
     job::TaskRef,
-    note::{Note, RunEnd},
+    log_event::{LogEvent, RunEnd},
     reports::{EndpointEntry, EndpointReport, RunningTask},
     state::Phase,
 };
@@ -109,7 +109,7 @@
     pub(crate) fn endpoint_over(&mut self, key: EndpointKey, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         if !endpoint.is_over {
-            self.notes.push(Note::EndpointOver {
+            self.log_events.push(LogEvent::EndpointEnded {
                 endpoint: endpoint.id.clone(),
                 vm: endpoint.vm().clone(),
                 runs: endpoint.placed.len(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -40,7 +40,7 @@
 mod job;
 mod job_table;
 mod leases;
-mod note;
+mod log_event;
 mod order_rate;
 mod pacing;
 mod places;
@@ -74,7 +74,7 @@
     },
     fair_share::{Claim, fair_level},
     job::{BadName, JobId, JobSpec, JobState, Resources, StepSpec, TaskRef},
-    note::{Note, PoolPlan, QuotaWait, RunEnd, ShareWait},
+    log_event::{LogEvent, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
     quota::{AccountNumber, QuotaLedger, QuotasLeft},
     reports::{
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/log_event.rs
@@ -80,9 +80,9 @@
 
 /// Something that was found out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum LogEvent {
     /// A run is over.
-    RunOver {
+    RunEnded {
         /// Task.
         task: TaskRef,
         /// Run.
@@ -110,7 +110,7 @@
     /// How a pool stands: what it has, what it wants, and what was ordered for it.
     PoolPlanned(PoolPlan),
     /// The life of an endpoint is over.
-    EndpointOver {
+    EndpointEnded {
         /// Endpoint.
         endpoint: CompactString,
         /// Its VM, if it was known.
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -5,7 +5,7 @@
     demand::{Need, PoolLoad, load_place, neediest},
     engine::Engine,
     event::{EndpointKey, Now},
-    note::Note,
+    log_event::LogEvent,
     spares::Spares,
     vms::{Vm, VmOrder},
 };
@@ -68,8 +68,8 @@
         let plans = loads
             .iter()
             .filter(|load| !load.is_standby && (is_due || load.has_orders()))
-            .map(|load| Note::PoolPlanned(load.plan()));
-        self.notes.extend(plans);
+            .map(|load| LogEvent::PoolPlanned(load.plan()));
+        self.log_events.extend(plans);
     }
 
     fn note_departure(&self, loads: &mut [PoolLoad], vm: usize) {
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -9,7 +9,7 @@
         event::{Effect, EndpointKey, Now},
         free_room::FreeSlot,
         job::{Resources, StepSpec, TaskRef},
-        note::{Note, QuotaWait, ShareWait},
+        log_event::{LogEvent, QuotaWait, ShareWait},
         quota::AccountNumber,
         state::{Attempt, Job},
         waiting::OpenStep,
@@ -107,7 +107,7 @@
     /// Notes that tasks wait for their account's quota.
     fn note_quota_wait(&mut self, step: &OpenStep, now: Now) {
         if self.quotas.is_quota_news(step.account, now) {
-            self.notes.push(Note::QuotaReached(QuotaWait {
+            self.log_events.push(LogEvent::QuotaReached(QuotaWait {
                 account: self.quotas.name(step.account).clone(),
                 job: step.first.job,
                 wanted: step.quota_room,
@@ -127,7 +127,7 @@
             && let Some(share_cpu_millis) = self.flooding_share(step.account)
             && self.quotas.is_share_news(step.account, now)
         {
-            self.notes.push(Note::ShareReached(ShareWait {
+            self.log_events.push(LogEvent::ShareReached(ShareWait {
                 account: self.quotas.name(step.account).clone(),
                 job: step.first.job,
                 running: self.quotas.running(step.account),
--- a/crates/engine/tests/fair_shares.rs
+++ b/crates/engine/tests/fair_shares.rs
@@ -4,7 +4,7 @@
 
 use {
     common::{Fleet, account, job_id, step},
-    lynxwheel_engine::{Claim, ClientAccount, Note, fair_level},
+    lynxwheel_engine::{Claim, ClientAccount, LogEvent, fair_level},
 };
 
 /// Cores of the fleet.
@@ -113,14 +113,14 @@
 #[test]
 fn waiting_behind_others_is_noted() {
     let mut fleet = flooded_fleet();
-    fleet.engine.take_notes();
+    fleet.engine.take_log_events();
     fleet.submit_as("usual", 90, step(14));
     fleet.end_all_done();
     fleet.settle();
     fleet.advance(1_500);
-    let notes = fleet.engine.take_notes();
+    let notes = fleet.engine.take_log_events();
     let waits = notes.iter().filter_map(|note| match note {
-        Note::ShareReached(wait) => Some(wait),
+        LogEvent::ShareReached(wait) => Some(wait),
         _ => None,
     });
     let mut accounts: Vec<_> = waits.map(|wait| wait.account.as_str()).collect();
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -5,7 +5,7 @@
 use {
     common::{Fleet, account, job_id, step},
     lynxwheel_engine::{
-        CallerAnswer, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest, Note,
+        CallerAnswer, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest, LogEvent,
         QuotaLedger, Resources, StepSpec,
     },
 };
@@ -201,9 +201,9 @@
     waiting_for_a_quota_is_noted_with_its_figures: {
         let mut fleet = fleet_at_the_quota();
         fleet.advance(900);
-        let notes = fleet.engine.take_notes();
+        let notes = fleet.engine.take_log_events();
         let waits: Vec<_> = notes.iter().filter_map(|note| match note {
-            Note::QuotaReached(wait) => Some(wait),
+            LogEvent::QuotaReached(wait) => Some(wait),
             _ => None,
         }).collect();
         assert_eq!(waits.len(), 1, "not with every decision");
