--- a/crates/controller/src/access.rs
+++ b/crates/controller/src/access.rs
@@ -2,7 +2,7 @@
 
 use {
     compact_str::CompactString,
-    lynxwheel_engine::{FleetConfig, JobId, KeyDigest, KeyMistake, Queue},
+    lynxwheel_engine::{FleetConfig, JobId, KeyDigest, KeyError, Queue},
 };
 
 /// The part of a caller's request that decides whether it may call.
@@ -13,7 +13,7 @@
     /// Path.
     pub path: String,
     /// Key, or why there is none.
-    pub key: Result<KeyDigest, KeyMistake>,
+    pub key: Result<KeyDigest, KeyError>,
 }
 
 /// A request that may be made, by one version of the configuration.
@@ -37,7 +37,7 @@
     /// No queue has this host and path.
     NoQueue,
     /// The request carries no key of the right form.
-    BadKey(KeyMistake),
+    BadKey(KeyError),
     /// The key stands for no account.
     UnknownKey,
     /// What follows the queue's path is no id of a job.
--- a/crates/controller/tests/access.rs
+++ b/crates/controller/tests/access.rs
@@ -2,7 +2,7 @@
 
 use {
     lynxwheel_controller::{Access, Credentials, Denial, judge},
-    lynxwheel_engine::{ClientAccount, ClientAccounts, FleetConfig, KeyDigest, KeyMistake, Queue},
+    lynxwheel_engine::{ClientAccount, ClientAccounts, FleetConfig, KeyDigest, KeyError, Queue},
 };
 
 const JOB: &str = "5c0e7a21d94b36f8";
@@ -34,7 +34,7 @@
     }
 }
 
-fn credentials(path: &str, key: Result<&str, KeyMistake>) -> Credentials {
+fn credentials(path: &str, key: Result<&str, KeyError>) -> Credentials {
     Credentials {
         host: "a.example".into(),
         path: path.into(),
@@ -46,7 +46,7 @@
 fn account(
     config: &FleetConfig,
     path: &str,
-    key: Result<&str, KeyMistake>,
+    key: Result<&str, KeyError>,
 ) -> Result<String, Denial> {
     let judged = judge(config, &credentials(path, key));
     judged.map(|access: Access| access.account.to_string())
@@ -67,11 +67,11 @@
     /// Guards against a job that runs for a caller with a key that no configuration ever held.
     an_unknown_key_is_refused: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
     a_part_of_a_key_is_refused: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
-    a_request_without_a_key_is_refused: &format!("/maps/{JOB}"), Err(KeyMistake::Missing)
-        => Err(Denial::BadKey(KeyMistake::Missing));
+    a_request_without_a_key_is_refused: &format!("/maps/{JOB}"), Err(KeyError::Missing)
+        => Err(Denial::BadKey(KeyError::Missing));
     /// Guards against a queue's count being told to strangers.
-    the_count_needs_a_key: "/maps/", Err(KeyMistake::Missing) => Err(Denial::BadKey(KeyMistake::Missing));
-    a_public_queue_needs_no_key: &format!("/open/{JOB}"), Err(KeyMistake::Missing) => Ok("");
+    the_count_needs_a_key: "/maps/", Err(KeyError::Missing) => Err(Denial::BadKey(KeyError::Missing));
+    a_public_queue_needs_no_key: &format!("/open/{JOB}"), Err(KeyError::Missing) => Ok("");
     /// Guards against a key on a public queue charging its account.
     a_key_on_a_public_queue_counts_for_nobody: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
     an_unknown_queue_is_no_matter_of_keys: "/none/", Ok("k-3") => Err(Denial::NoQueue);
--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -46,7 +46,7 @@
 
 /// Why a request's key is none.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum KeyMistake {
+pub enum KeyError {
     /// The request carries no key.
     Missing,
     /// The key is empty.
@@ -59,7 +59,7 @@
     NotAscii,
 }
 
-impl fmt::Display for KeyMistake {
+impl fmt::Display for KeyError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Missing => "no key",
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -30,22 +30,22 @@
 
 /// A name that is none of a job or task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BadName;
+pub struct ParseNameError;
 
-impl fmt::Display for BadName {
+impl fmt::Display for ParseNameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("no name of a job or task")
     }
 }
 
 impl TryFrom<[u8; ID_DIGITS]> for JobId {
-    type Error = BadName;
+    type Error = ParseNameError;
 
-    fn try_from(digits: [u8; ID_DIGITS]) -> Result<Self, BadName> {
+    fn try_from(digits: [u8; ID_DIGITS]) -> Result<Self, ParseNameError> {
         if digits.iter().all(u8::is_ascii_hexdigit) {
             Ok(Self(digits))
         } else {
-            Err(BadName)
+            Err(ParseNameError)
         }
     }
 }
@@ -57,10 +57,10 @@
 }
 
 impl FromStr for JobId {
-    type Err = BadName;
+    type Err = ParseNameError;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let digits: [u8; ID_DIGITS] = text.as_bytes().try_into().map_err(|_| BadName)?;
+    fn from_str(text: &str) -> Result<Self, ParseNameError> {
+        let digits: [u8; ID_DIGITS] = text.as_bytes().try_into().map_err(|_| ParseNameError)?;
         Self::try_from(digits)
     }
 }
@@ -99,19 +99,19 @@
 }
 
 impl FromStr for TaskRef {
-    type Err = BadName;
+    type Err = ParseNameError;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
+    fn from_str(text: &str) -> Result<Self, ParseNameError> {
         let mut parts = text.split('.');
-        let mut next = || parts.next().ok_or(BadName);
+        let mut next = || parts.next().ok_or(ParseNameError);
         let task = Self {
             job: next()?.parse()?,
-            occurrence: next()?.parse().map_err(|_| BadName)?,
-            step: next()?.parse().map_err(|_| BadName)?,
-            index: next()?.parse().map_err(|_| BadName)?,
+            occurrence: next()?.parse().map_err(|_| ParseNameError)?,
+            step: next()?.parse().map_err(|_| ParseNameError)?,
+            index: next()?.parse().map_err(|_| ParseNameError)?,
         };
         if parts.next().is_some() {
-            return Err(BadName);
+            return Err(ParseNameError);
         }
         Ok(task)
     }
@@ -259,7 +259,7 @@
 
     /// Returns the longest chain of estimated work, in milliseconds.
     #[must_use]
-    pub fn chain_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let start = step
@@ -274,7 +274,7 @@
 
     /// Returns why the job cannot be taken, if so.
     #[must_use]
-    pub fn mistake(&self) -> Option<&'static str> {
+    pub fn validation_error(&self) -> Option<&'static str> {
         if self.steps.is_empty() {
             return Some("steps: a job needs one or more");
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -61,7 +61,7 @@
 mod waves;
 
 pub use {
-    accounts::{ClientAccount, ClientAccounts, KeyDigest, KeyMistake, SharedKey},
+    accounts::{ClientAccount, ClientAccounts, KeyDigest, KeyError, SharedKey},
     advice::Ticket,
     batch::Batch,
     config::{CallerLimits, FleetConfig, Pool, Queue},
@@ -73,7 +73,7 @@
         ReplyToken, StartOrder, VmOutcome,
     },
     fair_share::{Claim, fair_level},
-    job::{BadName, JobId, JobSpec, JobState, Resources, StepSpec, TaskRef},
+    job::{JobId, JobSpec, JobState, ParseNameError, Resources, StepSpec, TaskRef},
     log_event::{LogEvent, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
     quota::{AccountNumber, QuotaLedger, QuotasLeft},
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -115,7 +115,7 @@
 /// Returns how urgent a step is, and the time that its job may wait; the objective is 1.6 times its
 /// chain and 600 ms.
 fn urgency(job: &Job, spec: &StepSpec, left_ms: u64, now_ms: u64) -> (u8, i64) {
-    let objective_ms = job.spec.chain_ms() * 8 / 5 + job.queue.target_latency_ms;
+    let objective_ms = job.spec.critical_path_ms() * 8 / 5 + job.queue.target_latency_ms;
     let passed_ms = now_ms - job.accepted_ms;
     let signed = |ms: u64| i64::try_from(ms).expect("a short time");
     let slack_ms = signed(objective_ms) - signed(passed_ms) - signed(left_ms);
