--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -369,7 +369,7 @@
         if !self.engine.is_open_to(job, account) {
             return OwnerAnswer::OtherAccount;
         }
-        if let Some(state) = self.engine.shown(job) {
+        if let Some(state) = self.engine.job_state(job) {
             return OwnerAnswer::State(state);
         }
         if self.may_deny(job, now) && !self.engine.is_unstored(job) {
@@ -384,7 +384,7 @@
     /// An owner that was cut off or suspended does not know the jobs of its successor; a caller
     /// would be told that its accepted job is gone, or that there was nothing to cancel.
     fn may_deny(&self, job: JobId, now: Now) -> bool {
-        self.engine.shown(job).is_some() || self.is_fresh(now)
+        self.engine.job_state(job).is_some() || self.is_fresh(now)
     }
 
     /// Tells whether the last renewal is so recent that nobody else can believe to be the owner.
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -215,8 +215,8 @@
         if job.state == JobState::Queued {
             job.state = JobState::Running;
             // Nothing hangs on this state, so it is told before it is stored.
-            if job.shown == Some(JobState::Queued) {
-                job.shown = Some(JobState::Running);
+            if job.visible_state == Some(JobState::Queued) {
+                job.visible_state = Some(JobState::Running);
             }
         }
         // An endpoint that was empty is asked at leisure; from now on an end may come any time.
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -15,7 +15,7 @@
     /// Records.
     pub records: Vec<Record>,
     effects: Vec<Effect>,
-    shown: Vec<(JobId, JobState)>,
+    visible_states: Vec<(JobId, JobState)>,
     stored_ends: Vec<(EndpointKey, u64)>,
 }
 
@@ -24,7 +24,7 @@
     pub fn join(&mut self, mut other: Self) {
         self.records.append(&mut other.records);
         self.effects.append(&mut other.effects);
-        self.shown.append(&mut other.shown);
+        self.visible_states.append(&mut other.visible_states);
         self.stored_ends.append(&mut other.stored_ends);
     }
 }
@@ -40,7 +40,7 @@
         let mut batch = Batch {
             records: std::mem::take(&mut self.drops),
             effects: Vec::new(),
-            shown: Vec::new(),
+            visible_states: Vec::new(),
             stored_ends: self.unacknowledged(),
         };
         self.add_dirty_jobs(&mut batch);
@@ -70,7 +70,7 @@
                 batch.records.push(spec_record(job));
             }
             batch.records.push(progress_record(job, &self.endpoints));
-            batch.shown.push((job.id, job.state));
+            batch.visible_states.push((job.id, job.state));
             batch
                 .effects
                 .extend(job.waiting.drain(..).map(|token| Effect::Reply {
@@ -82,10 +82,10 @@
 
     /// Records that a batch is stored, and returns what it releases.
     pub fn committed(&mut self, batch: Batch, now: Now) -> Vec<Effect> {
-        for (id, state) in batch.shown {
+        for (id, state) in batch.visible_states {
             if let Ok(place) = self.search(id) {
                 let job = self.jobs.quiet_mut(place);
-                job.shown = Some(state);
+                job.visible_state = Some(state);
                 if state.is_final() && !job.has_attempts() && !job.is_dirty {
                     self.forget_details(place);
                 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -272,7 +272,7 @@
         match self.search(id) {
             Ok(place) => {
                 let known = &mut self.jobs[place];
-                if known.shown.is_some() {
+                if known.visible_state.is_some() {
                     self.answer_at_once(token, CallerAnswer::Accepted);
                 } else {
                     known.waiting.push(token);
@@ -414,9 +414,9 @@
 
     /// Returns what may be told of a job; nothing when no such job is stored.
     #[must_use]
-    pub fn shown(&self, id: JobId) -> Option<JobState> {
+    pub fn job_state(&self, id: JobId) -> Option<JobState> {
         match self.search(id) {
-            Ok(place) => self.jobs[place].shown,
+            Ok(place) => self.jobs[place].visible_state,
             Err(_) => self.find_ended(id).map(|job| job.state),
         }
     }
@@ -425,7 +425,7 @@
     #[must_use]
     pub fn is_unstored(&self, id: JobId) -> bool {
         self.search(id)
-            .is_ok_and(|place| self.jobs[place].shown.is_none())
+            .is_ok_and(|place| self.jobs[place].visible_state.is_none())
     }
 
     /// Counts the jobs of a queue of which no task has started.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,12 +15,12 @@
 //!     Event::Submit { job: id, queue: Queue::default(), spec: Box::new(spec), account: "".into(), origin: None, token: 1 },
 //!     now,
 //! );
-//! assert_eq!(engine.shown(id), None);
+//! assert_eq!(engine.job_state(id), None);
 //! let batch = engine.cut_batch(now);
 //! assert_eq!(batch.records.len(), 2);
 //! let effects = engine.committed(batch, now);
 //! assert_eq!(effects.len(), 1);
-//! assert!(engine.shown(id).is_some());
+//! assert!(engine.job_state(id).is_some());
 //! ```
 
 mod accounts;
--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -173,7 +173,7 @@
     /// State.
     pub state: JobState,
     /// State that is stored, and so may be told.
-    pub shown: Option<JobState>,
+    pub visible_state: Option<JobState>,
     /// Occurrences that have begun and are not all done.
     pub occurrences: Vec<Occurrence>,
     /// First occurrence that has not begun.
@@ -202,7 +202,7 @@
             account_number: AccountNumber::default(),
             accepted_ms,
             state: JobState::Queued,
-            shown: None,
+            visible_state: None,
             occurrences: Vec::new(),
             next_occurrence: 0,
             is_dirty: true,
@@ -223,7 +223,7 @@
     /// Tells whether nothing of the job was ever sent to the store.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
-        self.shown.is_none() && !self.is_spec_stored
+        self.visible_state.is_none() && !self.is_spec_stored
     }
 
     /// Tells whether some occurrence has not begun.
--- a/crates/engine/src/stored.rs
+++ b/crates/engine/src/stored.rs
@@ -306,7 +306,7 @@
         .collect();
     let mut job = Job::new(id, spec.queue, spec.spec, spec.accepted_ms).with_account(account);
     job.state = state;
-    job.shown = Some(state);
+    job.visible_state = Some(state);
     job.occurrences = occurrences;
     job.next_occurrence = next_occurrence;
     // A job that had ended is written once more, so that its details are dropped.
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -263,8 +263,8 @@
         });
     }
 
-    pub fn shown(&self, number: u64) -> Option<JobState> {
-        self.engine.shown(job_id(number))
+    pub fn job_state(&self, number: u64) -> Option<JobState> {
+        self.engine.job_state(job_id(number))
     }
 
     /// Advances the clock in ticks.
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -222,7 +222,7 @@
             self.serve_mailbox();
         }
         for job in 1..=self.jobs {
-            let state = self.engine.shown(job_id(job));
+            let state = self.engine.job_state(job_id(job));
             assert!(
                 state.is_some_and(JobState::is_final),
                 "job {job}: {state:?}"
--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -204,7 +204,10 @@
         }
         for (token, answer) in &fleet.replies {
             if *token > 0 && *answer == CallerAnswer::Accepted {
-                assert!(fleet.shown(*token).is_some(), "job {token} is forgotten");
+                assert!(
+                    fleet.job_state(*token).is_some(),
+                    "job {token} is forgotten"
+                );
             }
         }
     }
@@ -224,7 +227,7 @@
             }
         }
         for job in 1..=self.jobs {
-            let state = self.fleet.shown(job);
+            let state = self.fleet.job_state(job);
             assert!(
                 state.is_none_or(lynxwheel_engine::JobState::is_final),
                 "job {job}: {state:?}"
--- a/crates/engine/tests/latency.rs
+++ b/crates/engine/tests/latency.rs
@@ -19,5 +19,5 @@
     fleet.settle();
     fleet.end_all_done();
     fleet.settle();
-    assert_eq!(fleet.engine.shown(job_id(1)), Some(JobState::Completed));
+    assert_eq!(fleet.engine.job_state(job_id(1)), Some(JobState::Completed));
 }
--- a/crates/engine/tests/lives.rs
+++ b/crates/engine/tests/lives.rs
@@ -65,7 +65,7 @@
     fleet.settle();
     fleet.end_all_done();
     fleet.settle();
-    assert_eq!(fleet.shown(1), Some(JobState::Completed));
+    assert_eq!(fleet.job_state(1), Some(JobState::Completed));
 }
 
 /// Guards against a report of a replaced incarnation that comes late and ends the one in its place, whose
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -52,7 +52,7 @@
             fleet.end_all_done();
             fleet.settle();
         }
-        assert_eq!(fleet.shown(1), Some(JobState::Completed));
+        assert_eq!(fleet.job_state(1), Some(JobState::Completed));
     };
 
     /// Guards against runs whose end is not known being counted as over.
@@ -159,7 +159,7 @@
         assert_eq!(answer(&fleet, 1), Some(CallerAnswer::OverQuota));
         assert_eq!(answer(&fleet, 2), Some(CallerAnswer::Accepted));
         assert_eq!(answer(&fleet, 3), Some(CallerAnswer::OverQuota));
-        assert_eq!(fleet.shown(1), None);
+        assert_eq!(fleet.job_state(1), None);
     };
 
     /// Guards against a gang of which only a part fits into the quota being started.
@@ -194,7 +194,7 @@
         fleet.submit_as("maps", 2, step(2));
         fleet.advance(1_000);
         assert_eq!(all(&fleet), 3);
-        assert_eq!(fleet.shown(1), Some(JobState::Cancelled));
+        assert_eq!(fleet.job_state(1), Some(JobState::Cancelled));
     };
 
     /// Guards against a job that waits without a word: the log has to say for what.
@@ -252,7 +252,7 @@
         fleet.advance(2_000);
         fleet.take_over();
         assert!(!fleet.engine.is_open_to(job_id(1), "post"));
-        assert_eq!(fleet.shown(1), Some(JobState::Cancelled));
+        assert_eq!(fleet.job_state(1), Some(JobState::Cancelled));
     };
 
     /// Guards against state that grows with every account that ever was.
--- a/crates/engine/tests/restore.rs
+++ b/crates/engine/tests/restore.rs
@@ -19,12 +19,12 @@
     fleet.end_all_done();
     // The end is stored; the owner is lost before it drops the details.
     fleet.settle_without_cleaning();
-    assert_eq!(fleet.shown(1), Some(JobState::Completed));
+    assert_eq!(fleet.job_state(1), Some(JobState::Completed));
     fleet.take_over();
     fleet.settle();
     fleet.advance(1_000);
     fleet.settle();
-    assert_eq!(fleet.engine.shown(job_id(1)), Some(JobState::Completed));
+    assert_eq!(fleet.engine.job_state(job_id(1)), Some(JobState::Completed));
 }
 
 /// A customer is charged twice: after a take-over a task runs on two endpoints. The list of VMs
--- a/crates/engine/tests/store_away.rs
+++ b/crates/engine/tests/store_away.rs
@@ -60,7 +60,7 @@
     learn(&mut fleet, true);
     fleet.is_store_down = false;
     learn(&mut fleet, false);
-    assert_eq!(fleet.shown(2), None);
+    assert_eq!(fleet.job_state(2), None);
     assert_eq!(fleet.endpoints[0].running.len(), 1);
     fleet.submit(2, 1);
     fleet.advance(100);
@@ -68,7 +68,7 @@
         answers(&fleet, 2),
         [CallerAnswer::Refused, CallerAnswer::Accepted]
     );
-    assert_eq!(fleet.shown(2), Some(JobState::Running));
+    assert_eq!(fleet.job_state(2), Some(JobState::Running));
 }
 
 #[test]
