--- a/crates/controller/src/in_flight.rs
+++ b/crates/controller/src/in_flight.rs
@@ -73,7 +73,7 @@
     /// Lets a batch without records wait for the newest one under way.
     pub fn join(&mut self, batch: Batch) {
         if let Some(newest) = self.pending.back_mut() {
-            newest.batch.join(batch);
+            newest.batch.merge(batch);
         }
     }
 
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -217,11 +217,11 @@
                 tokio::spawn(async move { watcher::release(&node, epoch).await });
             }
         }
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.carry_out(effects, now, context);
         self.write(now, context);
         // Placing asks for advice at once.
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.carry_out(effects, now, context);
         notes::log_notes(self.epoch, &self.engine.take_log_events());
         self.load.note_message(begun);
@@ -441,7 +441,7 @@
             return;
         }
         loop {
-            let batch = self.engine.cut_batch(now);
+            let batch = self.engine.take_batch(now);
             if !batch.records.is_empty() {
                 let commit = self.writer.commit(&batch.records);
                 self.load.note_batch(commit.bytes());
--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -110,9 +110,9 @@
 
 /// Stores a batch at once.
 fn store(engine: &mut Engine, ms: u64) {
-    let batch = engine.cut_batch(now(ms));
+    let batch = engine.take_batch(now(ms));
     black_box(engine.committed(batch, now(ms)));
-    black_box(engine.take_at_once());
+    black_box(engine.take_immediate_effects());
     black_box(engine.take_log_events());
 }
 
--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -98,7 +98,7 @@
             advice.asked = unknown.take(ASKED_AT_ONCE).collect();
             if !advice.asked.is_empty() {
                 advice.ask_at_ms = now.steady_ms + ASK_LOST_MS;
-                self.at_once.push(Effect::Advise {
+                self.immediate_effects.push(Effect::Advise {
                     step: *step,
                     endpoints: names(&self.endpoints, &advice.asked),
                 });
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -49,7 +49,7 @@
         attempt.retry_at_ms = now.steady_ms + ORDER_RETRY_MS;
         let endpoint = attempt.endpoint;
         self.jobs[place].is_dirty = true;
-        self.forming.push(Effect::Stop {
+        self.pending_effects.push(Effect::Stop {
             endpoint,
             task: *task,
             run,
@@ -150,7 +150,7 @@
                 }
             }
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.at_once.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
         }
     }
 
@@ -223,7 +223,7 @@
         let endpoint = self.endpoints.get_mut(key);
         endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms);
         if is_stopping {
-            self.at_once.push(Effect::Stop {
+            self.immediate_effects.push(Effect::Stop {
                 endpoint: key,
                 task: *task,
                 run,
@@ -256,7 +256,7 @@
             }
             CallOutcome::Unsent | CallOutcome::Unknown => self.call_failed(key, now),
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.at_once.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
         }
     }
 
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -21,7 +21,7 @@
 
 impl Batch {
     /// Takes over what another batch without records releases.
-    pub fn join(&mut self, mut other: Self) {
+    pub fn merge(&mut self, mut other: Self) {
         self.records.append(&mut other.records);
         self.effects.append(&mut other.effects);
         self.visible_states.append(&mut other.visible_states);
@@ -31,7 +31,7 @@
 
 impl Engine {
     /// Cuts a batch: places what can start, and gathers what has changed.
-    pub fn cut_batch(&mut self, now: Now) -> Batch {
+    pub fn take_batch(&mut self, now: Now) -> Batch {
         self.refresh_open_steps();
         if self.is_schedule_due {
             self.is_schedule_due = false;
@@ -46,7 +46,7 @@
         self.add_dirty_jobs(&mut batch);
         batch.records.extend(self.wave_records());
         batch.records.extend(self.vm_records());
-        batch.effects.append(&mut self.forming);
+        batch.effects.append(&mut self.pending_effects);
         batch
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -109,8 +109,8 @@
     pub(crate) resting_vms: Vec<RestingVm>,
     /// Waves sorted by number.
     pub(crate) waves: Vec<Wave>,
-    pub(crate) forming: Vec<Effect>,
-    pub(crate) at_once: Vec<Effect>,
+    pub(crate) pending_effects: Vec<Effect>,
+    pub(crate) immediate_effects: Vec<Effect>,
     pub(crate) drops: Vec<Record>,
     /// What is known of steps whose endpoints another service chooses, sorted by step.
     pub(crate) advice: Vec<StepAdvice>,
@@ -153,8 +153,8 @@
             vm_order_rate: OrderRate::new(settings.vm_orders_per_s),
             resting_vms: Vec::new(),
             waves: Vec::new(),
-            forming: Vec::new(),
-            at_once: Vec::new(),
+            pending_effects: Vec::new(),
+            immediate_effects: Vec::new(),
             drops: Vec::new(),
             advice: Vec::new(),
             arrivals: Arrivals::default(),
@@ -256,34 +256,34 @@
 
     fn refuse(&mut self, tokens: &[ReplyToken]) {
         for &token in tokens {
-            self.answer_at_once(token, CallerAnswer::Refused);
+            self.reply_immediately(token, CallerAnswer::Refused);
         }
     }
 
-    fn answer_at_once(&mut self, token: ReplyToken, answer: CallerAnswer) {
-        self.at_once.push(Effect::Reply { token, answer });
+    fn reply_immediately(&mut self, token: ReplyToken, answer: CallerAnswer) {
+        self.immediate_effects.push(Effect::Reply { token, answer });
     }
 
     fn submit(&mut self, mut job: Job, token: ReplyToken, now: Now) {
         let id = job.id;
         if !self.is_open_to(id, &job.account) {
-            return self.answer_at_once(token, CallerAnswer::OtherAccount);
+            return self.reply_immediately(token, CallerAnswer::OtherAccount);
         }
         match self.search(id) {
             Ok(place) => {
                 let known = &mut self.jobs[place];
                 if known.visible_state.is_some() {
-                    self.answer_at_once(token, CallerAnswer::Accepted);
+                    self.reply_immediately(token, CallerAnswer::Accepted);
                 } else {
                     known.waiting.push(token);
                 }
             }
             Err(_) if self.find_ended(id).is_some() => {
-                self.answer_at_once(token, CallerAnswer::Accepted);
+                self.reply_immediately(token, CallerAnswer::Accepted);
             }
             Err(_) if self.is_store_away => self.refuse(&[token]),
             Err(_) if !self.may_ever_run(&job) => {
-                self.answer_at_once(token, CallerAnswer::OverQuota);
+                self.reply_immediately(token, CallerAnswer::OverQuota);
             }
             Err(_) => {
                 let account = self.quotas.number(&job.account);
@@ -332,20 +332,20 @@
 
     fn cancel(&mut self, id: JobId, account: &str, token: ReplyToken, now: Now) {
         if !self.is_open_to(id, account) {
-            self.answer_at_once(token, CallerAnswer::OtherAccount);
+            self.reply_immediately(token, CallerAnswer::OtherAccount);
         } else if let Ok(place) = self.search(id) {
             if !self.jobs[place].state.is_final() {
                 self.end_job(place, JobState::Cancelled, now);
             }
             // The answer waits for the batch, as the end may not be stored yet.
-            self.forming.push(Effect::Reply {
+            self.pending_effects.push(Effect::Reply {
                 token,
                 answer: CallerAnswer::Cancelled,
             });
         } else if self.find_ended(id).is_some() {
-            self.answer_at_once(token, CallerAnswer::Cancelled);
+            self.reply_immediately(token, CallerAnswer::Cancelled);
         } else {
-            self.answer_at_once(token, CallerAnswer::Unknown);
+            self.reply_immediately(token, CallerAnswer::Unknown);
         }
     }
 
@@ -455,8 +455,8 @@
     }
 
     /// Takes the effects that wait for nothing.
-    pub fn take_at_once(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.at_once)
+    pub fn take_immediate_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.immediate_effects)
     }
 
     /// Takes the notes on what was found out, for the log.
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -198,7 +198,7 @@
             RENEW_WAIT_MS
         };
         endpoint.acknowledged = endpoint.stored_seen;
-        self.at_once.push(Effect::Renew {
+        self.immediate_effects.push(Effect::Renew {
             endpoint: key,
             deadline_ms,
             acknowledged: endpoint.stored_seen,
@@ -218,7 +218,7 @@
             CallOutcome::Done(_) if self.endpoints.get(key).is_over => return,
             CallOutcome::Done(report) => self.take_report(key, &report, now),
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.at_once.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
             CallOutcome::Unsent => {
                 let endpoint = self.endpoints.get(key);
                 // Nothing listens where an endpoint said that it would leave, and its entry is
@@ -334,7 +334,7 @@
             Some((_, _, sent_ms)) => *sent_ms = now.steady_ms,
             None => endpoint.orphans.push((*task, run, now.steady_ms)),
         }
-        self.at_once.push(Effect::Stop {
+        self.immediate_effects.push(Effect::Stop {
             endpoint: key,
             task: *task,
             run,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -16,7 +16,7 @@
 //!     now,
 //! );
 //! assert_eq!(engine.job_state(id), None);
-//! let batch = engine.cut_batch(now);
+//! let batch = engine.take_batch(now);
 //! assert_eq!(batch.records.len(), 2);
 //! let effects = engine.committed(batch, now);
 //! assert_eq!(effects.len(), 1);
--- a/crates/engine/src/pacing.rs
+++ b/crates/engine/src/pacing.rs
@@ -45,7 +45,7 @@
             };
             let percent = next_pace(attempt.pace, worst_percent);
             if percent != attempt.pace {
-                self.at_once.push(Effect::Pace {
+                self.immediate_effects.push(Effect::Pace {
                     endpoint: key,
                     task,
                     run,
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -19,7 +19,7 @@
                 continue;
             }
             if is_stop {
-                self.at_once.push(Effect::Stop {
+                self.immediate_effects.push(Effect::Stop {
                     endpoint: key,
                     task,
                     run,
@@ -30,7 +30,7 @@
             {
                 let mut order = start_order(&self.jobs[place], key, &task, run, deadline_ms);
                 order.ticket = self.ticket_for(&task, key, now);
-                self.at_once.push(Effect::Start(Box::new(order)));
+                self.immediate_effects.push(Effect::Start(Box::new(order)));
             }
         }
     }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -266,7 +266,7 @@
         job.is_dirty = true;
         self.quotas.charge(job.account_number, &spec.room);
         let order = start_order(job, key, task, run, 0);
-        self.forming.push(Effect::Start(Box::new(order)));
+        self.pending_effects.push(Effect::Start(Box::new(order)));
         let endpoint = self.endpoints.get_mut(key);
         endpoint.place(Placed::new(*task, run, spec));
         let free_cpu_millis = endpoint.free().cpu_millis;
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -195,7 +195,7 @@
         vm.order = Some(order);
         vm.stored_order_ms = now.wall_ms;
         vm.is_dirty = true;
-        self.forming.push(effect);
+        self.pending_effects.push(effect);
         if let Some(key) = self.vms[place].ordered_endpoint {
             self.endpoints.get_mut(key).is_held_back = true;
         }
--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -172,7 +172,7 @@
         if !wave.is_announced {
             wave.is_announced = true;
             let (number, is_completed) = (wave.number, wave.stored.is_completed);
-            self.forming.push(Effect::PublishWave {
+            self.pending_effects.push(Effect::PublishWave {
                 wave: number,
                 is_completed,
             });
@@ -279,7 +279,7 @@
         wave.stored.is_completed = true;
         wave.is_dirty = true;
         let number = wave.number;
-        self.forming.push(Effect::PublishWave {
+        self.pending_effects.push(Effect::PublishWave {
             wave: number,
             is_completed: true,
         });
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -288,23 +288,23 @@
 
     /// Stores one batch and carries nothing out that it releases later.
     pub fn settle_without_cleaning(&mut self) {
-        let batch = self.engine.cut_batch(self.now);
+        let batch = self.engine.take_batch(self.now);
         self.store(&batch);
         drop(self.engine.committed(batch, self.now));
     }
 
     fn turn(&mut self) -> bool {
         self.answer_renewals();
-        let mut effects = self.engine.take_at_once();
+        let mut effects = self.engine.take_immediate_effects();
         if !self.is_store_down {
             let batch = match self.in_flight.take() {
                 Some(batch) => batch,
-                None => self.engine.cut_batch(self.now),
+                None => self.engine.take_batch(self.now),
             };
             let has_records = !batch.records.is_empty();
             self.store(&batch);
             effects.extend(self.engine.committed(batch, self.now));
-            effects.extend(self.engine.take_at_once());
+            effects.extend(self.engine.take_immediate_effects());
             if effects.is_empty() && !has_records {
                 return false;
             }
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -313,11 +313,11 @@
 
     fn flush(&mut self) {
         let now = self.now();
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.send(effects);
         if self.in_flight.is_none() {
-            let batch = self.engine.cut_batch(now);
-            let effects = self.engine.take_at_once();
+            let batch = self.engine.take_batch(now);
+            let effects = self.engine.take_immediate_effects();
             self.send(effects);
             if batch.records.is_empty() {
                 let effects = self.engine.committed(batch, now);
--- a/crates/engine/tests/origins.rs
+++ b/crates/engine/tests/origins.rs
@@ -15,7 +15,7 @@
 /// Returns the starts that the engine orders now.
 fn starts(fleet: &mut Fleet) -> Vec<StartOrder> {
     fleet.handle(Event::Tick);
-    let batch = fleet.engine.cut_batch(fleet.now);
+    let batch = fleet.engine.take_batch(fleet.now);
     let effects = fleet.engine.committed(batch, fleet.now);
     let starts = effects.into_iter().filter_map(|effect| match effect {
         Effect::Start(order) => Some(*order),
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -232,7 +232,7 @@
         }
         let mut expected = expected(&fleet.engine, fleet.now.steady_ms);
         expected.sort_unstable();
-        let batch = fleet.engine.cut_batch(fleet.now);
+        let batch = fleet.engine.take_batch(fleet.now);
         assert_eq!(placed(&fleet.engine), expected);
         fleet.put_in_flight(batch);
         let ms = random.random_range(1..6) * 100;
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -107,7 +107,7 @@
     decisions_that_are_not_stored_when_the_quota_is_cut_are_taken_back: {
         let mut fleet = fleet_with(&[account("maps", 6)]);
         fleet.submit_as("maps", 1, step(6));
-        let batch = fleet.engine.cut_batch(fleet.now);
+        let batch = fleet.engine.take_batch(fleet.now);
         fleet.put_in_flight(batch);
         fleet.configure_accounts(&[account("maps", 2)]);
         fleet.settle();
@@ -139,11 +139,11 @@
     no_more_is_placed_than_the_quota_allows: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, step(8));
-        let batch = fleet.engine.cut_batch(fleet.now);
+        let batch = fleet.engine.take_batch(fleet.now);
         assert_eq!(fleet.engine.running_of("maps").cpu_millis, 3_000);
         fleet.put_in_flight(batch);
         fleet.submit_as("maps", 2, StepSpec { gang: true, ..step(2) });
-        drop(fleet.engine.cut_batch(fleet.now));
+        drop(fleet.engine.take_batch(fleet.now));
         assert_eq!(fleet.engine.running_of("maps").cpu_millis, 3_000);
     };
 
--- a/crates/engine/tests/store_away.rs
+++ b/crates/engine/tests/store_away.rs
@@ -18,7 +18,7 @@
     fleet.list_endpoint("i-1", 16_000);
     fleet.advance(200);
     fleet.submit(1, 1);
-    let batch = fleet.engine.cut_batch(fleet.now);
+    let batch = fleet.engine.take_batch(fleet.now);
     fleet.put_in_flight(batch);
     fleet.is_store_down = true;
     fleet
--- a/crates/engine/tests/stragglers.rs
+++ b/crates/engine/tests/stragglers.rs
@@ -70,7 +70,7 @@
         });
     }
     fleet.handle(Event::Tick);
-    let batch = fleet.engine.cut_batch(fleet.now);
+    let batch = fleet.engine.take_batch(fleet.now);
     let effects = fleet.engine.committed(batch, fleet.now);
     let is_stop = |effect: &Effect| matches!(effect, Effect::Stop { .. });
     assert!(!effects.iter().any(is_stop));
