--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -267,7 +267,7 @@
             let event = if is_away { "store_away" } else { "store_back" };
             warn!(event = event, epoch = self.epoch; "");
         }
-        self.engine.set_store_away(is_away);
+        self.engine.set_store_unavailable(is_away);
     }
 
     fn handle_all(&mut self, events: Vec<Event>, now: Now) {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -126,7 +126,7 @@
     pub(crate) is_schedule_due: bool,
     pub(crate) may_order_vms: bool,
     /// Whether nothing can be stored at the moment.
-    is_store_away: bool,
+    is_store_unavailable: bool,
 }
 
 impl Engine {
@@ -164,7 +164,7 @@
             lives_forgotten_ms: 0,
             is_schedule_due: false,
             may_order_vms: false,
-            is_store_away: false,
+            is_store_unavailable: false,
         }
     }
 
@@ -234,9 +234,9 @@
     ///
     /// Kept until their callers' deadline, they would end as "not known", after which a caller may not
     /// hand its job in again. One that is refused at once comes back when the store does.
-    pub fn set_store_away(&mut self, is_away: bool) {
-        self.is_store_away = is_away;
-        if !is_away {
+    pub fn set_store_unavailable(&mut self, is_unavailable: bool) {
+        self.is_store_unavailable = is_unavailable;
+        if !is_unavailable {
             return;
         }
         let unsent: Vec<JobId> = self
@@ -281,7 +281,7 @@
             Err(_) if self.find_ended(id).is_some() => {
                 self.reply_immediately(token, CallerAnswer::Accepted);
             }
-            Err(_) if self.is_store_away => self.refuse(&[token]),
+            Err(_) if self.is_store_unavailable => self.refuse(&[token]),
             Err(_) if !self.may_ever_run(&job) => {
                 self.reply_immediately(token, CallerAnswer::OverQuota);
             }
--- a/crates/engine/tests/store_away.rs
+++ b/crates/engine/tests/store_away.rs
@@ -24,8 +24,8 @@
     fleet
 }
 
-fn learn(fleet: &mut Fleet, is_store_away: bool) {
-    fleet.engine.set_store_away(is_store_away);
+fn learn(fleet: &mut Fleet, is_store_unavailable: bool) {
+    fleet.engine.set_store_unavailable(is_store_unavailable);
     fleet.advance(100);
 }
 
