--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -178,11 +178,11 @@
         if record_kind(&record.key) == Some(RecordKind::Vm)
             && let Some(by_ms) = offset.and_then(|offset| view.stored_by_ms(offset))
         {
-            engine.bound_vm_rest(&record.key, by_ms + holder_ms);
+            engine.limit_vm_cooldown(&record.key, by_ms + holder_ms);
         }
     }
     if let Some(epoch) = view.ended_epoch() {
-        engine.end_vm_rests(epoch, node.begun_ms + VM_ORDER_MS);
+        engine.end_vm_cooldowns(epoch, node.begun_ms + VM_ORDER_MS);
     }
 }
 
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -14,17 +14,17 @@
 
 /// Rest of an endpoint after one run failed there, in milliseconds: long enough for other runs to
 /// show whether the endpoint or the task is to blame.
-const FIRST_REST_MS: u64 = 300;
+const FIRST_COOLDOWN_MS: u64 = 300;
 
 /// Rest of an endpoint after more runs failed in a row, in milliseconds. Troubles of endpoints
 /// last for seconds, and each trial costs somebody one of few attempts.
-const LONG_REST_MS: u64 = 4_000;
+const LONG_COOLDOWN_MS: u64 = 4_000;
 
 /// Runs that fail in a row before an endpoint rests for long.
 const BAD_AFTER: u32 = 2;
 
 /// Rest of an endpoint that refused an order, in milliseconds.
-const REFUSAL_REST_MS: u64 = 500;
+const REFUSAL_COOLDOWN_MS: u64 = 500;
 
 /// Pause of a task whose order was malformed for the endpoint, in milliseconds.
 const INVALID_PAUSE_MS: u64 = 2_000;
@@ -123,7 +123,7 @@
             // That run is known there; the next report tells how it stands.
             CallOutcome::Refused(Refusal::OldRun) => self.confirm(key, task, run, now),
             CallOutcome::Refused(refusal) => {
-                self.rest_after_refusal(key, *refusal, now);
+                self.start_refusal_cooldown(key, *refusal, now);
                 if *refusal == Refusal::Ticket {
                     self.ticket_refused(task, key);
                 }
@@ -165,9 +165,9 @@
         self.jobs.quiet_mut(place).origin.take().is_some()
     }
 
-    fn rest_after_refusal(&mut self, key: EndpointKey, refusal: Refusal, now: Now) {
+    fn start_refusal_cooldown(&mut self, key: EndpointKey, refusal: Refusal, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
-        endpoint.rests_until_ms = now.steady_ms + REFUSAL_REST_MS;
+        endpoint.cooldown_until_ms = now.steady_ms + REFUSAL_COOLDOWN_MS;
         if refusal == Refusal::Late {
             // The reading of its clock is off; a report brings a new one.
             endpoint.renew_at_ms = now.steady_ms;
@@ -341,12 +341,12 @@
     fn run_failed(&mut self, place: usize, key: EndpointKey, ended: &EndedTask, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         endpoint.failed_runs += 1;
-        let rest_ms = if endpoint.failed_runs >= BAD_AFTER {
-            LONG_REST_MS
+        let cooldown_ms = if endpoint.failed_runs >= BAD_AFTER {
+            LONG_COOLDOWN_MS
         } else {
-            FIRST_REST_MS
+            FIRST_COOLDOWN_MS
         };
-        endpoint.rests_until_ms = endpoint.rests_until_ms.max(now.steady_ms + rest_ms);
+        endpoint.cooldown_until_ms = endpoint.cooldown_until_ms.max(now.steady_ms + cooldown_ms);
         let max_attempts = self.jobs[place].queue.max_attempts;
         let job = &mut self.jobs[place];
         let lasts = job
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -110,7 +110,7 @@
     /// Runs in a row that ended as failed there.
     pub failed_runs: u32,
     /// Until when nothing new starts there, on the steady clock.
-    pub rests_until_ms: u64,
+    pub cooldown_until_ms: u64,
     /// Room taken by runs that may be under way.
     pub used: Resources,
     /// Part of it that long-running tasks take.
@@ -163,7 +163,7 @@
             entry_order: 0,
             silent_calls: 0,
             failed_runs: 0,
-            rests_until_ms: 0,
+            cooldown_until_ms: 0,
             used: Resources::default(),
             used_lasting: Resources::default(),
             lasting_runs: 0,
@@ -239,7 +239,7 @@
             && !self.is_held_back
             && self.is_reconciled
             && self.silent_calls == 0
-            && now_ms >= self.rests_until_ms
+            && now_ms >= self.cooldown_until_ms
     }
 
     /// Returns the room that is left.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -18,9 +18,9 @@
         log_event::LogEvent,
         order_rate::OrderRate,
         quota::{AccountNumber, QuotaLedger},
-        rests::RestingVm,
         state::Job,
         stored::{Record, progress_drop, spec_drop},
+        vm_cooldowns::VmCooldown,
         vms::Vm,
         waiting::OpenSteps,
         waves::Wave,
@@ -97,7 +97,7 @@
     pub(crate) endpoints: Endpoints,
     pub(crate) free_room: FreeRoom,
     /// Endpoints at which nothing starts until a time on the steady clock, sorted by that time.
-    pub(crate) resting_endpoints: Vec<(u64, EndpointKey)>,
+    pub(crate) cooling_endpoints: Vec<(u64, EndpointKey)>,
     /// Endpoints of which ends were taken into account that are not in a batch yet.
     pub(crate) unstored_ends: Vec<EndpointKey>,
     /// Runs whose order may have to be repeated, sorted.
@@ -106,7 +106,7 @@
     pub(crate) vms: Vec<Vm>,
     pub(crate) vm_order_rate: OrderRate,
     /// VMs for which an earlier owner ordered something lately, sorted by name.
-    pub(crate) resting_vms: Vec<RestingVm>,
+    pub(crate) vm_cooldowns: Vec<VmCooldown>,
     /// Waves sorted by number.
     pub(crate) waves: Vec<Wave>,
     pub(crate) pending_effects: Vec<Effect>,
@@ -146,12 +146,12 @@
             ended: Vec::new(),
             endpoints: Endpoints::default(),
             free_room: FreeRoom::default(),
-            resting_endpoints: Vec::new(),
+            cooling_endpoints: Vec::new(),
             unstored_ends: Vec::new(),
             unanswered: Vec::new(),
             vms: Vec::new(),
             vm_order_rate: OrderRate::new(settings.vm_orders_per_s),
-            resting_vms: Vec::new(),
+            vm_cooldowns: Vec::new(),
             waves: Vec::new(),
             pending_effects: Vec::new(),
             immediate_effects: Vec::new(),
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -154,20 +154,20 @@
 
     /// Updates the free room of the endpoints that have changed, or whose cooldown is over.
     pub(crate) fn refresh_free_room(&mut self, now: Now) {
-        let resting = &mut self.resting_endpoints;
-        let rested = resting.partition_point(|(until_ms, _)| *until_ms <= now.steady_ms);
-        let rested: Vec<EndpointKey> = resting.drain(..rested).map(|(_, key)| key).collect();
-        for key in self.endpoints.take_changed().into_iter().chain(rested) {
+        let cooldown = &mut self.cooling_endpoints;
+        let expired = cooldown.partition_point(|(until_ms, _)| *until_ms <= now.steady_ms);
+        let expired: Vec<EndpointKey> = cooldown.drain(..expired).map(|(_, key)| key).collect();
+        for key in self.endpoints.take_changed().into_iter().chain(expired) {
             let endpoint = self.endpoints.get(key);
             if endpoint.takes_starts(now.steady_ms) {
                 let free_cpu_millis = endpoint.free().cpu_millis;
                 self.free_room.set(key, &endpoint.pool, free_cpu_millis);
                 continue;
             }
-            let resting = (endpoint.rests_until_ms, key);
-            let rests = !endpoint.is_over && endpoint.rests_until_ms > now.steady_ms;
-            if rests && let Err(place) = self.resting_endpoints.binary_search(&resting) {
-                self.resting_endpoints.insert(place, resting);
+            let cooldown = (endpoint.cooldown_until_ms, key);
+            let is_cooling_down = !endpoint.is_over && endpoint.cooldown_until_ms > now.steady_ms;
+            if is_cooling_down && let Err(place) = self.cooling_endpoints.binary_search(&cooldown) {
+                self.cooling_endpoints.insert(place, cooldown);
             }
             self.free_room.remove(key);
         }
--- a/crates/engine/src/stragglers.rs
+++ b/crates/engine/src/stragglers.rs
@@ -21,7 +21,7 @@
 const ESTIMATE_PART: u64 = 20;
 
 /// Rest of an endpoint whose runs stand still, in milliseconds.
-const REST_MS: u64 = 4_000;
+const COOLDOWN_MS: u64 = 4_000;
 
 /// A run that might stand still.
 struct Suspect {
@@ -52,7 +52,8 @@
         if is_all_stuck {
             let endpoint = self.endpoints.get_mut(key);
             endpoint.failed_runs += 1;
-            endpoint.rests_until_ms = endpoint.rests_until_ms.max(now.steady_ms + REST_MS);
+            endpoint.cooldown_until_ms =
+                endpoint.cooldown_until_ms.max(now.steady_ms + COOLDOWN_MS);
         }
         for (task, run) in stuck {
             self.stop_run(&task, run, now);
--- a/crates/engine/src/rests.rs
+++ b/crates/engine/src/vm_cooldowns.rs
@@ -14,7 +14,7 @@
 
 /// A VM for which an earlier owner ordered something lately.
 #[derive(Clone, Debug)]
-pub(crate) struct RestingVm {
+pub(crate) struct VmCooldown {
     name: CompactString,
     /// Until when nothing is ordered for it, on the steady clock.
     until_ms: u64,
@@ -29,24 +29,24 @@
     pub(crate) fn restore_vm(&mut self, name: &str, stored: StoredVm, now: Now) {
         let recent_ms = self.settings.vm_holder_ms + CLOCK_SPREAD_MS;
         if now.wall_ms < stored.ordered_ms + recent_ms
-            && let Err(place) = self.resting_place(name)
+            && let Err(place) = self.search_vm_cooldown(name)
         {
-            let resting = RestingVm {
+            let cooldown = VmCooldown {
                 name: name.into(),
                 until_ms: now.steady_ms + self.settings.vm_holder_ms,
                 is_settled: stored.is_settled,
                 epoch: stored.epoch,
             };
-            self.resting_vms.insert(place, resting);
+            self.vm_cooldowns.insert(place, cooldown);
         }
     }
 
     /// Takes in until when an earlier owner's order for a VM forbids another at most, on the steady
     /// clock, as the order of records in the log tells it.
-    pub fn bound_vm_rest(&mut self, key: &str, until_ms: u64) {
-        if let Ok(place) = self.resting_place(vm_name(key)) {
-            let resting = &mut self.resting_vms[place];
-            resting.until_ms = until_ms.min(resting.until_ms);
+    pub fn limit_vm_cooldown(&mut self, key: &str, until_ms: u64) {
+        if let Ok(place) = self.search_vm_cooldown(vm_name(key)) {
+            let cooldown = &mut self.vm_cooldowns[place];
+            cooldown.until_ms = until_ms.min(cooldown.until_ms);
         }
     }
 
@@ -56,18 +56,18 @@
     /// Rests keep the orders of two owners apart, of which the earlier one may still live. One that
     /// is known to be over orders nothing more, and what it had learnt the outcome of is settled: with
     /// every VM at rest after the loss of all nodes, the pool whose turn it is would get none.
-    pub fn end_vm_rests(&mut self, epoch: u64, calls_over_ms: u64) {
-        self.resting_vms
-            .retain(|resting| resting.epoch != epoch || !resting.is_settled);
-        for resting in &mut self.resting_vms {
-            if resting.epoch == epoch {
-                resting.until_ms = calls_over_ms.min(resting.until_ms);
+    pub fn end_vm_cooldowns(&mut self, epoch: u64, calls_over_ms: u64) {
+        self.vm_cooldowns
+            .retain(|cooldown| cooldown.epoch != epoch || !cooldown.is_settled);
+        for cooldown in &mut self.vm_cooldowns {
+            if cooldown.epoch == epoch {
+                cooldown.until_ms = calls_over_ms.min(cooldown.until_ms);
             }
         }
     }
 
-    fn resting_place(&self, name: &str) -> Result<usize, usize> {
-        self.resting_vms
+    fn search_vm_cooldown(&self, name: &str) -> Result<usize, usize> {
+        self.vm_cooldowns
             .binary_search_by(|known| known.name.as_str().cmp(name))
     }
 
@@ -75,8 +75,8 @@
     ///
     /// Orders of two owners for one VM must not follow each other closely. Every order is stored
     /// before it goes out, so a VM without a recent one is free at once.
-    pub(crate) fn inherited_rest_ms(&self, name: &str) -> u64 {
-        let place = self.resting_place(name);
-        place.map_or(0, |place| self.resting_vms[place].until_ms)
+    pub(crate) fn inherited_cooldown_ms(&self, name: &str) -> u64 {
+        let place = self.search_vm_cooldown(name);
+        place.map_or(0, |place| self.vm_cooldowns[place].until_ms)
     }
 }
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -17,7 +17,7 @@
 const MAINTENANCE_SLACK_MS: u64 = 300;
 
 /// Pause of a VM that refused an order, in milliseconds.
-const VM_REST_MS: u64 = 2_000;
+const VM_COOLDOWN_MS: u64 = 2_000;
 
 /// What was ordered for a VM.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,7 +44,7 @@
     /// Whether a call for that order got no answer, so that it may be carried out yet.
     may_be_done: bool,
     /// Until when nothing is ordered for it, on the steady clock.
-    pub rests_until_ms: u64,
+    pub cooldown_until_ms: u64,
     /// Whether an order for it is still to be stored.
     pub is_dirty: bool,
     /// Until when its maintenance lasts at least, on the steady clock.
@@ -79,7 +79,7 @@
                 Err(place) => self.vms.insert(
                     place,
                     Vm {
-                        rests_until_ms: self.inherited_rest_ms(&entry.name),
+                        cooldown_until_ms: self.inherited_cooldown_ms(&entry.name),
                         entry,
                         order: None,
                         ordered_endpoint: None,
@@ -157,7 +157,7 @@
             VmOutcome::Busy | VmOutcome::Refused => {
                 let vm = &mut self.vms[place];
                 vm.order = None;
-                vm.rests_until_ms = now.steady_ms + VM_REST_MS;
+                vm.cooldown_until_ms = now.steady_ms + VM_COOLDOWN_MS;
                 if let VmOrder::Maintain(wave) = order {
                     self.maintenance_refused(wave, name);
                 }
@@ -257,7 +257,7 @@
         self.order.is_none()
             && !self.is_asked
             && self.entry.state == VmState::Up
-            && now.steady_ms >= self.rests_until_ms
+            && now.steady_ms >= self.cooldown_until_ms
     }
 
     /// Tells whether the VM is down for maintenance, or may be.
--- a/crates/engine/tests/vm_rests.rs
+++ b/crates/engine/tests/vm_rests.rs
@@ -75,16 +75,16 @@
     /// All nodes are lost in the turn of a pool and come back at once. Its jobs wait: every VM
     /// rests for 3 s for fear of an owner whose process is known to be over.
     vm_of_an_ended_owner_is_free_at_once:
-        true, |fleet| fleet.engine.end_vm_rests(EPOCH, fleet.now.steady_ms + 1_200), 200 => true;
+        true, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 200 => true;
 
     /// The order of the ended owner may be on its way still; carried out after the successor's, it
     /// would take the VM away from where that sent it.
     vm_with_an_order_under_way_rests_until_that_is_over:
-        false, |fleet| fleet.engine.end_vm_rests(EPOCH, fleet.now.steady_ms + 1_200), 1_000 => false;
+        false, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 1_000 => false;
 
     vm_with_an_order_under_way_rests_no_longer:
-        false, |fleet| fleet.engine.end_vm_rests(EPOCH, fleet.now.steady_ms + 1_200), 1_500 => true;
+        false, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 1_500 => true;
 
     /// Two owners were lost within three seconds, and only the later one is known to be over.
-    vm_of_another_epoch_rests: true, |fleet| fleet.engine.end_vm_rests(EPOCH + 1, 0), 2_500 => false;
+    vm_of_another_epoch_rests: true, |fleet| fleet.engine.end_vm_cooldowns(EPOCH + 1, 0), 2_500 => false;
 }
