--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -356,7 +356,7 @@
                 return self.engine.handle(event, now);
             }
             Ask::State { job, account } => self.state(&job, &account, now),
-            Ask::Pending { queue } => OwnerAnswer::Pending(self.engine.pending(&queue)),
+            Ask::Pending { queue } => OwnerAnswer::Pending(self.engine.queued_job_count(&queue)),
         };
         answer_now(reply, answer);
     }
@@ -366,7 +366,7 @@
         let Ok(job) = job.parse::<JobId>() else {
             return OwnerAnswer::Unknown;
         };
-        if !self.engine.is_open_to(job, account) {
+        if !self.engine.can_access(job, account) {
             return OwnerAnswer::OtherAccount;
         }
         if let Some(state) = self.engine.job_state(job) {
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -32,7 +32,7 @@
 impl Queue {
     /// Tells whether a queue is the one of this host and prefix.
     #[must_use]
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn has_same_route(&self, other: &Self) -> bool {
         self.host == other.host && self.path_prefix == other.path_prefix
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -266,7 +266,7 @@
 
     fn submit(&mut self, mut job: Job, token: ReplyToken, now: Now) {
         let id = job.id;
-        if !self.is_open_to(id, &job.account) {
+        if !self.can_access(id, &job.account) {
             return self.reply_immediately(token, CallerAnswer::OtherAccount);
         }
         match self.search(id) {
@@ -322,7 +322,7 @@
     /// Tells whether a caller of an account may ask for a job, hand it in again or cancel it; a job
     /// that is not known is open to everybody.
     #[must_use]
-    pub fn is_open_to(&self, id: JobId, account: &str) -> bool {
+    pub fn can_access(&self, id: JobId, account: &str) -> bool {
         let holder = match self.search(id) {
             Ok(place) => Some(&self.jobs[place].account),
             Err(_) => self.find_ended(id).map(|job| &job.account),
@@ -331,7 +331,7 @@
     }
 
     fn cancel(&mut self, id: JobId, account: &str, token: ReplyToken, now: Now) {
-        if !self.is_open_to(id, account) {
+        if !self.can_access(id, account) {
             self.reply_immediately(token, CallerAnswer::OtherAccount);
         } else if let Ok(place) = self.search(id) {
             if !self.jobs[place].state.is_final() {
@@ -371,8 +371,8 @@
 
     /// Returns what an account has running, as far as that is known; unknown outcomes count.
     #[must_use]
-    pub fn running_of(&self, account: &str) -> Resources {
-        self.quotas.running_of(account)
+    pub fn running_resources(&self, account: &str) -> Resources {
+        self.quotas.running_resources(account)
     }
 
     /// Returns the version of the configuration in force here.
@@ -387,7 +387,10 @@
         }
         for place in 0..self.jobs.len() {
             let known = &self.jobs[place].queue;
-            let queue = config.queues.iter().find(|queue| queue.is_same(known));
+            let queue = config
+                .queues
+                .iter()
+                .find(|queue| queue.has_same_route(known));
             if let Some(queue) = queue
                 && *queue != *known
             {
@@ -430,10 +433,10 @@
 
     /// Counts the jobs of a queue of which no task has started.
     #[must_use]
-    pub fn pending(&self, queue: &Queue) -> usize {
+    pub fn queued_job_count(&self, queue: &Queue) -> usize {
         self.jobs
             .iter()
-            .filter(|job| job.state == JobState::Queued && job.queue.is_same(queue))
+            .filter(|job| job.state == JobState::Queued && job.queue.has_same_route(queue))
             .count()
     }
 
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -276,7 +276,7 @@
 
     /// Returns what the account with a name has running.
     #[must_use]
-    pub fn running_of(&self, name: &str) -> Resources {
+    pub fn running_resources(&self, name: &str) -> Resources {
         let place = self.search(name);
         place.map_or_else(
             |_| Resources::default(),
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -76,7 +76,7 @@
         fleet.list_endpoint("i-3", 16_000);
         fleet.advance(2_000);
         assert_eq!(all(&fleet), 3);
-        assert_eq!(fleet.engine.running_of("maps").cpu_millis, 3_000);
+        assert_eq!(fleet.engine.running_resources("maps").cpu_millis, 3_000);
     };
 
     /// Guards against a new owner that starts tasks before it knows any quota.
@@ -140,11 +140,11 @@
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, step(8));
         let batch = fleet.engine.take_batch(fleet.now);
-        assert_eq!(fleet.engine.running_of("maps").cpu_millis, 3_000);
+        assert_eq!(fleet.engine.running_resources("maps").cpu_millis, 3_000);
         fleet.put_in_flight(batch);
         fleet.submit_as("maps", 2, StepSpec { gang: true, ..step(2) });
         drop(fleet.engine.take_batch(fleet.now));
-        assert_eq!(fleet.engine.running_of("maps").cpu_millis, 3_000);
+        assert_eq!(fleet.engine.running_resources("maps").cpu_millis, 3_000);
     };
 
     /// Guards against a job that waits for good, as no quota lets it run.
@@ -234,9 +234,9 @@
             if take_over {
                 fleet.take_over();
             }
-            assert!(fleet.engine.is_open_to(job_id(1), "maps"));
-            assert!(!fleet.engine.is_open_to(job_id(1), "post"));
-            assert!(!fleet.engine.is_open_to(job_id(1), ""));
+            assert!(fleet.engine.can_access(job_id(1), "maps"));
+            assert!(!fleet.engine.can_access(job_id(1), "post"));
+            assert!(!fleet.engine.can_access(job_id(1), ""));
             fleet.replies.clear();
             fleet.handle(cancel("post", 7));
             fleet.submit_as("post", 1, step(1));
@@ -251,7 +251,7 @@
         fleet.end_all(EndKind::Stopped);
         fleet.advance(2_000);
         fleet.take_over();
-        assert!(!fleet.engine.is_open_to(job_id(1), "post"));
+        assert!(!fleet.engine.can_access(job_id(1), "post"));
         assert_eq!(fleet.job_state(1), Some(JobState::Cancelled));
     };
 
