--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -140,7 +140,7 @@
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
                     ""
                 );
-                self.tell(Event::VmAnswer { vm, outcome }).await;
+                self.tell(Event::VmOrderAnswered { vm, outcome }).await;
             }
             Effect::Maintain { vm, wave } => {
                 let Some(calls) = &self.vms else {
@@ -151,7 +151,7 @@
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
                     ""
                 );
-                self.tell(Event::VmAnswer { vm, outcome }).await;
+                self.tell(Event::VmOrderAnswered { vm, outcome }).await;
             }
             Effect::PublishWave { wave, is_completed } => self.publish(wave, is_completed).await,
             // The actor answers callers and resigns by itself.
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -144,7 +144,7 @@
             listed.retain(|id| {
                 let is_kept = records.iter().any(|record| record.key == *id);
                 if !is_kept {
-                    owner.offer(OwnerMessage::event(Event::Unlisted(id.as_str().into())));
+                    owner.offer(OwnerMessage::event(Event::Deregistered(id.as_str().into())));
                 }
                 is_kept
             });
@@ -156,7 +156,7 @@
                 if let Err(place) = place {
                     listed.insert(place, record.key);
                 }
-                let event = Event::Listed {
+                let event = Event::Registered {
                     entry: Box::new(entry),
                     is_fresh: !is_whole,
                 };
@@ -165,7 +165,7 @@
                 // Removed, or overwritten by something that cannot be read.
                 let id = listed.remove(place);
                 owner
-                    .send(OwnerMessage::event(Event::Unlisted(id.as_str().into())))
+                    .send(OwnerMessage::event(Event::Deregistered(id.as_str().into())))
                     .await;
             }
         }
@@ -183,7 +183,7 @@
                     info!(event = "vm_list_regained"; "");
                 }
                 is_lost = false;
-                owner.send(OwnerMessage::event(Event::Vms(vms))).await;
+                owner.send(OwnerMessage::event(Event::VmsListed(vms))).await;
             }
             Err(error) => {
                 if !is_lost {
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -332,7 +332,9 @@
         let config = Arc::new(config);
         self.config.store(Arc::clone(&config));
         if let Some(owner) = self.owner.load_full() {
-            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::Config(config)));
+            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::ConfigChanged(
+                config,
+            )));
         }
     }
 
@@ -350,7 +352,9 @@
         }
         drop(waves);
         if let Some(owner) = self.owner.load_full() {
-            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::Wave(order)));
+            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::WaveOrdered(
+                order,
+            )));
         }
     }
 }
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -255,7 +255,8 @@
     fn take_config(&mut self, now: Now) {
         let config = self.node.config.load();
         if config.version > self.engine.config_version() {
-            self.engine.handle(Event::Config(Arc::clone(&config)), now);
+            self.engine
+                .handle(Event::ConfigChanged(Arc::clone(&config)), now);
         }
     }
 
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -108,10 +108,10 @@
         error!(event = "record_unread", key = key; "");
     }
     bound_vm_rests(node, &mut engine, &records, &offsets);
-    engine.handle(Event::Config(node.config.load_full()), now);
+    engine.handle(Event::ConfigChanged(node.config.load_full()), now);
     let waves = node.waves.lock().unwrap_or_else(PoisonError::into_inner);
     for order in waves.iter() {
-        engine.handle(Event::Wave(order.clone()), now);
+        engine.handle(Event::WaveOrdered(order.clone()), now);
     }
     drop(waves);
     let jobs = engine.jobs().count();
--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -136,7 +136,7 @@
         accounts: ClientAccounts::new((0..accounts).map(account).collect()),
         ..FleetConfig::default()
     };
-    engine.handle(Event::Config(config.into()), now(0));
+    engine.handle(Event::ConfigChanged(config.into()), now(0));
     let capacity = Resources {
         cpu_millis: CPU_MILLIS,
         memory_mb: 32_000,
@@ -164,7 +164,7 @@
             capacity,
             endpoint: entry.id.clone(),
         });
-        let listed = Event::Listed {
+        let listed = Event::Registered {
             entry: Box::new(entry),
             is_fresh: true,
         };
@@ -172,7 +172,7 @@
         renewed(&mut engine, u32::from(number), EndpointReport::default());
     }
     engine.allow_vm_orders(true);
-    engine.handle(Event::Vms(vms), now(0));
+    engine.handle(Event::VmsListed(vms), now(0));
     let filling = u64::from(endpoints) * 4 / u64::from(TASKS);
     for number in 0..filling {
         submit(&mut engine, number, accounts);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -194,11 +194,11 @@
                 account,
                 token,
             } => self.cancel(job, &account, token, now),
-            Event::Config(config) => self.set_config(config),
-            Event::Listed { entry, is_fresh } => self.endpoint_listed(&entry, is_fresh, now),
-            Event::Unlisted(id) => self.endpoint_unlisted(&id, now),
-            Event::Vms(vms) => self.vms_listed(vms, now),
-            Event::Wave(order) => self.wave_ordered(order, now),
+            Event::ConfigChanged(config) => self.set_config(config),
+            Event::Registered { entry, is_fresh } => self.endpoint_listed(&entry, is_fresh, now),
+            Event::Deregistered(id) => self.endpoint_unlisted(&id, now),
+            Event::VmsListed(vms) => self.vms_listed(vms, now),
+            Event::WaveOrdered(order) => self.wave_ordered(order, now),
             Event::Started {
                 endpoint,
                 task,
@@ -220,7 +220,7 @@
                 percent,
                 is_done,
             } => self.pace_answered(endpoint, &task, run, percent, is_done),
-            Event::VmAnswer { vm, outcome } => self.vm_answered(&vm, outcome, now),
+            Event::VmOrderAnswered { vm, outcome } => self.vm_answered(&vm, outcome, now),
             Event::Tick => self.tick(now),
         }
     }
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -103,20 +103,20 @@
         token: ReplyToken,
     },
     /// A configuration came into force.
-    Config(Arc<FleetConfig>),
+    ConfigChanged(Arc<FleetConfig>),
     /// An endpoint's entry was written, or was found.
-    Listed {
+    Registered {
         /// Entry.
         entry: Box<EndpointEntry>,
         /// Whether it was written after others that are known, not found among them.
         is_fresh: bool,
     },
     /// An endpoint's entry was removed.
-    Unlisted(CompactString),
+    Deregistered(CompactString),
     /// The platform's list of VMs, whole.
-    Vms(Vec<VmEntry>),
+    VmsListed(Vec<VmEntry>),
     /// An operator orders maintenance.
-    Wave(WaveOrder),
+    WaveOrdered(WaveOrder),
     /// Answer to a start.
     Started {
         /// Endpoint.
@@ -167,7 +167,7 @@
         is_done: bool,
     },
     /// Answer to a move or to maintenance.
-    VmAnswer {
+    VmOrderAnswered {
         /// VM.
         vm: CompactString,
         /// Outcome.
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -88,7 +88,7 @@
 
 /// Returns the event of an entry.
 pub fn listed(entry: EndpointEntry, is_fresh: bool) -> Event {
-    Event::Listed {
+    Event::Registered {
         entry: Box::new(entry),
         is_fresh,
     }
@@ -122,7 +122,7 @@
 
 /// Returns the event of a list with one VM.
 pub fn vms_with(name: &str, endpoint: &str) -> Event {
-    Event::Vms(vec![VmEntry {
+    Event::VmsListed(vec![VmEntry {
         name: name.into(),
         pool: POOL.into(),
         state: VmState::Up,
@@ -182,7 +182,7 @@
             accounts: ClientAccounts::new(self.accounts.clone()),
             ..FleetConfig::default()
         };
-        self.handle(Event::Config(config.into()));
+        self.handle(Event::ConfigChanged(config.into()));
     }
 
     /// Puts a new configuration with these accounts in force.
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -150,7 +150,7 @@
         };
         world
             .engine
-            .handle(Event::Config(config.into()), world.now());
+            .handle(Event::ConfigChanged(config.into()), world.now());
         for number in 0..ENDPOINTS {
             world.list(number);
         }
--- a/crates/engine/tests/demand.rs
+++ b/crates/engine/tests/demand.rs
@@ -42,7 +42,7 @@
     fleet.list_endpoint("i-1", CPU_MILLIS);
     fleet.advance(200);
     fleet.engine.allow_vm_orders(true);
-    fleet.handle(Event::Vms(spares));
+    fleet.handle(Event::VmsListed(spares));
     fleet.submit_spec(
         1,
         JobSpec {
@@ -62,7 +62,7 @@
     fleet.advance(200);
     fleet.engine.allow_vm_orders(true);
     let spares = (1..20).map(|number| spare(&format!("vm-{number:02}"), "a", "r1", 0));
-    fleet.handle(Event::Vms(spares.collect()));
+    fleet.handle(Event::VmsListed(spares.collect()));
     let begun_ms = fleet.now.steady_ms;
     for number in 1..=jobs {
         fleet.submit(number, 4);
@@ -152,7 +152,7 @@
         fleet.list_endpoint("i-2", 16_000);
         fleet.engine.allow_vm_orders(true);
         let spares = vec![spare("vm-1", "a", "r1", 0), spare("vm-2", "a", "r1", 0)];
-        fleet.handle(Event::Vms(spares));
+        fleet.handle(Event::VmsListed(spares));
         fleet.advance(300);
         for number in 1..=8 {
             fleet.submit_as("hot", number, step(8));
--- a/crates/engine/tests/shortage.rs
+++ b/crates/engine/tests/shortage.rs
@@ -28,7 +28,7 @@
         pools: vec![pool(OTHER, false), pool(POOL, false), pool("spare", true)],
         ..FleetConfig::default()
     };
-    fleet.handle(Event::Config(config.into()));
+    fleet.handle(Event::ConfigChanged(config.into()));
     fleet.engine.allow_vm_orders(true);
     fleet
 }
@@ -58,7 +58,7 @@
     submit(&mut fleet, 1, queue(), 60);
     fleet.advance(4_000);
     submit(&mut fleet, 2, other_queue(), 8);
-    fleet.handle(Event::Vms(vec![spare("vm-1")]));
+    fleet.handle(Event::VmsListed(vec![spare("vm-1")]));
     fleet.advance(100);
     assert_eq!(ordered(&fleet), [OTHER]);
 }
@@ -69,7 +69,7 @@
     submit(&mut fleet, 1, queue(), 60);
     fleet.advance(4_000);
     submit(&mut fleet, 2, other_queue(), 8);
-    fleet.handle(Event::Vms(vec![spare("vm-1"), spare("vm-2")]));
+    fleet.handle(Event::VmsListed(vec![spare("vm-1"), spare("vm-2")]));
     fleet.advance(100);
     assert_eq!(ordered(&fleet), [OTHER, POOL]);
 }
@@ -86,7 +86,7 @@
     submit_step(&mut fleet, 1, queue(), lasting);
     fleet.advance(4_000);
     submit(&mut fleet, 2, other_queue(), 8);
-    fleet.handle(Event::Vms(vec![spare("vm-1")]));
+    fleet.handle(Event::VmsListed(vec![spare("vm-1")]));
     fleet.advance(100);
     assert_eq!(ordered(&fleet), [POOL]);
 }
--- a/crates/engine/tests/vm_orders.rs
+++ b/crates/engine/tests/vm_orders.rs
@@ -22,7 +22,7 @@
         endpoint: format!("i-{number}").into(),
         ..spare(&format!("vm-{number}"))
     });
-    fleet.handle(Event::Vms(vms.collect()));
+    fleet.handle(Event::VmsListed(vms.collect()));
     fleet.advance(1_500);
     fleet
 }
@@ -39,7 +39,7 @@
 }
 
 fn answer(fleet: &mut Fleet, vm: &str, outcome: VmOutcome) {
-    fleet.handle(Event::VmAnswer {
+    fleet.handle(Event::VmOrderAnswered {
         vm: vm.into(),
         outcome,
     });
@@ -109,10 +109,10 @@
         pools: vec![pool(POOL, false), pool("spare", true)],
         ..FleetConfig::default()
     };
-    fleet.handle(Event::Config(config.into()));
+    fleet.handle(Event::ConfigChanged(config.into()));
     fleet.engine.allow_vm_orders(true);
     let vms = (0..300).map(|number| spare(&format!("vm-{number:03}")));
-    fleet.handle(Event::Vms(vms.collect()));
+    fleet.handle(Event::VmsListed(vms.collect()));
     let spec = JobSpec {
         steps: vec![StepSpec {
             estimated_ms: 5_000,
--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -31,7 +31,7 @@
 }
 
 fn wave_in(vms: &[&str], max_count: usize, duration_s: f64) -> Event {
-    Event::Wave(WaveOrder {
+    Event::WaveOrdered(WaveOrder {
         wave: 1,
         vms: vms.iter().map(|name| (*name).into()).collect(),
         duration_s,
@@ -76,7 +76,7 @@
         fleet.list_endpoint(&endpoint, 16_000);
         vms.push(vm(&format!("vm-{number}"), &endpoint));
     }
-    fleet.handle(Event::Vms(vms.clone()));
+    fleet.handle(Event::VmsListed(vms.clone()));
     fleet.settle();
     fleet.engine.allow_vm_orders(true);
     (fleet, vms)
@@ -91,11 +91,11 @@
     fleet.advance(100);
     assert_eq!(maintained(&fleet).len(), 1);
     let first = maintained(&fleet).remove(0);
-    fleet.handle(Event::VmAnswer {
+    fleet.handle(Event::VmOrderAnswered {
         vm: first.as_str().into(),
         outcome: VmOutcome::Done,
     });
-    fleet.handle(Event::Vms(vms));
+    fleet.handle(Event::VmsListed(vms));
     fleet.advance(1_000);
     assert_eq!(maintained(&fleet), [first]);
 }
@@ -132,7 +132,7 @@
     assert_eq!(maintained(&fleet).len(), 0, "there is time");
     fleet.take_over();
     fleet.handle(wave_in(&["vm-1", "vm-2", "vm-3"], 1, 60.0));
-    fleet.handle(Event::Vms(vms));
+    fleet.handle(Event::VmsListed(vms));
     fleet.settle();
     fleet.engine.allow_vm_orders(true);
     fleet.advance(5_000);
@@ -154,7 +154,7 @@
     fleet.take_over();
     fleet.orders.clear();
     fleet.handle(wave(&["vm-1", "vm-2"], 2));
-    fleet.handle(Event::Vms(vms));
+    fleet.handle(Event::VmsListed(vms));
     fleet.settle();
     fleet.engine.allow_vm_orders(true);
     fleet.advance(500);
@@ -201,7 +201,7 @@
     fleet.submit(1, 40);
     fleet.settle();
     assert_ne!(fleet.endpoints[3].started.len(), 0);
-    fleet.handle(Event::VmAnswer {
+    fleet.handle(Event::VmOrderAnswered {
         vm: "vm-1".into(),
         outcome: VmOutcome::Done,
     });
