--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -131,7 +131,7 @@
     async fn call_platform(&self, effect: Effect) {
         match effect {
             Effect::Advise { step, endpoints } => self.advise(step, &endpoints).await,
-            Effect::Move { vm, pool } => {
+            Effect::MoveVm { vm, pool } => {
                 let Some(calls) = &self.vms else {
                     return;
                 };
@@ -142,7 +142,7 @@
                 );
                 self.tell(Event::VmOrderAnswered { vm, outcome }).await;
             }
-            Effect::Maintain { vm, wave } => {
+            Effect::MaintainVm { vm, wave } => {
                 let Some(calls) = &self.vms else {
                     return;
                 };
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -406,7 +406,7 @@
         for effect in effects {
             match effect {
                 Effect::Reply { token, answer } => self.reply(token, answer),
-                Effect::Resign => {
+                Effect::StepDown => {
                     warn!(event = "fenced", epoch = self.epoch; "");
                     drop(context.actor_ref().tell(OwnerMessage::Deposed).try_send());
                 }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -150,7 +150,7 @@
                 }
             }
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
         }
     }
 
@@ -256,7 +256,7 @@
             }
             CallOutcome::Unsent | CallOutcome::Unknown => self.call_failed(key, now),
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
         }
     }
 
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -239,14 +239,14 @@
         percent: u8,
     },
     /// Move a VM to another pool.
-    Move {
+    MoveVm {
         /// VM.
         vm: CompactString,
         /// Pool.
         pool: CompactString,
     },
     /// Begin the maintenance of a VM.
-    Maintain {
+    MaintainVm {
         /// VM.
         vm: CompactString,
         /// Wave.
@@ -267,7 +267,7 @@
         answer: CallerAnswer,
     },
     /// Give up ownership: a newer owner gives orders.
-    Resign,
+    StepDown,
 }
 
 /// Order to start a run.
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -218,7 +218,7 @@
             CallOutcome::Done(_) if self.endpoints.get(key).is_over => return,
             CallOutcome::Done(report) => self.take_report(key, &report, now),
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
             CallOutcome::Unsent => {
                 let endpoint = self.endpoints.get(key);
                 // Nothing listens where an endpoint said that it would leave, and its entry is
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -183,11 +183,11 @@
         self.vm_order_rate.note_order();
         vm.ordered_ms = now.steady_ms;
         let effect = match &order {
-            VmOrder::Move(pool) => Effect::Move {
+            VmOrder::Move(pool) => Effect::MoveVm {
                 vm: name.clone(),
                 pool: pool.clone(),
             },
-            VmOrder::Maintain(wave) => Effect::Maintain {
+            VmOrder::Maintain(wave) => Effect::MaintainVm {
                 vm: name.clone(),
                 wave: *wave,
             },
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -482,7 +482,7 @@
     /// Returns the VMs that were ordered to move and their pools, in that order.
     pub fn moves(&self) -> Vec<(&str, &str)> {
         let moves = self.orders.iter().filter_map(|order| match order {
-            Effect::Move { vm, pool } => Some((vm.as_str(), pool.as_str())),
+            Effect::MoveVm { vm, pool } => Some((vm.as_str(), pool.as_str())),
             _ => None,
         });
         moves.collect()
--- a/crates/engine/tests/vm_orders.rs
+++ b/crates/engine/tests/vm_orders.rs
@@ -125,7 +125,7 @@
     fleet
         .orders
         .iter()
-        .filter(|order| matches!(order, Effect::Move { .. }))
+        .filter(|order| matches!(order, Effect::MoveVm { .. }))
         .count()
 }
 
--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -41,7 +41,7 @@
 
 fn maintained(fleet: &Fleet) -> Vec<String> {
     let names = fleet.orders.iter().filter_map(|order| match order {
-        Effect::Maintain { vm, .. } => Some(vm.to_string()),
+        Effect::MaintainVm { vm, .. } => Some(vm.to_string()),
         _ => None,
     });
     let mut names: Vec<String> = names.collect();
