--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -52,7 +52,7 @@
             let is_plain = !step.long_running && !Trait::of_step(step).any(|one| one.is_required());
             if is_plain && spec.repeat_count == 0 {
                 let task_ms = step.estimated_ms * u64::from(step.count);
-                work.add(&step.charged().scaled(task_ms));
+                work.add(&step.reserved_resources().scaled(task_ms));
             }
         }
         self.lately.push_back(Arrival {
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -134,7 +134,7 @@
     fn add_step(&mut self, spec: &StepSpec, waiting: Waiting, vm: &Resources) {
         self.room.need_members(spec);
         let work_ms = spec.estimated_ms.max(WORK_OFF_MS / 2);
-        let charged = spec.charged();
+        let charged = spec.reserved_resources();
         // What only some VMs can run is no reason for others: a pool that misses a kind of VM took
         // all the others in for nothing, and kept them.
         if !Trait::of_step(spec).any(|one| one.is_required()) {
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -56,8 +56,8 @@
         Self {
             task,
             run,
-            room: spec.charged(),
-            serves: spec.serves(),
+            room: spec.reserved_resources(),
+            serves: spec.is_serving(),
             fills: spec.fills,
             lasts: spec.long_running,
             target_ms: spec.target_ms,
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -209,7 +209,7 @@
 impl StepSpec {
     /// Returns the room that a task takes of its endpoint.
     #[must_use]
-    pub fn charged(&self) -> Resources {
+    pub fn reserved_resources(&self) -> Resources {
         if self.fills {
             return Resources {
                 cpu_millis: 0,
@@ -221,7 +221,7 @@
 
     /// Tells whether the tasks serve users of their own.
     #[must_use]
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.target_ms > 0
     }
 }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -318,7 +318,7 @@
     spec: &StepSpec,
     avoid: Option<EndpointKey>,
 ) -> Option<EndpointKey> {
-    let needed = spec.charged();
+    let needed = spec.reserved_resources();
     let mut best: Option<(Mismatch, EndpointKey)> = None;
     for &(_, key) in slots {
         let endpoint = endpoints.get(key);
@@ -347,7 +347,7 @@
             .iter()
             .filter(|placed| placed.serves)
             .count()
-    } else if spec.serves() {
+    } else if spec.is_serving() {
         endpoint.placed.iter().filter(|placed| placed.fills).count()
     } else {
         0
@@ -361,7 +361,7 @@
     name: &TaskRef,
     spec: &StepSpec,
 ) -> Vec<Slot> {
-    let needed = spec.charged();
+    let needed = spec.reserved_resources();
     members
         .iter()
         .map(|&key| (key, endpoints.get(key)))
@@ -442,7 +442,7 @@
     spec: &StepSpec,
     avoid: Option<EndpointKey>,
 ) -> Option<&'a mut Slot> {
-    let needed = spec.charged();
+    let needed = spec.reserved_resources();
     slots
         .iter_mut()
         .filter(|slot| slot.free.can_fit(&needed))
@@ -454,6 +454,6 @@
 }
 
 fn take(slot: &mut Slot, spec: &StepSpec) {
-    slot.free = slot.free.saturating_sub(&spec.charged());
+    slot.free = slot.free.saturating_sub(&spec.reserved_resources());
     slot.siblings += 1;
 }
--- a/crates/engine/src/waiting.rs
+++ b/crates/engine/src/waiting.rs
@@ -44,7 +44,7 @@
             },
             pool,
             waiting: waiting_tasks(&run.steps[step]),
-            room: spec.charged(),
+            room: spec.reserved_resources(),
             quota_room: spec.room,
             account: job.account_number,
             priority: job.queue.priority,
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -65,7 +65,7 @@
             let Some(slot) = best(&mut slots, &task, &spec, avoid) else {
                 break;
             };
-            slot.free = slot.free.saturating_sub(&spec.charged());
+            slot.free = slot.free.saturating_sub(&spec.reserved_resources());
             slot.placed.push(task);
             starts.push((task, slot.endpoint.key));
         }
@@ -139,7 +139,7 @@
 ) -> Option<&'a mut Slot<'b>> {
     slots
         .iter_mut()
-        .filter(|slot| slot.free.can_fit(&spec.charged()))
+        .filter(|slot| slot.free.can_fit(&spec.reserved_resources()))
         .filter(|slot| {
             spec.required_label.is_empty() || slot.endpoint.has_label(&spec.required_label)
         })
