--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -194,7 +194,7 @@
 
 /// Returns the runs on an endpoint.
 fn running(engine: &Engine, endpoint: u32) -> Vec<(TaskRef, u32)> {
-    let placed = &engine.endpoints().get(endpoint).placed;
+    let placed = &engine.endpoints().get(endpoint).placed_runs;
     placed
         .iter()
         .map(|placed| (placed.task, placed.run))
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -289,8 +289,8 @@
         let Some(spec) = job.step_spec(name) else {
             return;
         };
-        let (lasts, is_gang) = (spec.long_running, spec.gang);
-        if lasts {
+        let (is_long_running, is_gang) = (spec.long_running, spec.gang);
+        if is_long_running {
             self.remove_attempt(name, run, RunEnd::Reported(EndKind::Done), now);
             return;
         }
@@ -349,14 +349,14 @@
         endpoint.cooldown_until_ms = endpoint.cooldown_until_ms.max(now.steady_ms + cooldown_ms);
         let max_attempts = self.jobs[place].queue.max_attempts;
         let job = &mut self.jobs[place];
-        let lasts = job
+        let is_long_running = job
             .step_spec(&ended.task)
             .is_some_and(|spec| spec.long_running);
         let mut is_hopeless = false;
         if let Some(task) = job.task_mut(&ended.task) {
             task.failed += 1;
             task.avoid = Some(key);
-            is_hopeless = !lasts && task.failed >= max_attempts;
+            is_hopeless = !is_long_running && task.failed >= max_attempts;
         }
         self.remove_attempt(
             &ended.task,
--- a/crates/engine/src/endpoint_table.rs
+++ b/crates/engine/src/endpoint_table.rs
@@ -131,7 +131,7 @@
     /// the endpoints by far, in memory and in every look at all of them.
     pub fn forget_over(&mut self, before_ms: u64) {
         let is_kept = |life: &Endpoint| {
-            !life.is_over || !life.placed.is_empty() || life.over_since_ms >= before_ms
+            !life.is_over || !life.placed_runs.is_empty() || life.over_since_ms >= before_ms
         };
         let known = self.lives.len();
         self.lives.retain(is_kept);
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -30,7 +30,7 @@
 
 /// A run that takes room of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Placed {
+pub struct PlacedRun {
     /// Task.
     pub task: TaskRef,
     /// Run.
@@ -38,18 +38,18 @@
     /// Room taken.
     pub room: Resources,
     /// Whether it serves users of its own.
-    pub serves: bool,
+    pub is_serving: bool,
     /// Whether it uses only what others leave.
-    pub fills: bool,
+    pub is_filler: bool,
     /// Whether it runs until it is stopped.
-    pub lasts: bool,
+    pub is_long_running: bool,
     /// Bound of a serving task's tail in milliseconds; 0 for none.
     pub target_ms: u64,
     /// Tail of a serving task in milliseconds, as it was last told.
-    pub tail_ms: u64,
+    pub tail_latency_ms: u64,
 }
 
-impl Placed {
+impl PlacedRun {
     /// Creates what a run of a step takes.
     #[must_use]
     pub fn new(task: TaskRef, run: u32, spec: &StepSpec) -> Self {
@@ -57,11 +57,11 @@
             task,
             run,
             room: spec.reserved_resources(),
-            serves: spec.is_serving(),
-            fills: spec.fills,
-            lasts: spec.long_running,
+            is_serving: spec.is_serving(),
+            is_filler: spec.fills,
+            is_long_running: spec.long_running,
             target_ms: spec.target_ms,
-            tail_ms: 0,
+            tail_latency_ms: 0,
         }
     }
 }
@@ -118,7 +118,7 @@
     /// Long-running tasks that may be under way.
     pub lasting_runs: usize,
     /// Those runs.
-    pub placed: Vec<Placed>,
+    pub placed_runs: Vec<PlacedRun>,
     /// Renewals sent.
     pub renewals: u64,
     /// Whether a renewal is under way.
@@ -167,7 +167,7 @@
             used: Resources::default(),
             used_lasting: Resources::default(),
             lasting_runs: 0,
-            placed: Vec::new(),
+            placed_runs: Vec::new(),
             renewals: 0,
             is_renewing: false,
             renew_at_ms: 0,
@@ -223,7 +223,7 @@
     /// Tells whether its lease is to be renewed, or its report asked for, now.
     #[must_use]
     pub fn is_renewal_due(&self, now: Now) -> bool {
-        let is_needed = !self.placed.is_empty()
+        let is_needed = !self.placed_runs.is_empty()
             || !self.orphans.is_empty()
             || self.stored_seen > self.acknowledged
             || (!self.is_reconciled && self.is_listed);
@@ -308,29 +308,29 @@
     }
 
     /// Takes room for a run.
-    pub fn place(&mut self, placed: Placed) {
+    pub fn place(&mut self, placed: PlacedRun) {
         self.used.add(&placed.room);
-        if placed.lasts {
+        if placed.is_long_running {
             self.used_lasting.add(&placed.room);
             self.lasting_runs += 1;
         }
-        self.placed.push(placed);
+        self.placed_runs.push(placed);
     }
 
     /// Gives a run's room back.
     pub fn release(&mut self, task: &TaskRef, run: u32, now_ms: u64) {
         let place = self
-            .placed
+            .placed_runs
             .iter()
             .position(|placed| placed.task == *task && placed.run == run);
         if let Some(place) = place {
-            let placed = self.placed.swap_remove(place);
+            let placed = self.placed_runs.swap_remove(place);
             self.used = self.used.saturating_sub(&placed.room);
-            if placed.lasts {
+            if placed.is_long_running {
                 self.used_lasting = self.used_lasting.saturating_sub(&placed.room);
                 self.lasting_runs -= 1;
             }
-            if self.placed.is_empty() {
+            if self.placed_runs.is_empty() {
                 self.empty_since_ms = now_ms;
             }
         }
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -1,7 +1,7 @@
 //! Endpoints' lives and leases: who is listed, what each reports, when a lease is over.
 
 use crate::{
-    endpoints::{Placed, SUSPECT_AFTER},
+    endpoints::{PlacedRun, SUSPECT_AFTER},
     engine::Engine,
     event::{CallOutcome, Effect, EndpointKey, Now},
     job::TaskRef,
@@ -85,9 +85,9 @@
         let lasting: Vec<(TaskRef, u32)> = self
             .endpoints
             .get(key)
-            .placed
+            .placed_runs
             .iter()
-            .filter(|placed| placed.lasts)
+            .filter(|placed| placed.is_long_running)
             .map(|placed| (placed.task, placed.run))
             .collect();
         for (task, run) in lasting {
@@ -112,7 +112,7 @@
             self.log_events.push(LogEvent::EndpointEnded {
                 endpoint: endpoint.id.clone(),
                 vm: endpoint.vm().clone(),
-                runs: endpoint.placed.len(),
+                runs: endpoint.placed_runs.len(),
             });
         }
         if !endpoint.is_over {
@@ -127,7 +127,7 @@
         let lost: Vec<(TaskRef, u32)> = self
             .endpoints
             .get(key)
-            .placed
+            .placed_runs
             .iter()
             .map(|placed| (placed.task, placed.run))
             .collect();
@@ -150,7 +150,7 @@
             .iter()
             .filter(|(_, endpoint)| {
                 let is_silent = endpoint.silent_calls >= SUSPECT_AFTER || !endpoint.is_reachable();
-                is_silent && !endpoint.placed.is_empty() && endpoint.is_lease_over(now)
+                is_silent && !endpoint.placed_runs.is_empty() && endpoint.is_lease_over(now)
             })
             .map(|(key, _)| key)
             .collect();
@@ -188,11 +188,11 @@
         } else {
             None
         };
-        let wait_ms = if !is_trusted || endpoint.placed.is_empty() {
+        let wait_ms = if !is_trusted || endpoint.placed_runs.is_empty() {
             0
-        } else if has_mixed_load(&endpoint.placed) {
+        } else if has_mixed_load(&endpoint.placed_runs) {
             TAIL_WAIT_MS
-        } else if endpoint.placed.len() > endpoint.lasting_runs {
+        } else if endpoint.placed_runs.len() > endpoint.lasting_runs {
             BUSY_WAIT_MS
         } else {
             RENEW_WAIT_MS
@@ -269,7 +269,7 @@
         let endpoint = self.endpoints.get_mut(key);
         let pause_ms = if !report.ended.is_empty() {
             RENEW_PAUSE_MS
-        } else if endpoint.placed.is_empty() {
+        } else if endpoint.placed_runs.is_empty() {
             RENEW_EVERY_MS
         } else {
             0
@@ -289,11 +289,11 @@
         }
         let endpoint = self.endpoints.get_mut(key);
         let placed = endpoint
-            .placed
+            .placed_runs
             .iter_mut()
             .find(|placed| placed.task == running.task && placed.run == running.run);
         if let Some(placed) = placed {
-            placed.tail_ms = running.usage.unwrap_or_default();
+            placed.tail_latency_ms = running.usage.unwrap_or_default();
         }
     }
 
@@ -355,7 +355,7 @@
             .orphans
             .retain(|(task, run, _)| is_listed(task, *run));
         let unlisted: Vec<(TaskRef, u32)> = endpoint
-            .placed
+            .placed_runs
             .iter()
             .filter(|placed| !is_listed(&placed.task, placed.run))
             .map(|placed| (placed.task, placed.run))
@@ -382,7 +382,7 @@
                     continue;
                 };
                 for attempt in &task.attempts {
-                    let placed = Placed::new(name, attempt.run, spec);
+                    let placed = PlacedRun::new(name, attempt.run, spec);
                     self.endpoints.get_mut(attempt.endpoint).place(placed);
                     self.quotas.charge(job.account_number, &spec.room);
                     if attempt.is_stop_stored {
@@ -402,6 +402,6 @@
 }
 
 /// Tells whether filling tasks run beside serving ones.
-fn has_mixed_load(placed: &[Placed]) -> bool {
-    placed.iter().any(|run| run.fills) && placed.iter().any(|run| run.serves)
+fn has_mixed_load(placed_runs: &[PlacedRun]) -> bool {
+    placed_runs.iter().any(|run| run.is_filler) && placed_runs.iter().any(|run| run.is_serving)
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -66,7 +66,7 @@
     batch::Batch,
     config::{CallerLimits, FleetConfig, Pool, Queue},
     endpoint_table::Endpoints,
-    endpoints::{Endpoint, Placed},
+    endpoints::{Endpoint, PlacedRun},
     engine::{Engine, EngineSettings},
     event::{
         CallOutcome, CallerAnswer, Effect, EndpointAddress, EndpointKey, Event, Now, Refusal,
--- a/crates/engine/src/pacing.rs
+++ b/crates/engine/src/pacing.rs
@@ -22,18 +22,18 @@
     pub(crate) fn adjust_pace(&mut self, key: EndpointKey) {
         let endpoint = self.endpoints.get(key);
         let worst_percent = endpoint
-            .placed
+            .placed_runs
             .iter()
-            .filter(|placed| placed.serves && placed.target_ms > 0)
-            .map(|placed| placed.tail_ms * 100 / placed.target_ms)
+            .filter(|placed| placed.is_serving && placed.target_ms > 0)
+            .map(|placed| placed.tail_latency_ms * 100 / placed.target_ms)
             .max();
         let Some(worst_percent) = worst_percent else {
             return;
         };
         let filling: Vec<(TaskRef, u32)> = endpoint
-            .placed
+            .placed_runs
             .iter()
-            .filter(|placed| placed.fills)
+            .filter(|placed| placed.is_filler)
             .map(|placed| (placed.task, placed.run))
             .collect();
         for (task, run) in filling {
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -115,7 +115,7 @@
             .endpoints
             .iter()
             .filter(|(_, endpoint)| {
-                endpoint.placed.is_empty() && endpoint.takes_starts(now.steady_ms)
+                endpoint.placed_runs.is_empty() && endpoint.takes_starts(now.steady_ms)
             })
             // The last life on a VM counts.
             .filter(|(key, endpoint)| self.endpoints.on_vm(endpoint.vm()) == Some(*key))
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -4,7 +4,7 @@
     crate::{
         attempts::start_order,
         endpoint_table::Endpoints,
-        endpoints::{Endpoint, Placed},
+        endpoints::{Endpoint, PlacedRun},
         engine::Engine,
         event::{Effect, EndpointKey, Now},
         free_room::FreeSlot,
@@ -268,7 +268,7 @@
         let order = start_order(job, key, task, run, 0);
         self.pending_effects.push(Effect::Start(Box::new(order)));
         let endpoint = self.endpoints.get_mut(key);
-        endpoint.place(Placed::new(*task, run, spec));
+        endpoint.place(PlacedRun::new(*task, run, spec));
         let free_cpu_millis = endpoint.free().cpu_millis;
         self.free_room.set(key, &endpoint.pool, free_cpu_millis);
     }
@@ -302,7 +302,7 @@
 
 fn siblings(endpoint: &Endpoint, name: &TaskRef) -> u16 {
     let count = endpoint
-        .placed
+        .placed_runs
         .iter()
         .filter(|placed| placed.task.is_sibling(name))
         .count();
@@ -343,12 +343,16 @@
     let is_remote = !spec.data_rack.is_empty() && !endpoint.has_label(&spec.data_rack);
     let disturbed = if spec.fills {
         endpoint
-            .placed
+            .placed_runs
             .iter()
-            .filter(|placed| placed.serves)
+            .filter(|placed| placed.is_serving)
             .count()
     } else if spec.is_serving() {
-        endpoint.placed.iter().filter(|placed| placed.fills).count()
+        endpoint
+            .placed_runs
+            .iter()
+            .filter(|placed| placed.is_filler)
+            .count()
     } else {
         0
     };
--- a/crates/engine/src/stragglers.rs
+++ b/crates/engine/src/stragglers.rs
@@ -63,9 +63,9 @@
     fn suspects(&self, key: EndpointKey, clock_ms: u64) -> Vec<Suspect> {
         let endpoint: &Endpoint = self.endpoints.get(key);
         endpoint
-            .placed
+            .placed_runs
             .iter()
-            .filter(|placed| !placed.lasts && !placed.fills)
+            .filter(|placed| !placed.is_long_running && !placed.is_filler)
             .filter_map(|placed| {
                 let job = self.jobs.get(placed.task.job)?;
                 let spec = job.step_spec(&placed.task)?;
--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -334,7 +334,7 @@
         let is_empty = match self.endpoint_of_vm(name) {
             Some(key) => {
                 let endpoint = self.endpoints.get(key);
-                endpoint.placed.is_empty() && endpoint.is_reconciled && !endpoint.is_draining
+                endpoint.placed_runs.is_empty() && endpoint.is_reconciled && !endpoint.is_draining
             }
             // A VM of the standby pool has no endpoint.
             None => vm.entry.endpoint.is_empty(),
@@ -407,12 +407,12 @@
             let runs: Vec<(TaskRef, u32, bool)> = self
                 .endpoints
                 .get(key)
-                .placed
+                .placed_runs
                 .iter()
-                .map(|placed| (placed.task, placed.run, placed.lasts))
+                .map(|placed| (placed.task, placed.run, placed.is_long_running))
                 .collect();
-            for (task, run, lasts) in runs {
-                let may_stop = if lasts {
+            for (task, run, is_long_running) in runs {
+                let may_stop = if is_long_running {
                     self.may_interrupt(&task)
                 } else {
                     is_impatient
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -40,7 +40,11 @@
         .map(|(_, endpoint)| Slot {
             endpoint,
             free: endpoint.free(),
-            placed: endpoint.placed.iter().map(|placed| placed.task).collect(),
+            placed: endpoint
+                .placed_runs
+                .iter()
+                .map(|placed| placed.task)
+                .collect(),
         })
         .collect();
     let mut candidates: Vec<Candidate> = engine
