--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -308,7 +308,7 @@
     fn tick_carriers(&mut self, now: Now) {
         let members = self.node.present_members(now.steady_ms);
         let endpoints = self.engine.endpoints();
-        let is_called = |key| !endpoints.get(key).is_over;
+        let is_called = |key| !endpoints.get(key).has_ended;
         let carriers = &mut self.dispatcher.carriers;
         let events = carriers.tick(&members, is_called, now.steady_ms);
         self.handle_all(events, now);
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -74,7 +74,7 @@
             self.quotas.release(job.account_number, &spec.room);
         }
         let endpoint = self.endpoints.get_mut(attempt.endpoint);
-        endpoint.release(task, run, now.steady_ms);
+        endpoint.remove_run(task, run, now.steady_ms);
         self.log_events.push(LogEvent::RunEnded {
             task: *task,
             run,
--- a/crates/engine/src/balance.rs
+++ b/crates/engine/src/balance.rs
@@ -70,7 +70,7 @@
     /// Room in use.
     pub(crate) used: Resources,
     /// Part of it that long-running tasks use.
-    pub(crate) used_lasting: Resources,
+    pub(crate) used_long_running: Resources,
     /// Room that the work takes that is handed in at the moment.
     pub(crate) handed_in: Resources,
     /// Work that waits: room times milliseconds.
@@ -129,7 +129,7 @@
         let at_once = |work: u64, room: u64| (work / WORK_OFF_MS).min(room);
         // What is handed in at the moment counts before it waits: a VM comes 1.6 s after it was asked
         // for, more than most callers can spare.
-        let lasting = self.used_lasting;
+        let lasting = self.used_long_running;
         let ending = self.used.saturating_sub(&lasting);
         let coming = self.handed_in;
         let cpu = lasting.cpu_millis
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -93,7 +93,7 @@
         }
         for (key, number) in batch.stored_ends {
             let endpoint = self.endpoints.get_mut(key);
-            endpoint.stored_seen = endpoint.stored_seen.max(number);
+            endpoint.last_stored_end = endpoint.last_stored_end.max(number);
         }
         let mut released = Vec::with_capacity(batch.effects.len());
         for effect in batch.effects {
@@ -121,14 +121,14 @@
             .iter_mut()
             .find(|attempt| attempt.run == order.run)?;
         let endpoint = self.endpoints.get_mut(order.endpoint);
-        if attempt.is_stopping || endpoint.is_over {
+        if attempt.is_stopping || endpoint.has_ended {
             return None;
         }
         if self.quotas.is_exceeded(account) {
             self.remove_attempt(&order.task, order.run, RunEnd::NeverOrdered, now);
             return None;
         }
-        order.deadline_ms = endpoint.grant(now, self.settings.lease_ms)?;
+        order.deadline_ms = endpoint.grant_lease(now, self.settings.lease_ms)?;
         attempt.phase = Phase::Ordered;
         order.ticket = self.ticket_for(&order.task, order.endpoint, now);
         Some(Effect::Start(Box::new(order)))
@@ -140,7 +140,7 @@
         keys.sort_unstable();
         keys.dedup();
         keys.into_iter()
-            .map(|key| (key, self.endpoints.get(key).seen))
+            .map(|key| (key, self.endpoints.get(key).last_processed_end))
             .collect()
     }
 }
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -249,14 +249,14 @@
             let Some(place) = load_place(loads, &endpoint.pool) else {
                 continue;
             };
-            if endpoint.is_over {
+            if endpoint.has_ended {
                 continue;
             }
             let load = &mut loads[place];
             let takes_starts = endpoint.takes_starts(now.steady_ms);
             load.room.used.add(&endpoint.used);
-            load.room.used_lasting.add(&endpoint.used_lasting);
-            if endpoint.lasting_runs > 0 {
+            load.room.used_long_running.add(&endpoint.used_long_running);
+            if endpoint.long_running_runs > 0 {
                 load.room.pinned += 1;
             }
             if takes_starts {
--- a/crates/engine/src/endpoint_table.rs
+++ b/crates/engine/src/endpoint_table.rs
@@ -22,7 +22,7 @@
     changed: Vec<EndpointKey>,
     next_key: EndpointKey,
     /// Stands for every life that has been forgotten: late answers may still name one.
-    gone: Endpoint,
+    forgotten: Endpoint,
 }
 
 impl Default for Endpoints {
@@ -34,7 +34,7 @@
             places: Places::default(),
             changed: Vec::new(),
             next_key: 0,
-            gone: Endpoint::gone(),
+            forgotten: Endpoint::forgotten(),
         }
     }
 }
@@ -45,7 +45,7 @@
     pub fn get(&self, key: EndpointKey) -> &Endpoint {
         match self.place(key) {
             Ok(place) => &self.lives[place],
-            Err(_) => &self.gone,
+            Err(_) => &self.forgotten,
         }
     }
 
@@ -59,8 +59,8 @@
             }
             return life;
         }
-        self.gone = Endpoint::gone();
-        &mut self.gone
+        self.forgotten = Endpoint::forgotten();
+        &mut self.forgotten
     }
 
     fn place(&self, key: EndpointKey) -> Result<usize, usize> {
@@ -108,7 +108,7 @@
     /// Returns the latest life on a VM that is not known to be over.
     pub(crate) fn on_vm(&self, vm: &str) -> Option<EndpointKey> {
         let mut lives = self.places.on_vm(vm).rev();
-        lives.find(|&key| !self.get(key).is_over)
+        lives.find(|&key| !self.get(key).has_ended)
     }
 
     /// Returns other lives, not known to be over, at the address or on the VM of one.
@@ -118,7 +118,7 @@
         let on_vm = (!one.vm.is_empty()).then(|| self.places.on_vm(&one.vm));
         let mut others: Vec<EndpointKey> = at_address
             .chain(on_vm.into_iter().flatten())
-            .filter(|&other| other != key && !self.get(other).is_over)
+            .filter(|&other| other != key && !self.get(other).has_ended)
             .collect();
         others.sort_unstable();
         others.dedup();
@@ -131,7 +131,7 @@
     /// the endpoints by far, in memory and in every look at all of them.
     pub fn forget_over(&mut self, before_ms: u64) {
         let is_kept = |life: &Endpoint| {
-            !life.is_over || !life.placed_runs.is_empty() || life.over_since_ms >= before_ms
+            !life.has_ended || !life.placed_runs.is_empty() || life.ended_at_ms >= before_ms
         };
         let known = self.lives.len();
         self.lives.retain(is_kept);
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -92,21 +92,21 @@
     /// Whether it is leaving.
     pub is_draining: bool,
     /// Whether the registry lists it.
-    pub is_listed: bool,
+    pub is_registered: bool,
     /// Whether the registry has ever listed it to this owner.
-    pub has_entry: bool,
+    pub was_registered: bool,
     /// Whether this life is known to be over.
-    pub is_over: bool,
+    pub has_ended: bool,
     /// When that became known, on the steady clock.
-    pub over_since_ms: u64,
+    pub ended_at_ms: u64,
     /// Whether it has told what runs on it, so that something new may start.
     pub is_reconciled: bool,
     /// Whether it is being emptied for a move or for maintenance.
-    pub is_held_back: bool,
+    pub is_cordoned: bool,
     /// Place among the entries that this owner has seen being written; 0 for one that it found.
-    pub entry_order: u64,
+    pub registration_order: u64,
     /// Failed calls in a row.
-    pub silent_calls: u32,
+    pub failed_calls: u32,
     /// Runs in a row that ended as failed there.
     pub failed_runs: u32,
     /// Until when nothing new starts there, on the steady clock.
@@ -114,9 +114,9 @@
     /// Room taken by runs that may be under way.
     pub used: Resources,
     /// Part of it that long-running tasks take.
-    pub used_lasting: Resources,
+    pub used_long_running: Resources,
     /// Long-running tasks that may be under way.
-    pub lasting_runs: usize,
+    pub long_running_runs: usize,
     /// Those runs.
     pub placed_runs: Vec<PlacedRun>,
     /// Renewals sent.
@@ -126,18 +126,18 @@
     /// When the next renewal is due, on the steady clock.
     pub renew_at_ms: u64,
     /// Last end taken into account.
-    pub seen: u64,
+    pub last_processed_end: u64,
     /// Last end whose effect is stored; only these are acknowledged.
-    pub stored_seen: u64,
+    pub last_stored_end: u64,
     /// Last end that was acknowledged.
-    pub acknowledged: u64,
+    pub last_acknowledged_end: u64,
     /// When it became empty, on the steady clock.
     pub empty_since_ms: u64,
     /// Stops sent for runs that nobody here knows, with their times.
     pub orphans: Vec<(TaskRef, u32, u64)>,
     clock: Option<ClockReading>,
-    lease_until_clock_ms: u64,
-    over_at_ms: Option<u64>,
+    lease_end_clock_ms: u64,
+    leases_end_at_ms: Option<u64>,
     /// Whether it was handed out to be changed since that was looked at last.
     pub(crate) is_changed: bool,
 }
@@ -154,31 +154,31 @@
             capacity: Resources::default(),
             labels: Vec::new(),
             is_draining: false,
-            is_listed: false,
-            has_entry: false,
-            is_over: false,
-            over_since_ms: 0,
+            is_registered: false,
+            was_registered: false,
+            has_ended: false,
+            ended_at_ms: 0,
             is_reconciled: false,
-            is_held_back: false,
-            entry_order: 0,
-            silent_calls: 0,
+            is_cordoned: false,
+            registration_order: 0,
+            failed_calls: 0,
             failed_runs: 0,
             cooldown_until_ms: 0,
             used: Resources::default(),
-            used_lasting: Resources::default(),
-            lasting_runs: 0,
+            used_long_running: Resources::default(),
+            long_running_runs: 0,
             placed_runs: Vec::new(),
             renewals: 0,
             is_renewing: false,
             renew_at_ms: 0,
-            seen: 0,
-            stored_seen: 0,
-            acknowledged: 0,
+            last_processed_end: 0,
+            last_stored_end: 0,
+            last_acknowledged_end: 0,
             empty_since_ms: now_ms,
             orphans: Vec::new(),
             clock: None,
-            lease_until_clock_ms: 0,
-            over_at_ms: None,
+            lease_end_clock_ms: 0,
+            leases_end_at_ms: None,
             is_changed: false,
         }
     }
@@ -196,9 +196,9 @@
     }
 
     /// Creates what stands for a life that has been forgotten.
-    pub(crate) fn gone() -> Self {
+    pub(crate) fn forgotten() -> Self {
         Self {
-            is_over: true,
+            has_ended: true,
             ..Self::new(EndpointKey::MAX, CompactString::default(), 0)
         }
     }
@@ -210,14 +210,14 @@
         self.capacity = entry.capacity;
         self.labels.clone_from(&entry.labels);
         self.is_draining = entry.is_draining;
-        self.is_listed = true;
-        self.has_entry = true;
+        self.is_registered = true;
+        self.was_registered = true;
     }
 
     /// Tells whether calls go to it.
     #[must_use]
     pub fn is_reachable(&self) -> bool {
-        !self.is_over && self.address.port() != 0
+        !self.has_ended && self.address.port() != 0
     }
 
     /// Tells whether its lease is to be renewed, or its report asked for, now.
@@ -225,20 +225,20 @@
     pub fn is_renewal_due(&self, now: Now) -> bool {
         let is_needed = !self.placed_runs.is_empty()
             || !self.orphans.is_empty()
-            || self.stored_seen > self.acknowledged
-            || (!self.is_reconciled && self.is_listed);
+            || self.last_stored_end > self.last_acknowledged_end
+            || (!self.is_reconciled && self.is_registered);
         is_needed && !self.is_renewing && now.steady_ms >= self.renew_at_ms && self.is_reachable()
     }
 
     /// Tells whether something new may start there.
     #[must_use]
     pub fn takes_starts(&self, now_ms: u64) -> bool {
-        self.is_listed
-            && !self.is_over
+        self.is_registered
+            && !self.has_ended
             && !self.is_draining
-            && !self.is_held_back
+            && !self.is_cordoned
             && self.is_reconciled
-            && self.silent_calls == 0
+            && self.failed_calls == 0
             && now_ms >= self.cooldown_until_ms
     }
 
@@ -260,16 +260,16 @@
             clock_ms,
             at_ms: now.steady_ms,
         });
-        self.silent_calls = 0;
+        self.failed_calls = 0;
     }
 
     /// Grants a lease that begins now; returns its end on the endpoint's clock.
     #[must_use]
-    pub fn grant(&mut self, now: Now, lease_ms: u64) -> Option<u64> {
+    pub fn grant_lease(&mut self, now: Now, lease_ms: u64) -> Option<u64> {
         let reading = self.clock?;
         let passed_ms = now.steady_ms.saturating_sub(reading.at_ms);
         let deadline_ms = reading.clock_ms + passed_ms + lease_ms;
-        self.lease_until_clock_ms = self.lease_until_clock_ms.max(deadline_ms);
+        self.lease_end_clock_ms = self.lease_end_clock_ms.max(deadline_ms);
         Some(deadline_ms)
     }
 
@@ -277,15 +277,15 @@
     pub fn inherit_leases(&mut self, lease_ms: u64) {
         if let Some(reading) = self.clock {
             let bound_ms = reading.clock_ms + lease_ms;
-            self.lease_until_clock_ms = self.lease_until_clock_ms.max(bound_ms);
+            self.lease_end_clock_ms = self.lease_end_clock_ms.max(bound_ms);
         }
-        self.over_at_ms = None;
+        self.leases_end_at_ms = None;
     }
 
     /// Says when every lease is over at the latest for an endpoint whose clock is not known.
     pub fn bound_unknown_leases(&mut self, at_ms: u64) {
         if self.clock.is_none() {
-            self.over_at_ms = Some(at_ms);
+            self.leases_end_at_ms = Some(at_ms);
         }
     }
 
@@ -294,31 +294,30 @@
     /// An order that is carried out late is covered too: it carries its own deadline, which is
     /// among those granted.
     #[must_use]
-    pub fn is_lease_over(&self, now: Now) -> bool {
-        if let Some(at_ms) = self.over_at_ms {
+    pub fn is_lease_expired(&self, now: Now) -> bool {
+        if let Some(at_ms) = self.leases_end_at_ms {
             return now.steady_ms > at_ms;
         }
         let Some(reading) = self.clock else {
             return false;
         };
-        let left_ms =
-            (self.lease_until_clock_ms + LEASE_MARGIN_MS).saturating_sub(reading.clock_ms);
+        let left_ms = (self.lease_end_clock_ms + LEASE_MARGIN_MS).saturating_sub(reading.clock_ms);
         let wait_ms = left_ms * (100 + CLOCK_SLACK_PERCENT) / 100;
         now.steady_ms > reading.at_ms + wait_ms
     }
 
     /// Takes room for a run.
-    pub fn place(&mut self, placed: PlacedRun) {
+    pub fn add_run(&mut self, placed: PlacedRun) {
         self.used.add(&placed.room);
         if placed.is_long_running {
-            self.used_lasting.add(&placed.room);
-            self.lasting_runs += 1;
+            self.used_long_running.add(&placed.room);
+            self.long_running_runs += 1;
         }
         self.placed_runs.push(placed);
     }
 
     /// Gives a run's room back.
-    pub fn release(&mut self, task: &TaskRef, run: u32, now_ms: u64) {
+    pub fn remove_run(&mut self, task: &TaskRef, run: u32, now_ms: u64) {
         let place = self
             .placed_runs
             .iter()
@@ -327,8 +326,8 @@
             let placed = self.placed_runs.swap_remove(place);
             self.used = self.used.saturating_sub(&placed.room);
             if placed.is_long_running {
-                self.used_lasting = self.used_lasting.saturating_sub(&placed.room);
-                self.lasting_runs -= 1;
+                self.used_long_running = self.used_long_running.saturating_sub(&placed.room);
+                self.long_running_runs -= 1;
             }
             if self.placed_runs.is_empty() {
                 self.empty_since_ms = now_ms;
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -46,13 +46,13 @@
 impl Engine {
     pub(crate) fn endpoint_listed(&mut self, entry: &EndpointEntry, is_fresh: bool, now: Now) {
         let key = self.endpoints.find_or_add(&entry.id, now.steady_ms);
-        if self.endpoints.get(key).is_over {
+        if self.endpoints.get(key).has_ended {
             return;
         }
         let endpoint = self.endpoints.get_mut(key);
-        if is_fresh && !endpoint.has_entry {
+        if is_fresh && !endpoint.was_registered {
             self.fresh_entries += 1;
-            endpoint.entry_order = self.fresh_entries;
+            endpoint.registration_order = self.fresh_entries;
         }
         let began_draining = entry.is_draining && !endpoint.is_draining;
         self.endpoints.update(key, entry);
@@ -100,7 +100,7 @@
             return;
         };
         let endpoint = self.endpoints.get_mut(key);
-        endpoint.is_listed = false;
+        endpoint.is_registered = false;
         // Asked now, so that a life that has ended is found out before its lease is over.
         endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms);
     }
@@ -108,18 +108,18 @@
     /// Records that an incarnation is over: nothing runs there, and nothing will.
     pub(crate) fn endpoint_over(&mut self, key: EndpointKey, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
-        if !endpoint.is_over {
+        if !endpoint.has_ended {
             self.log_events.push(LogEvent::EndpointEnded {
                 endpoint: endpoint.id.clone(),
                 vm: endpoint.vm().clone(),
                 runs: endpoint.placed_runs.len(),
             });
         }
-        if !endpoint.is_over {
-            endpoint.over_since_ms = now.steady_ms;
+        if !endpoint.has_ended {
+            endpoint.ended_at_ms = now.steady_ms;
         }
-        endpoint.is_over = true;
-        endpoint.is_listed = false;
+        endpoint.has_ended = true;
+        endpoint.is_registered = false;
         self.lose_runs(key, RunEnd::EndpointOver, now);
     }
 
@@ -139,7 +139,7 @@
     /// Records a call without answer.
     pub(crate) fn call_failed(&mut self, key: EndpointKey, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
-        endpoint.silent_calls += 1;
+        endpoint.failed_calls += 1;
         endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms + RENEW_RETRY_MS);
     }
 
@@ -149,8 +149,8 @@
             .endpoints
             .iter()
             .filter(|(_, endpoint)| {
-                let is_silent = endpoint.silent_calls >= SUSPECT_AFTER || !endpoint.is_reachable();
-                is_silent && !endpoint.placed_runs.is_empty() && endpoint.is_lease_over(now)
+                let is_silent = endpoint.failed_calls >= SUSPECT_AFTER || !endpoint.is_reachable();
+                is_silent && !endpoint.placed_runs.is_empty() && endpoint.is_lease_expired(now)
             })
             .map(|(key, _)| key)
             .collect();
@@ -182,9 +182,9 @@
         let endpoint = self.endpoints.get_mut(key);
         endpoint.is_renewing = true;
         endpoint.renewals += 1;
-        let is_trusted = endpoint.silent_calls < SUSPECT_AFTER && endpoint.is_reconciled;
+        let is_trusted = endpoint.failed_calls < SUSPECT_AFTER && endpoint.is_reconciled;
         let deadline_ms = if is_trusted {
-            endpoint.grant(now, self.settings.lease_ms)
+            endpoint.grant_lease(now, self.settings.lease_ms)
         } else {
             None
         };
@@ -192,16 +192,16 @@
             0
         } else if has_mixed_load(&endpoint.placed_runs) {
             TAIL_WAIT_MS
-        } else if endpoint.placed_runs.len() > endpoint.lasting_runs {
+        } else if endpoint.placed_runs.len() > endpoint.long_running_runs {
             BUSY_WAIT_MS
         } else {
             RENEW_WAIT_MS
         };
-        endpoint.acknowledged = endpoint.stored_seen;
+        endpoint.last_acknowledged_end = endpoint.last_stored_end;
         self.immediate_effects.push(Effect::Renew {
             endpoint: key,
             deadline_ms,
-            acknowledged: endpoint.stored_seen,
+            acknowledged: endpoint.last_stored_end,
             wait_ms,
         });
     }
@@ -215,7 +215,7 @@
         self.endpoints.get_mut(key).is_renewing = false;
         match outcome {
             // An answer may come after that of the incarnation that has taken the place of its own.
-            CallOutcome::Done(_) if self.endpoints.get(key).is_over => return,
+            CallOutcome::Done(_) if self.endpoints.get(key).has_ended => return,
             CallOutcome::Done(report) => self.take_report(key, &report, now),
             CallOutcome::OtherLife => self.endpoint_over(key, now),
             CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
@@ -223,7 +223,7 @@
                 let endpoint = self.endpoints.get(key);
                 // Nothing listens where an endpoint said that it would leave, and its entry is
                 // gone too: it has left.
-                if endpoint.is_draining && !endpoint.is_listed {
+                if endpoint.is_draining && !endpoint.is_registered {
                     self.endpoint_over(key, now);
                 } else {
                     self.renewal_failed(key, now);
@@ -248,14 +248,18 @@
             endpoint.inherit_leases(self.settings.lease_ms);
         }
         let renewal = endpoint.renewals;
-        let seen = endpoint.seen;
+        let last_processed_end = endpoint.last_processed_end;
         self.end_others_at(key, now);
-        for ended in report.ended.iter().filter(|ended| ended.number > seen) {
+        for ended in report
+            .ended
+            .iter()
+            .filter(|ended| ended.number > last_processed_end)
+        {
             self.run_ended(key, ended, now);
         }
         if let Some(last) = report.ended.last() {
             let endpoint = self.endpoints.get_mut(key);
-            endpoint.seen = endpoint.seen.max(last.number);
+            endpoint.last_processed_end = endpoint.last_processed_end.max(last.number);
             self.unstored_ends.push(key);
         }
         for running in &report.running {
@@ -383,7 +387,7 @@
                 };
                 for attempt in &task.attempts {
                     let placed = PlacedRun::new(name, attempt.run, spec);
-                    self.endpoints.get_mut(attempt.endpoint).place(placed);
+                    self.endpoints.get_mut(attempt.endpoint).add_run(placed);
                     self.quotas.charge(job.account_number, &spec.room);
                     if attempt.is_stop_stored {
                         unanswered.push((name, attempt.run));
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -15,7 +15,7 @@
     pub(crate) fn repeat_orders(&mut self, now: Now) {
         for (task, run, key, is_stop) in self.due_orders(now) {
             let endpoint = self.endpoints.get_mut(key);
-            if endpoint.silent_calls >= SUSPECT_AFTER || !endpoint.is_reachable() {
+            if endpoint.failed_calls >= SUSPECT_AFTER || !endpoint.is_reachable() {
                 continue;
             }
             if is_stop {
@@ -26,7 +26,7 @@
                 });
             } else if let Ok(place) = self.jobs.search(task.job)
                 && !self.quotas.is_exceeded(self.jobs[place].account_number)
-                && let Some(deadline_ms) = endpoint.grant(now, self.settings.lease_ms)
+                && let Some(deadline_ms) = endpoint.grant_lease(now, self.settings.lease_ms)
             {
                 let mut order = start_order(&self.jobs[place], key, &task, run, deadline_ms);
                 order.ticket = self.ticket_for(&task, key, now);
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -165,7 +165,7 @@
                 continue;
             }
             let cooldown = (endpoint.cooldown_until_ms, key);
-            let is_cooling_down = !endpoint.is_over && endpoint.cooldown_until_ms > now.steady_ms;
+            let is_cooling_down = !endpoint.has_ended && endpoint.cooldown_until_ms > now.steady_ms;
             if is_cooling_down && let Err(place) = self.cooling_endpoints.binary_search(&cooldown) {
                 self.cooling_endpoints.insert(place, cooldown);
             }
@@ -268,7 +268,7 @@
         let order = start_order(job, key, task, run, 0);
         self.pending_effects.push(Effect::Start(Box::new(order)));
         let endpoint = self.endpoints.get_mut(key);
-        endpoint.place(PlacedRun::new(*task, run, spec));
+        endpoint.add_run(PlacedRun::new(*task, run, spec));
         let free_cpu_millis = endpoint.free().cpu_millis;
         self.free_room.set(key, &endpoint.pool, free_cpu_millis);
     }
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -102,7 +102,7 @@
             .endpoints
             .iter()
             .filter(|(_, endpoint)| {
-                !endpoint.is_over
+                !endpoint.has_ended
                     && !endpoint.vm().is_empty()
                     && self.vm_place(endpoint.vm()).is_ok_and(|place| {
                         let current = &self.vms[place].entry.endpoint;
@@ -110,7 +110,8 @@
                         // A list may be older than the registry: only a later life counts.
                         other.flatten().is_some_and(|other| {
                             let other = self.endpoints.get(other);
-                            other.is_reconciled && other.entry_order > endpoint.entry_order
+                            other.is_reconciled
+                                && other.registration_order > endpoint.registration_order
                         })
                     })
             })
@@ -162,7 +163,7 @@
                     self.maintenance_refused(wave, name);
                 }
                 if let Some(key) = endpoint {
-                    self.endpoints.get_mut(key).is_held_back = false;
+                    self.endpoints.get_mut(key).is_cordoned = false;
                 }
             }
             // Repeated later: both orders do nothing when they were carried out before.
@@ -197,7 +198,7 @@
         vm.is_dirty = true;
         self.pending_effects.push(effect);
         if let Some(key) = self.vms[place].ordered_endpoint {
-            self.endpoints.get_mut(key).is_held_back = true;
+            self.endpoints.get_mut(key).is_cordoned = true;
         }
     }
 
--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -269,7 +269,7 @@
             if wave.is_emptying(name)
                 && let Some(key) = self.endpoint_of_vm(name)
             {
-                self.endpoints.get_mut(key).is_held_back = true;
+                self.endpoints.get_mut(key).is_cordoned = true;
             }
         }
     }
@@ -354,15 +354,15 @@
             .filter(|name| self.waves[place].may_empty(name, now))
             .filter_map(|name| {
                 let endpoint = self.endpoints.get(self.endpoint_of_vm(name)?);
-                let lasting = endpoint.lasting_runs;
-                let is_open = !endpoint.is_held_back && !endpoint.is_draining;
+                let lasting = endpoint.long_running_runs;
+                let is_open = !endpoint.is_cordoned && !endpoint.is_draining;
                 is_open.then(|| (lasting, endpoint.used.cpu_millis, name.clone()))
             })
             .collect();
         by_load.sort_unstable();
         for (lasting, _, name) in by_load.into_iter().take(ahead - busy) {
             if let Some(key) = self.endpoint_of_vm(&name) {
-                self.endpoints.get_mut(key).is_held_back = true;
+                self.endpoints.get_mut(key).is_cordoned = true;
             }
             self.waves[place].empty(Emptying::new(name, lasting, now));
         }
@@ -436,7 +436,7 @@
                 continue;
             };
             let endpoint = self.endpoints.get_mut(key);
-            let lasting = endpoint.lasting_runs;
+            let lasting = endpoint.long_running_runs;
             let known = &mut self.waves[place].emptying[at];
             if known.lasting != lasting {
                 known.lasting = lasting;
@@ -446,7 +446,7 @@
             // What was ordered for the VM may still be carried out.
             let is_ordered = self.waves[place].is_ordered(&vm);
             if lasting > 0 && !is_ordered && now.steady_ms >= changed_ms + GIVE_BACK_MS {
-                endpoint.is_held_back = false;
+                endpoint.is_cordoned = false;
                 self.waves[place].give_back(&vm, now);
                 self.is_schedule_due = true;
             }
@@ -472,10 +472,10 @@
                 !other.attempts.iter().any(|attempt| {
                     // What was told last counts only as long as the endpoint goes on telling.
                     let endpoint = self.endpoints.get(attempt.endpoint);
-                    let is_sound = endpoint.is_listed
-                        && !endpoint.is_over
+                    let is_sound = endpoint.is_registered
+                        && !endpoint.has_ended
                         && !endpoint.is_draining
-                        && endpoint.silent_calls == 0;
+                        && endpoint.failed_calls == 0;
                     is_sound && attempt.percent >= 100 && !attempt.is_stopping
                 })
             })
--- a/crates/engine/tests/lives.rs
+++ b/crates/engine/tests/lives.rs
@@ -86,6 +86,6 @@
     });
     fleet.settle();
     let current = fleet.engine.endpoints().find("i-1").expect("a listed one");
-    assert!(!fleet.engine.endpoints().get(current).is_over);
+    assert!(!fleet.engine.endpoints().get(current).has_ended);
     assert_eq!(fleet.starts(&format!("{}.0.0.0", job_id(1))), 1);
 }
--- a/crates/engine/tests/origins.rs
+++ b/crates/engine/tests/origins.rs
@@ -68,7 +68,7 @@
     let (mut fleet, start) = fleet_with_a_start();
     unsent(&mut fleet, start.endpoint, start.task);
     let endpoint = fleet.engine.endpoints().get(start.endpoint);
-    assert_eq!(endpoint.silent_calls, 0);
+    assert_eq!(endpoint.failed_calls, 0);
     let again = starts(&mut fleet);
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].origin, None);
@@ -86,5 +86,5 @@
         outcome: CallOutcome::Unsent,
     });
     let endpoint = fleet.engine.endpoints().get(again.endpoint);
-    assert_eq!(endpoint.silent_calls, 1);
+    assert_eq!(endpoint.failed_calls, 1);
 }
