--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -10,7 +10,7 @@
     compact_str::CompactString,
     kameo::actor::ActorRef,
     log::info,
-    lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
+    lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, EndpointTable, Event, Now, TaskRef},
     lynxwheel_platform::{
         AdviceCalls, AppendOutcome, EndpointCalls, STATUS_TOPIC, StoreClient, VmCalls,
         keyed_record, wave_status,
@@ -48,7 +48,7 @@
     }
 
     /// Carries an effect out, without waiting for it.
-    pub fn carry_out(&mut self, effect: Effect, endpoints: &Endpoints, now: Now) {
+    pub fn carry_out(&mut self, effect: Effect, endpoints: &EndpointTable, now: Now) {
         let (key, call) = match effect {
             Effect::Start(order) => (order.endpoint, EndpointCall::Start(order)),
             Effect::Stop {
--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        endpoint_table::Endpoints,
+        endpoint_table::EndpointTable,
         engine::Engine,
         event::{Effect, EndpointKey, Now},
         job::TaskRef,
@@ -158,7 +158,7 @@
     }
 }
 
-fn names(endpoints: &Endpoints, keys: &[EndpointKey]) -> Vec<CompactString> {
+fn names(endpoints: &EndpointTable, keys: &[EndpointKey]) -> Vec<CompactString> {
     keys.iter()
         .map(|&key| endpoints.get(key).id.clone())
         .collect()
--- a/crates/engine/src/endpoint_table.rs
+++ b/crates/engine/src/endpoint_table.rs
@@ -11,9 +11,9 @@
 /// A life that is handed out to be changed counts as changed until that is looked at, so that what
 /// follows from a change need not be looked for among all of them.
 #[derive(Clone, Debug)]
-pub struct Endpoints {
+pub struct EndpointTable {
     /// Lives sorted by key.
-    lives: Vec<Endpoint>,
+    incarnations: Vec<Endpoint>,
     /// Their keys, in the same order: a search touches no life.
     keys: Vec<EndpointKey>,
     /// Keys sorted by id.
@@ -25,10 +25,10 @@
     forgotten: Endpoint,
 }
 
-impl Default for Endpoints {
+impl Default for EndpointTable {
     fn default() -> Self {
         Self {
-            lives: Vec::new(),
+            incarnations: Vec::new(),
             keys: Vec::new(),
             by_id: Vec::new(),
             places: Places::default(),
@@ -39,12 +39,12 @@
     }
 }
 
-impl Endpoints {
+impl EndpointTable {
     /// Returns an endpoint.
     #[must_use]
     pub fn get(&self, key: EndpointKey) -> &Endpoint {
         match self.place(key) {
-            Ok(place) => &self.lives[place],
+            Ok(place) => &self.incarnations[place],
             Err(_) => &self.forgotten,
         }
     }
@@ -52,12 +52,12 @@
     /// Returns an endpoint to change; changes of a forgotten one are lost.
     pub fn get_mut(&mut self, key: EndpointKey) -> &mut Endpoint {
         if let Ok(place) = self.place(key) {
-            let life = &mut self.lives[place];
-            if !life.is_changed {
-                life.is_changed = true;
+            let incarnation = &mut self.incarnations[place];
+            if !incarnation.is_changed {
+                incarnation.is_changed = true;
                 self.changed.push(key);
             }
-            return life;
+            return incarnation;
         }
         self.forgotten = Endpoint::forgotten();
         &mut self.forgotten
@@ -72,7 +72,7 @@
         let changed = std::mem::take(&mut self.changed);
         for &key in &changed {
             if let Ok(place) = self.place(key) {
-                self.lives[place].is_changed = false;
+                self.incarnations[place].is_changed = false;
             }
         }
         changed
@@ -90,7 +90,7 @@
     /// Takes in at which address a life is.
     pub(crate) fn set_address(&mut self, key: EndpointKey, address: SocketAddr) {
         if let Ok(place) = self.place(key) {
-            let known = std::mem::replace(&mut self.lives[place].address, address);
+            let known = std::mem::replace(&mut self.incarnations[place].address, address);
             self.places.change_address(key, known, address);
         }
     }
@@ -98,17 +98,17 @@
     /// Takes in on which VM a life is.
     pub(crate) fn set_vm(&mut self, key: EndpointKey, vm: &CompactString) {
         if let Ok(place) = self.place(key)
-            && self.lives[place].vm != *vm
+            && self.incarnations[place].vm != *vm
         {
-            let known = std::mem::replace(&mut self.lives[place].vm, vm.clone());
+            let known = std::mem::replace(&mut self.incarnations[place].vm, vm.clone());
             self.places.change_vm(key, &known, vm);
         }
     }
 
     /// Returns the latest life on a VM that is not known to be over.
     pub(crate) fn on_vm(&self, vm: &str) -> Option<EndpointKey> {
-        let mut lives = self.places.on_vm(vm).rev();
-        lives.find(|&key| !self.get(key).has_ended)
+        let mut incarnations = self.places.on_vm(vm).rev();
+        incarnations.find(|&key| !self.get(key).has_ended)
     }
 
     /// Returns other lives, not known to be over, at the address or on the VM of one.
@@ -129,16 +129,22 @@
     ///
     /// Each move of a VM ends a life and begins another. Kept for good, a busy day's lives outnumbered
     /// the endpoints by far, in memory and in every look at all of them.
-    pub fn forget_over(&mut self, before_ms: u64) {
-        let is_kept = |life: &Endpoint| {
-            !life.has_ended || !life.placed_runs.is_empty() || life.ended_at_ms >= before_ms
+    pub fn remove_ended(&mut self, before_ms: u64) {
+        let is_kept = |incarnation: &Endpoint| {
+            !incarnation.has_ended
+                || !incarnation.placed_runs.is_empty()
+                || incarnation.ended_at_ms >= before_ms
         };
-        let known = self.lives.len();
-        self.lives.retain(is_kept);
-        if self.lives.len() == known {
+        let known = self.incarnations.len();
+        self.incarnations.retain(is_kept);
+        if self.incarnations.len() == known {
             return;
         }
-        self.keys = self.lives.iter().map(|life| life.key).collect();
+        self.keys = self
+            .incarnations
+            .iter()
+            .map(|incarnation| incarnation.key)
+            .collect();
         let keys = &self.keys;
         let is_known = |key: EndpointKey| keys.binary_search(&key).is_ok();
         self.by_id.retain(|&key| is_known(key));
@@ -157,13 +163,14 @@
     }
 
     /// Returns the key of an id, and adds the endpoint when it is new.
-    pub fn find_or_add(&mut self, id: &CompactString, now_ms: u64) -> EndpointKey {
+    pub fn find_or_insert(&mut self, id: &CompactString, now_ms: u64) -> EndpointKey {
         match self.search(id) {
             Ok(place) => self.by_id[place],
             Err(place) => {
                 let key = self.next_key;
                 self.next_key += 1;
-                self.lives.push(Endpoint::new(key, id.clone(), now_ms));
+                self.incarnations
+                    .push(Endpoint::new(key, id.clone(), now_ms));
                 self.keys.push(key);
                 self.by_id.insert(place, key);
                 key
@@ -173,7 +180,9 @@
 
     /// Returns every endpoint with its key.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
-        self.lives.iter().map(|life| (life.key, life))
+        self.incarnations
+            .iter()
+            .map(|incarnation| (incarnation.key, incarnation))
     }
 
     /// Returns the keys of all endpoints.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -10,7 +10,7 @@
         advice::StepAdvice,
         arrivals::Arrivals,
         config::{FleetConfig, Queue},
-        endpoint_table::Endpoints,
+        endpoint_table::EndpointTable,
         event::{CallerAnswer, Effect, EndpointKey, Event, Now, ReplyToken},
         free_room::FreeRoom,
         job::{JobId, JobState, Resources, TaskRef},
@@ -94,7 +94,7 @@
     pub(crate) flooding: Vec<(AccountNumber, f64)>,
     /// Jobs that have ended, sorted by id.
     pub(crate) ended: Vec<EndedJob>,
-    pub(crate) endpoints: Endpoints,
+    pub(crate) endpoints: EndpointTable,
     pub(crate) free_room: FreeRoom,
     /// Endpoints at which nothing starts until a time on the steady clock, sorted by that time.
     pub(crate) cooling_endpoints: Vec<(u64, EndpointKey)>,
@@ -144,7 +144,7 @@
             quotas: QuotaLedger::default(),
             flooding: Vec::new(),
             ended: Vec::new(),
-            endpoints: Endpoints::default(),
+            endpoints: EndpointTable::default(),
             free_room: FreeRoom::default(),
             cooling_endpoints: Vec::new(),
             unstored_ends: Vec::new(),
@@ -453,7 +453,7 @@
 
     /// Returns the endpoints.
     #[must_use]
-    pub fn endpoints(&self) -> &Endpoints {
+    pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
@@ -492,7 +492,7 @@
         if now.steady_ms >= self.lives_forgotten_ms + FORGET_EVERY_MS {
             self.lives_forgotten_ms = now.steady_ms;
             let before_ms = now.steady_ms.saturating_sub(FORGET_LIFE_MS);
-            self.endpoints.forget_over(before_ms);
+            self.endpoints.remove_ended(before_ms);
         }
         self.forget_advice();
         self.vm_order_rate.refill(now);
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -45,7 +45,7 @@
 
 impl Engine {
     pub(crate) fn endpoint_listed(&mut self, entry: &EndpointEntry, is_fresh: bool, now: Now) {
-        let key = self.endpoints.find_or_add(&entry.id, now.steady_ms);
+        let key = self.endpoints.find_or_insert(&entry.id, now.steady_ms);
         if self.endpoints.get(key).has_ended {
             return;
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -65,7 +65,7 @@
     advice::Ticket,
     batch::Batch,
     config::{CallerLimits, FleetConfig, Pool, Queue},
-    endpoint_table::Endpoints,
+    endpoint_table::EndpointTable,
     endpoints::{Endpoint, PlacedRun},
     engine::{Engine, EngineSettings},
     event::{
--- a/crates/engine/src/restore.rs
+++ b/crates/engine/src/restore.rs
@@ -75,7 +75,7 @@
         };
         let endpoints = &mut self.endpoints;
         let mut job = restore_job(id, spec, progress, |name, address| {
-            let key = endpoints.find_or_add(name, now.steady_ms);
+            let key = endpoints.find_or_insert(name, now.steady_ms);
             // It is asked there even when its entry has lapsed.
             endpoints.set_address(key, address);
             key
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         attempts::start_order,
-        endpoint_table::Endpoints,
+        endpoint_table::EndpointTable,
         endpoints::{Endpoint, PlacedRun},
         engine::Engine,
         event::{Effect, EndpointKey, Now},
@@ -312,7 +312,7 @@
 /// Returns the best match for a task, of `slots` with enough processor free, the fullest
 /// first.
 pub(crate) fn best_fit(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &[FreeSlot],
     task: &TaskRef,
     spec: &StepSpec,
@@ -360,7 +360,7 @@
 }
 
 fn slots(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     members: &[EndpointKey],
     name: &TaskRef,
     spec: &StepSpec,
@@ -381,7 +381,7 @@
 
 /// Chooses an endpoint for each task that fits.
 fn choose_each(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &mut [Slot],
     job: &Job,
     name: &TaskRef,
@@ -403,7 +403,7 @@
 
 /// Chooses endpoints for all tasks of a gang, in one rack if they are slower otherwise, or none.
 fn choose_gang(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &mut [Slot],
     job: &Job,
     name: &TaskRef,
@@ -430,7 +430,7 @@
 }
 
 /// Returns the labels that stand for racks: every label but the first, which is the kind.
-fn racks(endpoints: &Endpoints, slots: &[Slot]) -> Vec<CompactString> {
+fn racks(endpoints: &EndpointTable, slots: &[Slot]) -> Vec<CompactString> {
     let mut racks: Vec<CompactString> = slots
         .iter()
         .flat_map(|slot| endpoints.get(slot.key).labels.iter().skip(1).cloned())
@@ -441,7 +441,7 @@
 }
 
 fn best_slot<'a>(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &'a mut [Slot],
     spec: &StepSpec,
     avoid: Option<EndpointKey>,
--- a/crates/engine/src/stored.rs
+++ b/crates/engine/src/stored.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         config::Queue,
-        endpoint_table::Endpoints,
+        endpoint_table::EndpointTable,
         event::EndpointKey,
         job::{JobId, JobSpec, JobState},
         state::{Attempt, Job, Occurrence, Phase, StepRun, Task},
@@ -187,7 +187,7 @@
 
 /// Returns the record that says how far a job is.
 #[must_use]
-pub fn progress_record(job: &Job, endpoints: &Endpoints) -> Record {
+pub fn progress_record(job: &Job, endpoints: &EndpointTable) -> Record {
     let mut names: Vec<(CompactString, SocketAddr)> = Vec::new();
     let mut keys: Vec<EndpointKey> = Vec::new();
     let mut place_of = |key: EndpointKey| {
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -5,7 +5,7 @@
 use {
     common::{Fleet, POOL, job_id, step},
     lynxwheel_engine::{
-        EndKind, Endpoint, EndpointKey, Endpoints, Engine, Job, JobSpec, Phase, Resources,
+        EndKind, Endpoint, EndpointKey, EndpointTable, Engine, Job, JobSpec, Phase, Resources,
         StepSpec, TaskRef,
     },
     rand::{RngExt, SeedableRng},
@@ -242,7 +242,7 @@
         let ms = random.random_range(1..6) * 100;
         fleet.advance(ms);
     }
-    let endpoints: &Endpoints = fleet.engine.endpoints();
+    let endpoints: &EndpointTable = fleet.engine.endpoints();
     assert!(endpoints.iter().count() >= 9);
 }
 
