--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -5,7 +5,7 @@
     lynxwheel_engine::{
         CallOutcome, EndpointAddress, EndpointKey, EndpointReport, Event, StartOrder, TaskRef,
     },
-    lynxwheel_platform::EndpointCalls,
+    lynxwheel_platform::EndpointClient,
     serde::{Deserialize, Serialize},
 };
 
@@ -75,10 +75,10 @@
     }
 
     /// Makes the call.
-    pub async fn make(&self, calls: &EndpointCalls, to: &EndpointAddress) -> CallResult {
+    pub async fn make(&self, calls: &EndpointClient, to: &EndpointAddress) -> CallResult {
         match self {
             Self::Start(order) => {
-                let outcome = calls.start(to, order).await;
+                let outcome = calls.start_run(to, order).await;
                 info!(
                     event = "start_task", task:% = order.task, run = order.run,
                     endpoint = to.id.as_str(), deadline_ms = order.deadline_ms,
@@ -88,7 +88,7 @@
                 CallResult::Ordered(outcome)
             }
             Self::Stop(task, run) => {
-                let outcome = calls.stop(to, task, *run).await;
+                let outcome = calls.stop_run(to, task, *run).await;
                 info!(
                     event = "stop_task", task:% = task, run = *run, endpoint = to.id.as_str(),
                     outcome:? = outcome;
@@ -101,7 +101,9 @@
                 acknowledged,
                 wait_ms,
             } => {
-                let outcome = calls.renew(to, *deadline_ms, *acknowledged, *wait_ms).await;
+                let outcome = calls
+                    .renew_lease(to, *deadline_ms, *acknowledged, *wait_ms)
+                    .await;
                 if !matches!(outcome, CallOutcome::Done(_)) {
                     info!(
                         event = "renewal_failed", endpoint = to.id.as_str(), peer:% = to.address,
@@ -112,7 +114,7 @@
                 CallResult::Renewed(outcome)
             }
             Self::Pace(task, run, percent) => {
-                let is_done = calls.pace(to, task, *run, *percent).await;
+                let is_done = calls.set_pace(to, task, *run, *percent).await;
                 info!(
                     event = "pace", task:% = task, run = *run, percent = *percent,
                     is_done = is_done;
--- a/crates/controller/src/carrier.rs
+++ b/crates/controller/src/carrier.rs
@@ -16,7 +16,7 @@
     http::StatusCode,
     log::info,
     lynxwheel_engine::{CallOutcome, JobId, StartOrder},
-    lynxwheel_platform::EndpointCalls,
+    lynxwheel_platform::EndpointClient,
     std::{
         net::SocketAddr,
         sync::{
@@ -57,7 +57,7 @@
 struct Carrying {
     epoch: u64,
     owner: SocketAddr,
-    calls: EndpointCalls,
+    calls: EndpointClient,
     under_way: AtomicUsize,
     results: Mutex<Vec<(CallNumber, CallResult)>>,
     has_results: Notify,
@@ -69,7 +69,7 @@
         Self {
             epoch,
             owner,
-            calls: EndpointCalls::new(epoch),
+            calls: EndpointClient::new(epoch),
             under_way: AtomicUsize::new(0),
             results: Mutex::default(),
             has_results: Notify::new(),
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -12,7 +12,7 @@
     log::info,
     lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
     lynxwheel_platform::{
-        AdviceCalls, AppendOutcome, EndpointCalls, STATUS_TOPIC, StoreClient, VmCalls,
+        AdviceCalls, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmCalls,
         keyed_record, wave_status,
     },
     std::time::Duration,
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct Calls {
     actor: ActorRef<Owner>,
-    endpoints: EndpointCalls,
+    endpoints: EndpointClient,
     vms: Option<VmCalls>,
     advice: Option<AdviceCalls>,
     store: StoreClient,
@@ -114,7 +114,7 @@
     #[must_use]
     pub fn new(
         actor: ActorRef<Owner>,
-        endpoints: EndpointCalls,
+        endpoints: EndpointClient,
         vms: Option<VmCalls>,
         advice: Option<AdviceCalls>,
         store: StoreClient,
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -15,7 +15,7 @@
     kameo::{actor::Spawn, mailbox},
     log::{error, info, warn},
     lynxwheel_engine::{Engine, Event, Record, RecordKind, record_kind},
-    lynxwheel_platform::{AdviceCalls, EndpointCalls, KeyedRecord, VmCalls},
+    lynxwheel_platform::{AdviceCalls, EndpointClient, KeyedRecord, VmCalls},
     metrics::{counter, histogram},
     std::{
         sync::{
@@ -118,7 +118,7 @@
     // The actor gets the calls with its own reference, which exists only once it is spawned.
     let prepared = Owner::prepare_with_mailbox(mailbox::bounded(MAILBOX));
     let actor = prepared.actor_ref().clone();
-    let endpoint_calls = EndpointCalls::new(epoch);
+    let endpoint_calls = EndpointClient::new(epoch);
     let vm_calls = node
         .settings
         .vm_service
