--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -12,7 +12,7 @@
     log::info,
     lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
     lynxwheel_platform::{
-        AdviceCalls, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmCalls,
+        AdviceCalls, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
         keyed_record, wave_status,
     },
     std::time::Duration,
@@ -35,7 +35,7 @@
 pub struct Calls {
     actor: ActorRef<Owner>,
     endpoints: EndpointClient,
-    vms: Option<VmCalls>,
+    vms: Option<VmClient>,
     advice: Option<AdviceCalls>,
     store: StoreClient,
 }
@@ -115,7 +115,7 @@
     pub fn new(
         actor: ActorRef<Owner>,
         endpoints: EndpointClient,
-        vms: Option<VmCalls>,
+        vms: Option<VmClient>,
         advice: Option<AdviceCalls>,
         store: StoreClient,
     ) -> Self {
@@ -135,7 +135,7 @@
                 let Some(calls) = &self.vms else {
                     return;
                 };
-                let outcome = calls.move_to(&vm, &pool).await;
+                let outcome = calls.move_to_pool(&vm, &pool).await;
                 info!(
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
                     ""
@@ -146,7 +146,7 @@
                 let Some(calls) = &self.vms else {
                     return;
                 };
-                let outcome = calls.maintain(&vm, wave).await;
+                let outcome = calls.start_maintenance(&vm, wave).await;
                 info!(
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
                     ""
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -8,7 +8,7 @@
     log::{info, warn},
     lynxwheel_engine::Event,
     lynxwheel_platform::{
-        AccountMistake, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, Read, SERVERS_TOPIC, VmCalls,
+        AccountMistake, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, Read, SERVERS_TOPIC, VmClient,
         decode_endpoint, decode_operator_record,
     },
     std::{sync::Arc, time::Duration},
@@ -174,7 +174,7 @@
 }
 
 /// Follows the list of VMs for an owner.
-pub async fn follow_vms(calls: VmCalls, owner: Arc<OwnerHandle>) {
+pub async fn follow_vms(calls: VmClient, owner: Arc<OwnerHandle>) {
     let mut is_lost = false;
     loop {
         match calls.list().await {
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -15,7 +15,7 @@
     kameo::{actor::Spawn, mailbox},
     log::{error, info, warn},
     lynxwheel_engine::{Engine, Event, Record, RecordKind, record_kind},
-    lynxwheel_platform::{AdviceCalls, EndpointClient, KeyedRecord, VmCalls},
+    lynxwheel_platform::{AdviceCalls, EndpointClient, KeyedRecord, VmClient},
     metrics::{counter, histogram},
     std::{
         sync::{
@@ -122,7 +122,7 @@
     let vm_calls = node
         .settings
         .vm_service
-        .map(|address| VmCalls::new(address, node.settings.node_name.as_str(), epoch));
+        .map(|address| VmClient::new(address, node.settings.node_name.as_str(), epoch));
     let shares = Shares::new(node.settings.cpu_millis, node.settings.link_mbps);
     let carriers = Carriers::new(
         epoch,
