--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -12,7 +12,7 @@
     log::info,
     lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
     lynxwheel_platform::{
-        AdviceCalls, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
+        AdviceClient, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
         keyed_record, wave_status,
     },
     std::time::Duration,
@@ -36,7 +36,7 @@
     actor: ActorRef<Owner>,
     endpoints: EndpointClient,
     vms: Option<VmClient>,
-    advice: Option<AdviceCalls>,
+    advice: Option<AdviceClient>,
     store: StoreClient,
 }
 
@@ -116,7 +116,7 @@
         actor: ActorRef<Owner>,
         endpoints: EndpointClient,
         vms: Option<VmClient>,
-        advice: Option<AdviceCalls>,
+        advice: Option<AdviceClient>,
         store: StoreClient,
     ) -> Self {
         Self {
@@ -161,7 +161,7 @@
 
     async fn advise(&self, step: TaskRef, endpoints: &[CompactString]) {
         let answer = match &self.advice {
-            Some(calls) => calls.ask(&step, endpoints).await,
+            Some(calls) => calls.request_tickets(&step, endpoints).await,
             None => Err("no such service in the settings".into()),
         };
         info!(
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -15,7 +15,7 @@
     kameo::{actor::Spawn, mailbox},
     log::{error, info, warn},
     lynxwheel_engine::{Engine, Event, Record, RecordKind, record_kind},
-    lynxwheel_platform::{AdviceCalls, EndpointClient, KeyedRecord, VmClient},
+    lynxwheel_platform::{AdviceClient, EndpointClient, KeyedRecord, VmClient},
     metrics::{counter, histogram},
     std::{
         sync::{
@@ -135,7 +135,7 @@
         actor.clone(),
         endpoint_calls,
         vm_calls.clone(),
-        node.settings.advice_service.map(AdviceCalls::new),
+        node.settings.advice_service.map(AdviceClient::new),
         node.store.clone(),
     );
     let dispatcher = Dispatcher::new(carriers, calls);
