--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -8,7 +8,7 @@
     log::{info, warn},
     lynxwheel_engine::Event,
     lynxwheel_platform::{
-        AccountMistake, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, Read, SERVERS_TOPIC, VmClient,
+        AccountError, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, Read, SERVERS_TOPIC, VmClient,
         decode_endpoint, decode_operator_record,
     },
     std::{sync::Arc, time::Duration},
@@ -115,7 +115,7 @@
         for record in records {
             match decode_operator_record(&record) {
                 Some(OperatorRecord::Config(config, mistakes)) => {
-                    for AccountMistake { account, field } in mistakes {
+                    for AccountError { account, field } in mistakes {
                         warn!(
                             event = "account_left_out", version = config.version,
                             account = account.as_str(), field = field.as_str();
