--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -8,8 +8,8 @@
     log::{info, warn},
     lynxwheel_engine::Event,
     lynxwheel_platform::{
-        AccountError, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, Read, SERVERS_TOPIC, VmClient,
-        decode_endpoint, decode_operator_record,
+        AccountError, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, ReadOutcome, SERVERS_TOPIC,
+        VmClient, decode_endpoint, decode_operator_record,
     },
     std::{sync::Arc, time::Duration},
     tokio::time::sleep,
@@ -89,7 +89,7 @@
     ) -> Result<(Vec<KeyedRecord>, bool), String> {
         let read = node.store.read(self.topic, from, wait_ms).await;
         match read.map_err(|error| error.to_string())? {
-            Read::Records { records, .. } => {
+            ReadOutcome::Records { records, .. } => {
                 let count = u64::try_from(records.len()).unwrap_or_default();
                 self.from = Some(from + count);
                 let decoded = records
@@ -98,8 +98,8 @@
                 Ok((decoded.collect(), false))
             }
             // What was missed is among the newest records.
-            Read::Trimmed { .. } => self.load(node).await,
-            Read::Missing => {
+            ReadOutcome::Trimmed { .. } => self.load(node).await,
+            ReadOutcome::Missing => {
                 sleep(Duration::from_millis(RETRY_MS)).await;
                 Ok((Vec::new(), false))
             }
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -12,7 +12,7 @@
         take_over,
     },
     log::{info, warn},
-    lynxwheel_platform::{AppendOutcome, Read},
+    lynxwheel_platform::{AppendOutcome, ReadOutcome},
     lynxwheel_transport::{Client, TransportError},
     std::{
         sync::{
@@ -120,7 +120,7 @@
     let now_ms = clock::steady_ms();
     let mut is_missing = false;
     let is_read = match read {
-        Ok(Read::Records { records, .. }) => {
+        Ok(ReadOutcome::Records { records, .. }) => {
             node.view.send_modify(|view| {
                 // The renewal of this node's own duties may have moved on meanwhile.
                 view.note_read(now_ms);
@@ -130,11 +130,11 @@
             });
             true
         }
-        Ok(Read::Trimmed { first }) => {
+        Ok(ReadOutcome::Trimmed { first }) => {
             node.view.send_modify(|view| view.skip_to(first));
             true
         }
-        Ok(Read::Missing) => {
+        Ok(ReadOutcome::Missing) => {
             node.view.send_modify(|view| view.note_read(now_ms));
             is_missing = true;
             true
