--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -75,7 +75,7 @@
     }
 
     async fn load(&mut self, node: &Node) -> Result<(Vec<KeyedRecord>, bool), String> {
-        let loaded = node.store.newest(self.topic).await;
+        let loaded = node.store.latest_records(self.topic).await;
         let (records, end) = loaded.map_err(|error| error.to_string())?;
         self.from = Some(end.end);
         Ok((records, true))
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -84,7 +84,7 @@
             None => return Err("store out of reach".into()),
         }
     }
-    let newest = node.store.newest(STATE_TOPIC).await;
+    let newest = node.store.latest_records(STATE_TOPIC).await;
     let (records, _) = newest.map_err(|error| error.to_string())?;
     Ok((writer, records))
 }
