--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -3,7 +3,9 @@
 use {
     log::warn,
     lynxwheel_engine::Record,
-    lynxwheel_platform::{AppendOutcome, PlatformSettings, Producer, StoreClient, keyed_record},
+    lynxwheel_platform::{
+        AppendOutcome, PlatformSettings, Producer, StoreClient, encode_keyed_record,
+    },
     metrics::counter,
     std::{
         sync::{
@@ -100,7 +102,7 @@
         let mut appends: Vec<(u64, Vec<Vec<u8>>)> = Vec::new();
         let mut bytes = usize::MAX;
         for record in records {
-            let encoded = keyed_record(&record.key, &record.value);
+            let encoded = encode_keyed_record(&record.key, &record.value);
             let size = encoded.len() + FRAME_BYTES;
             if bytes.saturating_add(size) > self.request_bytes {
                 appends.push((self.sequence, Vec::new()));
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -13,7 +13,7 @@
     lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
     lynxwheel_platform::{
         AdviceClient, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
-        keyed_record, wave_status,
+        encode_keyed_record, wave_status,
     },
     std::time::Duration,
     tokio::time::sleep,
@@ -180,7 +180,7 @@
 
     async fn publish(&self, wave: u64, is_completed: bool) {
         let (key, value) = wave_status(wave, is_completed);
-        let record = keyed_record(&key, &value);
+        let record = encode_keyed_record(&key, &value);
         loop {
             let records = std::slice::from_ref(&record);
             let outcome = self.store.append(STATUS_TOPIC, records, None, None).await;
