--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -8,7 +8,7 @@
     log::{info, warn},
     lynxwheel_engine::Event,
     lynxwheel_platform::{
-        AccountError, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, ReadOutcome, SERVERS_TOPIC,
+        AccountError, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, REGISTRY_TOPIC, ReadOutcome,
         VmClient, decode_endpoint, decode_operator_record,
     },
     std::{sync::Arc, time::Duration},
@@ -136,7 +136,7 @@
 
 /// Follows the registry for an owner.
 pub async fn follow_registry(node: Arc<Node>, owner: Arc<OwnerHandle>) {
-    let mut follower = Follower::new(SERVERS_TOPIC);
+    let mut follower = Follower::new(REGISTRY_TOPIC);
     let mut listed: Vec<String> = Vec::new();
     loop {
         let (records, is_whole) = follower.next(&node, REGISTRY_WAIT_MS).await;
