--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -13,7 +13,7 @@
     lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
     lynxwheel_platform::{
         AdviceClient, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
-        encode_keyed_record, wave_status,
+        encode_keyed_record, encode_wave_status,
     },
     std::time::Duration,
     tokio::time::sleep,
@@ -179,7 +179,7 @@
     }
 
     async fn publish(&self, wave: u64, is_completed: bool) {
-        let (key, value) = wave_status(wave, is_completed);
+        let (key, value) = encode_wave_status(wave, is_completed);
         let record = encode_keyed_record(&key, &value);
         loop {
             let records = std::slice::from_ref(&record);
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -12,7 +12,9 @@
     hyper::body::Incoming,
     log::info,
     lynxwheel_engine::JobId,
-    lynxwheel_platform::{caller_deadline_ms, caller_key, decode_job, pending_body, state_body},
+    lynxwheel_platform::{
+        caller_key, caller_timeout_ms, decode_job, encode_job_state, encode_pending_count,
+    },
     lynxwheel_transport::{Body, Server, collect_body, error_answer, full_body},
     metrics::{counter, histogram},
     std::{io, sync::Arc, time::Duration},
@@ -146,7 +148,7 @@
 }
 
 fn deadline(request: &Request<Incoming>) -> Duration {
-    let deadline_ms = caller_deadline_ms(request.headers()).unwrap_or(DEFAULT_DEADLINE_MS);
+    let deadline_ms = caller_timeout_ms(request.headers()).unwrap_or(DEFAULT_DEADLINE_MS);
     Duration::from_millis(deadline_ms.saturating_sub(WAY_BACK_MS))
 }
 
@@ -199,7 +201,7 @@
         account: access.account.clone(),
     };
     match ask_owner(node, "state", caller, ask).await {
-        Ok(OwnerAnswer::State(state)) => json(state_body(state)),
+        Ok(OwnerAnswer::State(state)) => json(encode_job_state(state)),
         Ok(OwnerAnswer::Unknown) => error_answer(StatusCode::GONE, "no such job"),
         Ok(OwnerAnswer::OtherAccount) => other_account(),
         Ok(_) => unavailable("no owner to ask"),
@@ -230,7 +232,7 @@
         queue: access.queue.clone(),
     };
     match ask_owner(node, "count", caller, ask).await {
-        Ok(OwnerAnswer::Pending(count)) => json(pending_body(count)),
+        Ok(OwnerAnswer::Pending(count)) => json(encode_pending_count(count)),
         Ok(_) => unavailable("no owner to ask"),
         Err(denied) => denied,
     }
