--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -65,7 +65,7 @@
         Self {
             epoch,
             sequence: 0,
-            request_bytes: settings.request_bytes / 2,
+            request_bytes: settings.max_append_bytes / 2,
             stored_end: Arc::default(),
         }
     }
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -51,7 +51,7 @@
 ///
 /// Fails when it cannot be bound.
 pub async fn bind(node: &Node) -> io::Result<Server> {
-    Server::bind(node.settings.callers).await
+    Server::bind(node.settings.caller_address).await
 }
 
 /// Answers callers until the node closes.
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -158,13 +158,13 @@
         let ip: IpAddr = settings
             .ip
             .parse()
-            .unwrap_or_else(|_| settings.callers.ip());
+            .unwrap_or_else(|_| settings.caller_address.ip());
         Self {
             incarnation: rand::random(),
             begun_ms: clock::steady_ms(),
             speed: Mutex::default(),
             peer_address: SocketAddr::new(ip, settings.peer_ports.0),
-            store: StoreClient::new(settings.store),
+            store: StoreClient::new(settings.store_address),
             peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
             config: ArcSwap::default(),
             config_read_ms: AtomicU64::new(0),
@@ -299,7 +299,7 @@
             lease_ms: bounds.max_lease_ms.min(LEASE_MS),
             retention_ms: bounds.retention_ms + RETENTION_SLACK_MS,
             maintenance_ms: bounds.maintenance_ms,
-            vm_holder_ms: bounds.vm_holder_ms,
+            vm_holder_ms: bounds.vm_lease_ms,
             vm_orders_per_s: self.settings.vm_orders_per_s,
         }
     }
--- a/crates/controller/src/ready.rs
+++ b/crates/controller/src/ready.rs
@@ -13,7 +13,7 @@
 ///
 /// Fails when it cannot be bound.
 pub async fn bind(node: &Node) -> io::Result<Server> {
-    Server::bind(node.settings.ready).await
+    Server::bind(node.settings.readiness_address).await
 }
 
 /// Answers the balancer.
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -121,7 +121,7 @@
     let endpoint_calls = EndpointClient::new(epoch);
     let vm_calls = node
         .settings
-        .vm_service
+        .vm_service_address
         .map(|address| VmClient::new(address, node.settings.node_name.as_str(), epoch));
     let shares = Shares::new(node.settings.cpu_millis, node.settings.link_mbps);
     let carriers = Carriers::new(
@@ -135,7 +135,7 @@
         actor.clone(),
         endpoint_calls,
         vm_calls.clone(),
-        node.settings.advice_service.map(AdviceClient::new),
+        node.settings.advice_service_address.map(AdviceClient::new),
         node.store.clone(),
     );
     let dispatcher = Dispatcher::new(carriers, calls);
@@ -173,7 +173,7 @@
 /// and the pool whose turn it is gets its VMs seconds late.
 fn bound_vm_rests(node: &Node, engine: &mut Engine, records: &[Record], offsets: &[Option<u64>]) {
     let view = node.view.borrow();
-    let holder_ms = node.settings.bounds.vm_holder_ms + VM_ORDER_MS;
+    let holder_ms = node.settings.bounds.vm_lease_ms + VM_ORDER_MS;
     for (record, offset) in records.iter().zip(offsets) {
         if record_kind(&record.key) == Some(RecordKind::Vm)
             && let Some(by_ms) = offset.and_then(|offset| view.stored_by_ms(offset))
