--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -8,8 +8,8 @@
     log::{info, warn},
     lynxwheel_engine::Event,
     lynxwheel_platform::{
-        AccountMistake, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, Read, SERVERS_TOPIC, VmCalls,
-        decode_endpoint, decode_operator_record,
+        AccountError, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, REGISTRY_TOPIC, ReadOutcome,
+        VmClient, decode_endpoint, decode_operator_record,
     },
     std::{sync::Arc, time::Duration},
     tokio::time::sleep,
@@ -75,7 +75,7 @@
     }
 
     async fn load(&mut self, node: &Node) -> Result<(Vec<KeyedRecord>, bool), String> {
-        let loaded = node.store.newest(self.topic).await;
+        let loaded = node.store.latest_records(self.topic).await;
         let (records, end) = loaded.map_err(|error| error.to_string())?;
         self.from = Some(end.end);
         Ok((records, true))
@@ -89,7 +89,7 @@
     ) -> Result<(Vec<KeyedRecord>, bool), String> {
         let read = node.store.read(self.topic, from, wait_ms).await;
         match read.map_err(|error| error.to_string())? {
-            Read::Records { records, .. } => {
+            ReadOutcome::Records { records, .. } => {
                 let count = u64::try_from(records.len()).unwrap_or_default();
                 self.from = Some(from + count);
                 let decoded = records
@@ -98,8 +98,8 @@
                 Ok((decoded.collect(), false))
             }
             // What was missed is among the newest records.
-            Read::Trimmed { .. } => self.load(node).await,
-            Read::Missing => {
+            ReadOutcome::Trimmed { .. } => self.load(node).await,
+            ReadOutcome::Missing => {
                 sleep(Duration::from_millis(RETRY_MS)).await;
                 Ok((Vec::new(), false))
             }
@@ -115,7 +115,7 @@
         for record in records {
             match decode_operator_record(&record) {
                 Some(OperatorRecord::Config(config, mistakes)) => {
-                    for AccountMistake { account, field } in mistakes {
+                    for AccountError { account, field } in mistakes {
                         warn!(
                             event = "account_left_out", version = config.version,
                             account = account.as_str(), field = field.as_str();
@@ -136,7 +136,7 @@
 
 /// Follows the registry for an owner.
 pub async fn follow_registry(node: Arc<Node>, owner: Arc<OwnerHandle>) {
-    let mut follower = Follower::new(SERVERS_TOPIC);
+    let mut follower = Follower::new(REGISTRY_TOPIC);
     let mut listed: Vec<String> = Vec::new();
     loop {
         let (records, is_whole) = follower.next(&node, REGISTRY_WAIT_MS).await;
@@ -174,7 +174,7 @@
 }
 
 /// Follows the list of VMs for an owner.
-pub async fn follow_vms(calls: VmCalls, owner: Arc<OwnerHandle>) {
+pub async fn follow_vms(calls: VmClient, owner: Arc<OwnerHandle>) {
     let mut is_lost = false;
     loop {
         match calls.list().await {
