--- a/crates/api/tests/api/common.rs
+++ b/crates/api/tests/api/common.rs
@@ -3,7 +3,7 @@
 use {
     http::Method,
     lynxwheel_api::{Access, Api},
-    lynxwheel_coordination::{Duties, Node, NodeIdentity, NodeSettings},
+    lynxwheel_coordination::{BackgroundThreads, Node, NodeIdentity, NodeSettings},
     lynxwheel_protocol::Kind,
     lynxwheel_standin::{Faults, PlatformServer, VmTemplate},
     lynxwheel_transport::{Answer, Client, ClientRequest, Server, ServerLimits, Shutdown},
@@ -29,7 +29,7 @@
     pub client: Client,
     pub stop: Shutdown,
     pub server: JoinHandle<()>,
-    _duties: Duties,
+    _threads: BackgroundThreads,
 }
 
 impl Drop for TestNode {
@@ -55,7 +55,7 @@
     settings.propose_timeout_ms = PROPOSE_TIMEOUT_MS;
     settings.tick_ms = 50;
     let stop = Shutdown::new();
-    let (node, duties) = Node::start(settings, &stop);
+    let (node, threads) = Node::start(settings, &stop);
     let api = Api::start(node.clone(), access, stop.clone());
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let server = Server::bind(address).await.expect("bind");
@@ -71,7 +71,7 @@
         node,
         stop,
         server,
-        _duties: duties,
+        _threads: threads,
     };
     let node = test_node.node.clone();
     wait_until("the node is current", || {
--- a/crates/coordination/src/duty.rs
+++ b/crates/coordination/src/background.rs
@@ -6,13 +6,17 @@
     tokio::runtime::Handle,
 };
 
-/// Runs a duty on a thread of its own until the signal is given, on the sockets and timers of the
+/// Runs a future on a thread of its own until the signal is given, on the sockets and timers of the
 /// current runtime.
 ///
 /// # Errors
 ///
 /// Fails when no thread can be started.
-pub fn spawn_duty<F>(name: &str, shutdown: &Shutdown, duty: F) -> io::Result<thread::JoinHandle<()>>
+pub fn spawn_background_thread<F>(
+    name: &str,
+    shutdown: &Shutdown,
+    future: F,
+) -> io::Result<thread::JoinHandle<()>>
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -21,7 +25,7 @@
     thread::Builder::new().name(name.to_owned()).spawn(move || {
         handle.block_on(async move {
             tokio::select! {
-                () = duty => {}
+                () = future => {}
                 () = shutdown.wait() => {}
             }
         });
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -7,17 +7,17 @@
 //! # async fn run() {
 //! let identity = NodeIdentity::new("node-1", "zone-1");
 //! let settings = NodeSettings::new(identity, "127.0.0.1:7000".parse().unwrap());
-//! let (node, _duties) = Node::start(settings, &Shutdown::new());
+//! let (node, _threads) = Node::start(settings, &Shutdown::new());
 //! println!("folded up to {}", node.state().offset());
 //! # }
 //! ```
 
 mod actions;
 mod appender;
+mod background;
 mod catch_up;
 mod clock;
 mod divergence;
-mod duty;
 mod fold;
 mod log_client;
 mod membership;
@@ -43,10 +43,10 @@
 mod waiters;
 mod watched;
 
+pub use background::spawn_background_thread;
 pub use clock::Clock;
-pub use duty::spawn_duty;
 pub use log_client::{LogClient, LogError};
-pub use node::{Duties, Node};
+pub use node::{BackgroundThreads, Node};
 pub use operations::Operation;
 pub use pace::{Pace, RateShare};
 pub use peers::{LocalView, PeerView, Peers};
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,13 +1,13 @@
-//! One node: its duties and what they share.
+//! One node: its threads and what they share.
 
 use {
     crate::{
         actions,
         appender::Appender,
+        background::spawn_background_thread,
         catch_up::catch_up,
         clock::{Clock, new_incarnation},
         divergence::Divergence,
-        duty::spawn_duty,
         fold::{Fold, FoldOutputs},
         log_client::LogClient,
         membership::{PEER_CONNECTIONS, exchange_hellos},
@@ -113,7 +113,7 @@
 impl Node {
     /// Starts a node and its duties, which end with the signal.
     #[must_use]
-    pub fn start(settings: NodeSettings, shutdown: &Shutdown) -> (Self, Duties) {
+    pub fn start(settings: NodeSettings, shutdown: &Shutdown) -> (Self, BackgroundThreads) {
         let incarnation = new_incarnation(settings.identity.node.as_str(), &settings.clock);
         let outputs = FoldOutputs::new(FleetState::new());
         let log = LogClient::new(settings.platform, &settings.stream);
@@ -122,18 +122,18 @@
         let node = Self {
             inner: Arc::new(Inner::new(settings, incarnation, &log, outputs)),
         };
-        let mut duties = Duties::new(shutdown.clone());
-        duties.run("reader", reader::read_log(node.clone(), log, fold.clone()));
-        duties.run("observer", observer::observe(node.clone()));
-        duties.run("planner", planner::plan(node.clone()));
-        duties.run("actions", actions::act(node.clone()));
-        duties.run("tasks", tasks::run(node.clone()));
-        duties.run("membership", exchange_hellos(node.clone()));
-        duties.run("catch_up", catch_up(node.clone(), fold));
-        duties.run("snapshots", write_snapshots(node.clone()));
-        duties.run("upkeep", keep_up(node.clone()));
-        duties.run("join", join(node.clone()));
-        (node, duties)
+        let mut threads = BackgroundThreads::new(shutdown.clone());
+        threads.run("reader", reader::read_log(node.clone(), log, fold.clone()));
+        threads.run("observer", observer::observe(node.clone()));
+        threads.run("planner", planner::plan(node.clone()));
+        threads.run("actions", actions::act(node.clone()));
+        threads.run("tasks", tasks::run(node.clone()));
+        threads.run("membership", exchange_hellos(node.clone()));
+        threads.run("catch_up", catch_up(node.clone(), fold));
+        threads.run("snapshots", write_snapshots(node.clone()));
+        threads.run("upkeep", keep_up(node.clone()));
+        threads.run("join", join(node.clone()));
+        (node, threads)
     }
 
     /// Returns the settings.
@@ -268,12 +268,12 @@
 
 /// Threads of a node's duties.
 #[derive(Debug)]
-pub struct Duties {
+pub struct BackgroundThreads {
     shutdown: Shutdown,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-impl Duties {
+impl BackgroundThreads {
     fn new(shutdown: Shutdown) -> Self {
         Self {
             shutdown,
@@ -281,8 +281,8 @@
         }
     }
 
-    fn run<F: Future<Output = ()> + Send + 'static>(&mut self, name: &str, duty: F) {
-        match spawn_duty(name, &self.shutdown, duty) {
+    fn run<F: Future<Output = ()> + Send + 'static>(&mut self, name: &str, future: F) {
+        match spawn_background_thread(name, &self.shutdown, future) {
             Ok(thread) => self.threads.push(thread),
             Err(problem) => error!(event = "duty_not_started", duty = name; "{problem}"),
         }
--- a/crates/coordination/tests/attempts.rs
+++ b/crates/coordination/tests/attempts.rs
@@ -92,7 +92,7 @@
     let mut settings = NodeSettings::new(identity, platform.address());
     settings.tick_ms = TICK_MS;
     let shutdown = Shutdown::new();
-    let (node, duties) = Node::start(settings, &shutdown);
+    let (node, threads) = Node::start(settings, &shutdown);
     for resource in declarations() {
         declare(&node, resource).await;
     }
@@ -122,7 +122,7 @@
         "records of an end that cannot be known yet"
     );
     shutdown.begin();
-    tokio::task::spawn_blocking(move || duties.join())
+    tokio::task::spawn_blocking(move || threads.join())
         .await
         .expect("no panic");
 }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -4,7 +4,9 @@
 #![allow(dead_code)]
 
 use {
-    lynxwheel_coordination::{Clock, Duties, Node, NodeIdentity, NodeSettings, PeerAddress},
+    lynxwheel_coordination::{
+        BackgroundThreads, Clock, Node, NodeIdentity, NodeSettings, PeerAddress,
+    },
     lynxwheel_protocol::PeerHello,
     lynxwheel_standin::PlatformServer,
     lynxwheel_transport::{Client, Server, Shutdown},
@@ -34,7 +36,7 @@
     pub node: Node,
     /// Ends the node.
     pub shutdown: Shutdown,
-    _duties: Duties,
+    _threads: BackgroundThreads,
 }
 
 /// A platform and the addresses of its nodes.
@@ -101,7 +103,7 @@
     pub async fn run_with(&self, row: usize, settings: NodeSettings) -> RunningNode {
         let shutdown = Shutdown::new();
         let server = bind(self.addresses[row].address).await;
-        let (node, duties) = Node::start(settings, &shutdown);
+        let (node, threads) = Node::start(settings, &shutdown);
         let peer = node.clone();
         tokio::spawn(server.serve(shutdown.clone(), move |request| {
             let peer = peer.clone();
@@ -110,7 +112,7 @@
         RunningNode {
             node,
             shutdown,
-            _duties: duties,
+            _threads: threads,
         }
     }
 }
--- a/crates/coordination/tests/joining.rs
+++ b/crates/coordination/tests/joining.rs
@@ -21,7 +21,7 @@
     platform.with_platform(|platform| platform.faults.log_slow_ms = 100);
     let settings = NodeSettings::new(NodeIdentity::new("node-1", "zone-1"), platform.address());
     let shutdown = Shutdown::new();
-    let (node, duties) = Node::start(settings, &shutdown);
+    let (node, threads) = Node::start(settings, &shutdown);
     let mut is_put_off = false;
     let verdict = loop {
         match node
@@ -43,7 +43,7 @@
     assert!(is_put_off, "nothing was put off, so the test shows nothing");
     assert_eq!(verdict, Verdict::Accepted);
     shutdown.begin();
-    tokio::task::spawn_blocking(move || duties.join())
+    tokio::task::spawn_blocking(move || threads.join())
         .await
         .expect("no panic");
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,7 +9,7 @@
 //! let identity = NodeIdentity::new("node-1", "zone-1");
 //! let settings = NodeSettings::new(identity, "127.0.0.1:7000".parse().unwrap());
 //! let shutdown = Shutdown::new();
-//! let (node, _duties) = Node::start(settings, &shutdown);
+//! let (node, _threads) = Node::start(settings, &shutdown);
 //! let gateway = Gateway::new(node);
 //! let server = Server::bind("127.0.0.1:8080".parse().unwrap()).await?;
 //! server.serve(shutdown, move |request| gateway.clone().handle(request)).await;
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use {
     http::{Method, Request, Response, StatusCode},
     hyper::body::Incoming,
-    lynxwheel_coordination::{Duties, Node, NodeIdentity, NodeSettings, PeerAddress},
+    lynxwheel_coordination::{BackgroundThreads, Node, NodeIdentity, NodeSettings, PeerAddress},
     lynxwheel_decisions::{RoutePolicy, own_share},
     lynxwheel_gateway::{
         Gateway, IDEMPOTENCY_KEY_HEADER, PEER_ANSWER_PATH, PEER_RUN_PATH, REQUEST_ID_HEADER,
@@ -83,7 +83,7 @@
     pub callers: Client,
     shutdown: Shutdown,
     runtime: Option<Runtime>,
-    _duties: Duties,
+    _threads: BackgroundThreads,
 }
 
 impl TestNode {
@@ -94,7 +94,7 @@
             .build()
             .expect("runtime");
         let shutdown = Shutdown::new();
-        let (node, duties) = {
+        let (node, threads) = {
             let _entered = runtime.enter();
             Node::start(settings, &shutdown)
         };
@@ -118,7 +118,7 @@
             callers: Client::new(address, 1_024),
             shutdown,
             runtime: Some(runtime),
-            _duties: duties,
+            _threads: threads,
         }
     }
 
--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -6,7 +6,7 @@
     hyper::body::Incoming,
     log::{error, info, warn},
     lynxwheel_api::Api,
-    lynxwheel_coordination::{Duties, Node},
+    lynxwheel_coordination::{BackgroundThreads, Node},
     lynxwheel_gateway::{Gateway, PEER_ANSWER_PATH, PEER_RUN_PATH},
     lynxwheel_transport::{Body, Server, Shutdown, error_answer, json_answer},
     metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle},
@@ -74,7 +74,7 @@
     drain: Duration,
     servers: Vec<JoinHandle<()>>,
     peer_server: JoinHandle<()>,
-    duties: Duties,
+    threads: BackgroundThreads,
 }
 
 impl Daemon {
@@ -91,7 +91,7 @@
         let stopping = Shutdown::new();
         let closing = Shutdown::new();
         let ending = Shutdown::new();
-        let (node, duties) = Node::start(config.node_settings(), &ending);
+        let (node, threads) = Node::start(config.node_settings(), &ending);
         let addresses = (
             local(&callers, config.callers),
             local(&operators, config.operators),
@@ -127,7 +127,7 @@
             drain: Duration::from_millis(config.drain_ms),
             servers,
             peer_server,
-            duties,
+            threads,
         })
     }
 
@@ -168,8 +168,12 @@
         }
         self.ending.begin();
         await_end("peer_server", self.peer_server).await;
-        let duties = self.duties;
-        await_end("duties", tokio::task::spawn_blocking(move || duties.join())).await;
+        let threads = self.threads;
+        await_end(
+            "duties",
+            tokio::task::spawn_blocking(move || threads.join()),
+        )
+        .await;
         info!(event = "stopped"; "");
     }
 }
