--- a/crates/api/src/changes.rs
+++ b/crates/api/src/changes.rs
@@ -184,7 +184,7 @@
 
 /// Compares published states until the signal.
 pub(crate) async fn follow(node: Node, log: Arc<ChangeLog>, stop: Shutdown) {
-    let mut offsets = node.published().offsets();
+    let mut offsets = node.published_state().subscribe();
     loop {
         log.catch_up(node.state());
         let changed = tokio::select! {
--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -30,7 +30,7 @@
 pub(crate) async fn act(node: Node) {
     let platform = Client::new(node.settings().platform, CONNECTIONS);
     let tick = Duration::from_millis(node.settings().tick_ms);
-    let mut offsets = node.published().offsets();
+    let mut offsets = node.published_state().subscribe();
     loop {
         if node.has_diverged() {
             // A drain by a state that nobody else has would take a VM out of service uncharged.
--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -6,7 +6,7 @@
         log_client::{LogClient, LogError},
         pace::{Pace, RateShare},
         proposer::{Decision, ProposeError},
-        published::Published,
+        published_state::PublishedState,
         waiters::Waiters,
     },
     kameo::{
@@ -83,7 +83,7 @@
     pace: Pace,
     share: RateShare,
     started: Instant,
-    published: Arc<Published>,
+    published: Arc<PublishedState>,
     waiters: Arc<Waiters>,
     incarnation: u64,
     sequence: u64,
@@ -100,7 +100,7 @@
         log: LogClient,
         clock: Clock,
         share: RateShare,
-        published: Arc<Published>,
+        published: Arc<PublishedState>,
         waiters: Arc<Waiters>,
         incarnation: u64,
     ) -> Self {
@@ -271,7 +271,7 @@
     records: Vec<Record>,
     appender: ActorRef<Appender>,
     log: LogClient,
-    published: Arc<Published>,
+    published: Arc<PublishedState>,
     waiters: Arc<Waiters>,
 }
 
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -5,7 +5,7 @@
         divergence::{DigestAt, Divergence},
         operations::Operations,
         proposer::Decision,
-        published::Published,
+        published_state::PublishedState,
         recent::RecentEntries,
         waiters::Waiters,
     },
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct FoldOutputs {
     /// Latest state.
-    pub(crate) published: Arc<Published>,
+    pub(crate) published: Arc<PublishedState>,
     /// Proposers that wait for their records.
     pub(crate) waiters: Arc<Waiters>,
     /// Latest entries, for peers that are cut from the log.
@@ -58,7 +58,7 @@
 impl FoldOutputs {
     pub(crate) fn new(state: FleetState) -> Self {
         Self {
-            published: Arc::new(Published::new(state)),
+            published: Arc::new(PublishedState::new(state)),
             waiters: Arc::default(),
             recent: Arc::default(),
             operations: Arc::default(),
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -17,7 +17,7 @@
         peers::Peers,
         planner,
         proposer::Proposer,
-        published::Published,
+        published_state::PublishedState,
         reader,
         readiness::Readiness,
         recent::RecentEntries,
@@ -162,7 +162,7 @@
 
     /// Returns where the state is published.
     #[must_use]
-    pub fn published(&self) -> &Published {
+    pub fn published_state(&self) -> &PublishedState {
         &self.inner.outputs.published
     }
 
@@ -253,7 +253,7 @@
 
     /// Tells whether the node itself has read the log lately and to its end.
     pub(crate) fn reads_log(&self) -> bool {
-        let read_ms = self.inner.outputs.published.read_ms();
+        let read_ms = self.inner.outputs.published.last_read_ms();
         read_ms + CURRENT_MS > self.clock().now_ms() && self.inner.outputs.published.is_caught_up()
     }
 
--- a/crates/coordination/src/published.rs
+++ b/crates/coordination/src/published_state.rs
@@ -12,7 +12,7 @@
 
 /// Latest state, read without locks, and its offset to wait on.
 #[derive(Debug)]
-pub struct Published {
+pub struct PublishedState {
     state: ArcSwap<FleetState>,
     offset: watch::Sender<u64>,
     read_ms: AtomicU64,
@@ -20,7 +20,7 @@
     earliest_offset: AtomicU64,
 }
 
-impl Published {
+impl PublishedState {
     /// Publishes a first state.
     #[must_use]
     pub fn new(state: FleetState) -> Self {
@@ -52,12 +52,12 @@
 
     /// Returns a receiver of the offsets published.
     #[must_use]
-    pub fn offsets(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.offset.subscribe()
     }
 
     /// Notes that the log was read successfully, and what it holds.
-    pub fn note_read(&self, now_ms: u64, earliest_offset: u64, end_offset: u64) {
+    pub fn record_read(&self, now_ms: u64, earliest_offset: u64, end_offset: u64) {
         self.earliest_offset
             .store(earliest_offset, Ordering::Relaxed);
         self.read_ms.store(now_ms, Ordering::Relaxed);
@@ -66,7 +66,7 @@
 
     /// Returns when the log was last read, in milliseconds since the epoch; 0 means never.
     #[must_use]
-    pub fn read_ms(&self) -> u64 {
+    pub fn last_read_ms(&self) -> u64 {
         self.read_ms.load(Ordering::Relaxed)
     }
 
--- a/crates/coordination/src/reader.rs
+++ b/crates/coordination/src/reader.rs
@@ -88,7 +88,7 @@
         tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
         return Ok(());
     }
-    node.published().note_read(
+    node.published_state().record_read(
         node.clock().now_ms(),
         answer.earliest_offset,
         answer.next_offset - 1,
--- a/crates/coordination/src/snapshots.rs
+++ b/crates/coordination/src/snapshots.rs
@@ -56,7 +56,7 @@
     let settings = node.settings();
     let last = state.snapshot().map_or(0, |id| id.offset);
     let records = state.offset().saturating_sub(last);
-    let earliest = node.published().earliest_offset();
+    let earliest = node.published_state().earliest_offset();
     if earliest > last + 1 {
         // No starting node could go on from this snapshot: all nodes replaced at once would
         // lose what was accepted. The retention is shorter than the settings take it to be.
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -29,7 +29,7 @@
 pub(crate) async fn run(node: Node) {
     let platform = Client::new(node.settings().platform, CONNECTIONS);
     let tick = Duration::from_millis(node.settings().tick_ms);
-    let mut offsets = node.published().offsets();
+    let mut offsets = node.published_state().subscribe();
     let mut watched = Watched::default();
     loop {
         let began = Instant::now();
--- a/crates/gateway/src/intents.rs
+++ b/crates/gateway/src/intents.rs
@@ -111,7 +111,7 @@
 
     /// Waits until the fold has gone past a record of this run.
     async fn wait_decided(&self, id: WriterId) {
-        let mut offsets = self.node.published().offsets();
+        let mut offsets = self.node.published_state().subscribe();
         loop {
             let is_decided = self
                 .node
--- a/crates/scenario/src/node.rs
+++ b/crates/scenario/src/node.rs
@@ -1,7 +1,7 @@
 //! A simulated node: a cursor into the log, the folded state and what it believes.
 
 use {
-    lynxwheel_coordination::{Published, SnapshotAssembly},
+    lynxwheel_coordination::{PublishedState, SnapshotAssembly},
     lynxwheel_protocol::{NodeName, ReadAnswer, Record, VmName, WriterId, ZoneName, decode_record},
     lynxwheel_state::{FleetState, Verdict},
     std::{error, fmt},
@@ -56,7 +56,7 @@
     pub(crate) beliefs: Vec<Belief>,
     pub(crate) snapshots: SnapshotAssembly,
     state: FleetState,
-    published: Published,
+    published: PublishedState,
 }
 
 impl SimNode {
@@ -77,7 +77,7 @@
             unanswered: None,
             beliefs: Vec::new(),
             snapshots: SnapshotAssembly::default(),
-            published: Published::new(state.clone()),
+            published: PublishedState::new(state.clone()),
             state,
         }
     }
