--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -24,12 +24,12 @@
 type ReadEndpoints = Box<dyn Fn() -> Vec<EndpointLoad> + Send + Sync>;
 
 /// What the request path tells the peers.
-pub struct LocalView {
+pub struct LocalEndpoints {
     loads: ReadEndpoints,
     leaving: ReadEndpoints,
 }
 
-impl LocalView {
+impl LocalEndpoints {
     /// Creates a view from two functions, which must be quick.
     #[must_use]
     pub fn new(
@@ -43,9 +43,11 @@
     }
 }
 
-impl fmt::Debug for LocalView {
+impl fmt::Debug for LocalEndpoints {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_struct("LocalView").finish_non_exhaustive()
+        formatter
+            .debug_struct("LocalEndpoints")
+            .finish_non_exhaustive()
     }
 }
 
@@ -65,7 +67,7 @@
     configured: Vec<NodeName>,
     started_ms: u64,
     rows: Mutex<Vec<PeerView>>,
-    local: OnceLock<LocalView>,
+    local: OnceLock<LocalEndpoints>,
     is_stopping: AtomicBool,
     news: watch::Sender<u64>,
 }
@@ -89,7 +91,7 @@
     }
 
     /// Sets what the request path tells the peers; only the first call counts.
-    pub fn set_local(&self, local: LocalView) {
+    pub fn set_local_endpoints(&self, local: LocalEndpoints) {
         drop(self.local.set(local));
     }
 
@@ -198,7 +200,7 @@
         self.listed(|local| &local.leaving)
     }
 
-    fn listed(&self, list: impl Fn(&LocalView) -> &ReadEndpoints) -> Vec<EndpointLoad> {
+    fn listed(&self, list: impl Fn(&LocalEndpoints) -> &ReadEndpoints) -> Vec<EndpointLoad> {
         let mut rows = self
             .local
             .get()
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -4,7 +4,7 @@
 
 use {
     common::{Fleet, wait_until},
-    lynxwheel_coordination::LocalView,
+    lynxwheel_coordination::LocalEndpoints,
     lynxwheel_protocol::EndpointLoad,
 };
 
@@ -61,8 +61,8 @@
         in_progress: 2,
     };
     let told = vec![leaving.clone()];
-    let local = LocalView::new(Vec::new, move || told.clone());
-    second.node.peers().set_local(local);
+    let local = LocalEndpoints::new(Vec::new, move || told.clone());
+    second.node.peers().set_local_endpoints(local);
     second.node.peers().announce();
     wait_until("the other node knows", || {
         let views = first.node.peers().views(fleet.clock.now_ms());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -42,7 +42,7 @@
     #[must_use]
     pub fn with_policy(node: Node, policy: RoutePolicy) -> Self {
         let tables = Tables::new(node.clone());
-        node.peers().set_local(tables.local_view());
+        node.peers().set_local_endpoints(tables.local_view());
         let dispatcher = Dispatcher::new(node.clone(), tables.clone(), policy);
         Self {
             tables,
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -7,7 +7,7 @@
         shares::{EndpointShares, NodeView},
     },
     arc_swap::ArcSwap,
-    lynxwheel_coordination::{LocalView, Node, NodeSettings, PeerView},
+    lynxwheel_coordination::{LocalEndpoints, Node, NodeSettings, PeerView},
     lynxwheel_protocol::{EndpointLoad, NodeName, PoolName, ServiceSpec},
     lynxwheel_state::{FleetState, VmState},
     std::{
@@ -158,10 +158,10 @@
     }
 
     /// Returns what peers are told of the endpoints.
-    pub(crate) fn local_view(&self) -> LocalView {
+    pub(crate) fn local_view(&self) -> LocalEndpoints {
         let (busy, out) = (Arc::clone(&self.maker), Arc::clone(&self.maker));
         let clock = self.node.clock().clone();
-        LocalView::new(
+        LocalEndpoints::new(
             move || lock(&busy).loads(),
             move || lock(&out).leaving(clock.now_ms()),
         )
