--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -15,7 +15,7 @@
     kameo::{actor::Spawn, mailbox},
     log::{error, info, warn},
     lynxwheel_engine::{Engine, Event, Record, RecordKind, record_kind},
-    lynxwheel_platform::{AdviceCalls, EndpointCalls, KeyedRecord, VmCalls},
+    lynxwheel_platform::{AdviceClient, EndpointClient, KeyedRecord, VmClient},
     metrics::{counter, histogram},
     std::{
         sync::{
@@ -84,7 +84,7 @@
             None => return Err("store out of reach".into()),
         }
     }
-    let newest = node.store.newest(STATE_TOPIC).await;
+    let newest = node.store.latest_records(STATE_TOPIC).await;
     let (records, _) = newest.map_err(|error| error.to_string())?;
     Ok((writer, records))
 }
@@ -118,11 +118,11 @@
     // The actor gets the calls with its own reference, which exists only once it is spawned.
     let prepared = Owner::prepare_with_mailbox(mailbox::bounded(MAILBOX));
     let actor = prepared.actor_ref().clone();
-    let endpoint_calls = EndpointCalls::new(epoch);
+    let endpoint_calls = EndpointClient::new(epoch);
     let vm_calls = node
         .settings
-        .vm_service
-        .map(|address| VmCalls::new(address, node.settings.node_name.as_str(), epoch));
+        .vm_service_address
+        .map(|address| VmClient::new(address, node.settings.node_name.as_str(), epoch));
     let shares = Shares::new(node.settings.cpu_millis, node.settings.link_mbps);
     let carriers = Carriers::new(
         epoch,
@@ -135,7 +135,7 @@
         actor.clone(),
         endpoint_calls,
         vm_calls.clone(),
-        node.settings.advice_service.map(AdviceCalls::new),
+        node.settings.advice_service_address.map(AdviceClient::new),
         node.store.clone(),
     );
     let dispatcher = Dispatcher::new(carriers, calls);
@@ -173,7 +173,7 @@
 /// and the pool whose turn it is gets its VMs seconds late.
 fn bound_vm_rests(node: &Node, engine: &mut Engine, records: &[Record], offsets: &[Option<u64>]) {
     let view = node.view.borrow();
-    let holder_ms = node.settings.bounds.vm_holder_ms + VM_ORDER_MS;
+    let holder_ms = node.settings.bounds.vm_lease_ms + VM_ORDER_MS;
     for (record, offset) in records.iter().zip(offsets) {
         if record_kind(&record.key) == Some(RecordKind::Vm)
             && let Some(by_ms) = offset.and_then(|offset| view.stored_by_ms(offset))
