--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -325,7 +325,7 @@
         for shared in config.accounts.shared_keys() {
             warn!(
                 event = "key_shared", version = config.version, key:% = shared.key,
-                account = shared.holder.as_str(), passed_over = shared.passed_over.as_str();
+                account = shared.holder.as_str(), passed_over = shared.ignored_account.as_str();
                 ""
             );
         }
--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -108,7 +108,7 @@
     /// Account that the key stands for.
     pub holder: CompactString,
     /// Account that the key does not stand for.
-    pub passed_over: CompactString,
+    pub ignored_account: CompactString,
 }
 
 /// Client accounts, sorted by name, and whose each key is.
@@ -149,7 +149,7 @@
                     shared.push(SharedKey {
                         key,
                         holder: holder.name.clone(),
-                        passed_over: account.name.clone(),
+                        ignored_account: account.name.clone(),
                     });
                 }
             }
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -278,7 +278,7 @@
     /// Counts waiting tasks as far as their accounts' quotas let them start: VMs for more would come for
     /// nothing.
     fn add_waiting(&self, loads: &mut [PoolLoad], vm: &Resources, now: Now) {
-        let mut left = self.quotas.left();
+        let mut left = self.quotas.remaining();
         for step in self.open_steps.iter() {
             let Some(job) = self.jobs.get(step.first.job) else {
                 continue;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -17,7 +17,7 @@
         job_table::JobTable,
         log_event::LogEvent,
         order_rate::OrderRate,
-        quota::{AccountNumber, QuotaLedger},
+        quota::{AccountNumber, QuotaTracker},
         state::Job,
         stored::{Record, progress_drop, spec_drop},
         vm_cooldowns::VmCooldown,
@@ -89,7 +89,7 @@
     /// Jobs that have occurrences to come, sorted by id.
     pub(crate) timed_jobs: Vec<JobId>,
     pub(crate) open_steps: OpenSteps,
-    pub(crate) quotas: QuotaLedger,
+    pub(crate) quotas: QuotaTracker,
     /// Accounts that flood, sorted, with the share of each in thousandths of a core.
     pub(crate) flooding: Vec<(AccountNumber, f64)>,
     /// Jobs that have ended, sorted by id.
@@ -141,7 +141,7 @@
             unstored_jobs: Vec::new(),
             timed_jobs: Vec::new(),
             open_steps: OpenSteps::default(),
-            quotas: QuotaLedger::default(),
+            quotas: QuotaTracker::default(),
             flooding: Vec::new(),
             ended: Vec::new(),
             endpoints: EndpointTable::default(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -76,7 +76,7 @@
     job::{JobId, JobSpec, JobState, ParseNameError, Resources, StepSpec, TaskRef},
     log_event::{LogEvent, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
-    quota::{AccountNumber, QuotaLedger, QuotasLeft},
+    quota::{AccountNumber, QuotaTracker, RemainingQuotas},
     reports::{
         EndKind, EndedTask, EndpointEntry, EndpointReport, RunningTask, VmEntry, VmState, WaveOrder,
     },
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -14,7 +14,7 @@
 };
 
 /// Time between two notes that tasks of one account wait for the same reason, in milliseconds.
-const NOTE_WAIT_EVERY_MS: u64 = 1_000;
+const LOG_INTERVAL_MS: u64 = 1_000;
 
 /// Number of a client account within one engine.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
@@ -32,22 +32,22 @@
     /// Jobs in progress.
     jobs: usize,
     /// When it was noted last that tasks wait for the quota, on the steady clock.
-    quota_noted_ms: Option<u64>,
+    quota_logged_ms: Option<u64>,
     /// When it was noted last that tasks wait as the share is reached, on the steady clock.
-    share_noted_ms: Option<u64>,
+    share_logged_ms: Option<u64>,
     is_configured: bool,
 }
 
 /// What is left of a quota; nothing for a dimension without a limit.
 #[derive(Clone, Copy, Debug)]
-struct QuotaLeft {
+struct RemainingQuota {
     cpu_millis: Option<u64>,
     memory_mb: Option<u64>,
     gpus: Option<u64>,
 }
 
-impl QuotaLeft {
-    fn startable(&self, room: &Resources) -> u64 {
+impl RemainingQuota {
+    fn startable_runs(&self, room: &Resources) -> u64 {
         let dimensions = [
             (self.cpu_millis, room.cpu_millis),
             (self.memory_mb, room.memory_mb),
@@ -71,25 +71,25 @@
 
 /// What is left of every quota while work that waits is counted.
 #[derive(Clone, Debug)]
-pub struct QuotasLeft {
-    rows: Vec<QuotaLeft>,
+pub struct RemainingQuotas {
+    rows: Vec<RemainingQuota>,
 }
 
-impl QuotasLeft {
+impl RemainingQuotas {
     /// Takes runs of this room as far as the quota lets them start, at most `count`; returns how many.
     pub fn take(&mut self, number: AccountNumber, room: &Resources, count: u64) -> u64 {
         let left = &mut self.rows[place(number)];
-        let taken = left.startable(room).min(count);
+        let taken = left.startable_runs(room).min(count);
         left.take(&room.scaled(taken));
         taken
     }
 }
 
 impl AccountUse {
-    fn left(&self) -> QuotaLeft {
+    fn remaining(&self) -> RemainingQuota {
         let Self { quota, running, .. } = self;
         let left = |quota: u64, running| (quota > 0).then(|| quota.saturating_sub(running));
-        QuotaLeft {
+        RemainingQuota {
             cpu_millis: left(quota.cpu_millis, running.cpu_millis),
             memory_mb: left(quota.memory_mb, running.memory_mb),
             gpus: left(quota.gpus, running.gpus),
@@ -106,7 +106,7 @@
         }
     }
 
-    fn is_forgettable(&self) -> bool {
+    fn is_unused(&self) -> bool {
         !self.is_configured && self.jobs == 0 && self.running == Resources::default()
     }
 }
@@ -115,14 +115,14 @@
 ///
 /// Jobs without an account share number 0, which has no limit.
 #[derive(Clone, Debug)]
-pub struct QuotaLedger {
+pub struct QuotaTracker {
     rows: Vec<AccountUse>,
     /// Numbers in use, sorted by name; number 0 is not among them.
     by_name: Vec<AccountNumber>,
     unused: Vec<AccountNumber>,
 }
 
-impl Default for QuotaLedger {
+impl Default for QuotaTracker {
     fn default() -> Self {
         Self {
             rows: vec![AccountUse::default()],
@@ -132,7 +132,7 @@
     }
 }
 
-impl QuotaLedger {
+impl QuotaTracker {
     /// Takes over the quotas of a configuration.
     ///
     /// An account that is no longer configured has no limit while its accepted jobs go on.
@@ -199,26 +199,26 @@
 
     /// Returns how many runs of this room the account may start now.
     #[must_use]
-    pub fn startable(&self, number: AccountNumber, room: &Resources) -> u64 {
-        self.row(number).left().startable(room)
+    pub fn startable_runs(&self, number: AccountNumber, room: &Resources) -> u64 {
+        self.row(number).remaining().startable_runs(room)
     }
 
     /// Returns what is left of every quota.
     #[must_use]
-    pub fn left(&self) -> QuotasLeft {
-        QuotasLeft {
-            rows: self.rows.iter().map(AccountUse::left).collect(),
+    pub fn remaining(&self) -> RemainingQuotas {
+        RemainingQuotas {
+            rows: self.rows.iter().map(AccountUse::remaining).collect(),
         }
     }
 
     /// Tells whether it is to be noted that tasks wait for an account's quota: not too often.
-    pub fn is_quota_news(&mut self, number: AccountNumber, now: Now) -> bool {
-        is_news(&mut self.row_mut(number).quota_noted_ms, now)
+    pub fn should_log_quota_wait(&mut self, number: AccountNumber, now: Now) -> bool {
+        is_log_due(&mut self.row_mut(number).quota_logged_ms, now)
     }
 
     /// Tells whether it is to be noted that tasks wait as an account has its share: not too often.
-    pub fn is_share_news(&mut self, number: AccountNumber, now: Now) -> bool {
-        is_news(&mut self.row_mut(number).share_noted_ms, now)
+    pub fn should_log_share_wait(&mut self, number: AccountNumber, now: Now) -> bool {
+        is_log_due(&mut self.row_mut(number).share_logged_ms, now)
     }
 
     /// Tells whether an account has more running than its quota, as after a cut of it.
@@ -296,7 +296,7 @@
     }
 
     fn forget_if_unused(&mut self, number: AccountNumber) {
-        if number == AccountNumber::default() || !self.row(number).is_forgettable() {
+        if number == AccountNumber::default() || !self.row(number).is_unused() {
             return;
         }
         if let Ok(place) = self.search(&self.row(number).name) {
@@ -315,12 +315,12 @@
     }
 }
 
-fn is_news(noted_ms: &mut Option<u64>, now: Now) -> bool {
-    let is_news = noted_ms.is_none_or(|ms| now.steady_ms >= ms + NOTE_WAIT_EVERY_MS);
-    if is_news {
-        *noted_ms = Some(now.steady_ms);
+fn is_log_due(logged_ms: &mut Option<u64>, now: Now) -> bool {
+    let is_log_due = logged_ms.is_none_or(|ms| now.steady_ms >= ms + LOG_INTERVAL_MS);
+    if is_log_due {
+        *logged_ms = Some(now.steady_ms);
     }
-    is_news
+    is_log_due
 }
 
 #[expect(clippy::cast_precision_loss, reason = "far below what fits exactly")]
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -63,7 +63,7 @@
     }
 
     fn place_within_quota(&mut self, step: &OpenStep, now: Now) {
-        if self.quotas.startable(step.account, &step.quota_room) > 0 {
+        if self.quotas.startable_runs(step.account, &step.quota_room) > 0 {
             self.place_step(step, now);
         } else {
             self.note_quota_wait(step, now);
@@ -106,7 +106,7 @@
 
     /// Notes that tasks wait for their account's quota.
     fn note_quota_wait(&mut self, step: &OpenStep, now: Now) {
-        if self.quotas.is_quota_news(step.account, now) {
+        if self.quotas.should_log_quota_wait(step.account, now) {
             self.log_events.push(LogEvent::QuotaReached(QuotaWait {
                 account: self.quotas.name(step.account).clone(),
                 job: step.first.job,
@@ -125,7 +125,7 @@
             .is_some_and(|job| !waiting(job, &step.first, now).is_empty());
         if is_waiting
             && let Some(share_cpu_millis) = self.flooding_share(step.account)
-            && self.quotas.is_share_news(step.account, now)
+            && self.quotas.should_log_share_wait(step.account, now)
         {
             self.log_events.push(LogEvent::ShareReached(ShareWait {
                 account: self.quotas.name(step.account).clone(),
@@ -184,7 +184,7 @@
             self.place_chosen(step, &spec, now);
             return;
         }
-        let startable = self.startable(step);
+        let startable = self.startable_runs(step);
         for index in waiting(job, &step.first, now).into_iter().take(startable) {
             let task = TaskRef {
                 index,
@@ -200,8 +200,8 @@
     }
 
     /// Returns how many tasks of a step its account's quota lets start now.
-    fn startable(&self, step: &OpenStep) -> usize {
-        let startable = self.quotas.startable(step.account, &step.quota_room);
+    fn startable_runs(&self, step: &OpenStep) -> usize {
+        let startable = self.quotas.startable_runs(step.account, &step.quota_room);
         usize::try_from(startable).unwrap_or(usize::MAX)
     }
 
@@ -225,7 +225,7 @@
         let Some(job) = self.jobs.get(name.job) else {
             return;
         };
-        let startable = self.startable(step);
+        let startable = self.startable_runs(step);
         let chosen = if spec.gang {
             if !is_whole(job, &name) || startable < usize::from(spec.count) {
                 return;
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -6,7 +6,7 @@
     common::{Fleet, account, job_id, step},
     lynxwheel_engine::{
         CallerAnswer, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest, LogEvent,
-        QuotaLedger, Resources, StepSpec,
+        QuotaTracker, Resources, StepSpec,
     },
 };
 
@@ -257,18 +257,18 @@
 
     /// Guards against state that grows with every account that ever was.
     accounts_that_are_gone_are_forgotten: {
-        let mut ledger = QuotaLedger::default();
+        let mut tracker = QuotaTracker::default();
         for round in 0..100 {
             let name = format!("account-{round}");
-            ledger.configure(&ClientAccounts::new(vec![account(&name, 4)]));
-            assert_eq!(ledger.numbers().len(), 1);
+            tracker.configure(&ClientAccounts::new(vec![account(&name, 4)]));
+            assert_eq!(tracker.numbers().len(), 1);
         }
-        let busy = ledger.number("account-99");
-        ledger.add_job(busy);
-        ledger.configure(&ClientAccounts::default());
-        assert_eq!(ledger.numbers(), [busy]);
-        ledger.remove_job(busy);
-        assert_eq!(ledger.numbers(), []);
+        let busy = tracker.number("account-99");
+        tracker.add_job(busy);
+        tracker.configure(&ClientAccounts::default());
+        assert_eq!(tracker.numbers(), [busy]);
+        tracker.remove_job(busy);
+        assert_eq!(tracker.numbers(), []);
     };
 
     /// Guards against nodes that give one key to different accounts.
@@ -280,7 +280,7 @@
             assert_eq!(accounts.holder_of(&key).expect("a holder").name, "maps");
             let shared = accounts.shared_keys();
             assert_eq!(shared.len(), 1);
-            assert_eq!((shared[0].holder.as_str(), shared[0].passed_over.as_str()), ("maps", "post"));
+            assert_eq!((shared[0].holder.as_str(), shared[0].ignored_account.as_str()), ("maps", "post"));
         }
     };
 
@@ -294,21 +294,21 @@
 
 #[test]
 fn unlimited_dimensions_are_not_limits() {
-    let mut ledger = QuotaLedger::default();
-    ledger.configure(&ClientAccounts::new(vec![account("maps", 2)]));
-    let number = ledger.number("maps");
+    let mut tracker = QuotaTracker::default();
+    tracker.configure(&ClientAccounts::new(vec![account("maps", 2)]));
+    let number = tracker.number("maps");
     let room = |cpu_millis, memory_mb| Resources {
         cpu_millis,
         memory_mb,
         gpus: 1,
     };
-    assert_eq!(ledger.startable(number, &room(500, 1 << 40)), 4);
-    ledger.charge(number, &room(1_800, 7));
-    assert_eq!(ledger.startable(number, &room(500, 7)), 0);
-    assert_eq!(ledger.startable(number, &room(0, 7)), u64::MAX);
-    assert!(!ledger.is_exceeded(number));
+    assert_eq!(tracker.startable_runs(number, &room(500, 1 << 40)), 4);
+    tracker.charge(number, &room(1_800, 7));
+    assert_eq!(tracker.startable_runs(number, &room(500, 7)), 0);
+    assert_eq!(tracker.startable_runs(number, &room(0, 7)), u64::MAX);
+    assert!(!tracker.is_exceeded(number));
     assert_eq!(
-        ledger.startable(ledger.clone().number(""), &room(500, 7)),
+        tracker.startable_runs(tracker.clone().number(""), &room(500, 7)),
         u64::MAX
     );
 }
