--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -91,7 +91,7 @@
     pub(crate) open_steps: OpenSteps,
     pub(crate) quotas: QuotaTracker,
     /// Accounts that flood, sorted, with the share of each in thousandths of a core.
-    pub(crate) flooding: Vec<(AccountNumber, f64)>,
+    pub(crate) excess_demand: Vec<(AccountNumber, f64)>,
     /// Jobs that have ended, sorted by id.
     pub(crate) ended: Vec<EndedJob>,
     pub(crate) endpoints: EndpointTable,
@@ -142,7 +142,7 @@
             timed_jobs: Vec::new(),
             open_steps: OpenSteps::default(),
             quotas: QuotaTracker::default(),
-            flooding: Vec::new(),
+            excess_demand: Vec::new(),
             ended: Vec::new(),
             endpoints: EndpointTable::default(),
             free_room: FreeRoom::default(),
@@ -498,7 +498,7 @@
         self.vm_order_rate.refill(now);
         self.plan_waves(now);
         self.refresh_open_steps();
-        self.find_flooding();
+        self.find_excess_demand();
         self.plan_pools(now);
         // Rests and delays end without an event of their own.
         self.is_schedule_due = true;
--- a/crates/engine/src/fair_share.rs
+++ b/crates/engine/src/fair_share.rs
@@ -5,7 +5,7 @@
 //! others nothing.
 
 /// Multiple of its share that an account wants when it floods: demand that varies is none that floods.
-const FLOOD_FACTOR: f64 = 2.0;
+const EXCESS_FACTOR: f64 = 2.0;
 
 /// What an account wants of a resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,8 +27,8 @@
 
     /// Tells whether the account wants far more than its share at a level.
     #[must_use]
-    pub fn floods(&self, level: f64) -> bool {
-        level.is_finite() && self.wanted >= FLOOD_FACTOR * self.share(level)
+    pub fn has_excess_demand(&self, level: f64) -> bool {
+        level.is_finite() && self.wanted >= EXCESS_FACTOR * self.share(level)
     }
 }
 
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -231,7 +231,7 @@
     /// Returns the accounts that want far more than their share, sorted, with the share of each in
     /// thousandths of a core; `waiting` is what waits of each account, and `free` what is free for it.
     #[must_use]
-    pub fn flooding_shares(
+    pub fn excess_demand_shares(
         &self,
         waiting: &[(AccountNumber, u64)],
         free_cpu_millis: u64,
@@ -245,7 +245,7 @@
             .map(AccountNumber)
             .zip(claims)
             .skip(1)
-            .filter(|(_, claim)| claim.floods(level))
+            .filter(|(_, claim)| claim.has_excess_demand(level))
             .map(|(number, claim)| (number, claim.share(level)))
             .collect()
     }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -71,8 +71,8 @@
     }
 
     /// Finds the accounts that flood while there is not room for all, and the share of each.
-    pub(crate) fn find_flooding(&mut self) {
-        self.flooding.clear();
+    pub(crate) fn find_excess_demand(&mut self) {
+        self.excess_demand.clear();
         if self.quotas.numbers().is_empty() {
             return;
         }
@@ -87,20 +87,20 @@
         let free = pools
             .iter()
             .map(|&pool| self.free_room.free_cpu_millis(pool));
-        self.flooding = self.quotas.flooding_shares(&waiting, free.sum());
+        self.excess_demand = self.quotas.excess_demand_shares(&waiting, free.sum());
     }
 
     /// Returns the share of an account that floods, in thousandths of a core.
-    fn flooding_share(&self, account: AccountNumber) -> Option<f64> {
+    fn excess_demand_share(&self, account: AccountNumber) -> Option<f64> {
         let place = self
-            .flooding
+            .excess_demand
             .binary_search_by_key(&account, |(known, _)| *known);
-        place.ok().map(|place| self.flooding[place].1)
+        place.ok().map(|place| self.excess_demand[place].1)
     }
 
     /// Tells whether an account floods and has its share.
     fn has_share(&self, account: AccountNumber) -> bool {
-        self.flooding_share(account)
+        self.excess_demand_share(account)
             .is_some_and(|share| self.quotas.has_running(account, share))
     }
 
@@ -124,7 +124,7 @@
             .get(step.first.job)
             .is_some_and(|job| !waiting(job, &step.first, now).is_empty());
         if is_waiting
-            && let Some(share_cpu_millis) = self.flooding_share(step.account)
+            && let Some(share_cpu_millis) = self.excess_demand_share(step.account)
             && self.quotas.should_log_share_wait(step.account, now)
         {
             self.log_events.push(LogEvent::ShareReached(ShareWait {
--- a/crates/engine/tests/fair_shares.rs
+++ b/crates/engine/tests/fair_shares.rs
@@ -68,9 +68,9 @@
 /// Guards against demand that varies being taken for demand that floods.
 #[test]
 fn an_account_floods_by_twice_its_share() {
-    assert!(!claim(1.0, 4.0, 7.9).floods(4.0));
-    assert!(claim(1.0, 4.0, 8.0).floods(4.0));
-    assert!(!claim(1.0, 4.0, 8.0).floods(f64::INFINITY));
+    assert!(!claim(1.0, 4.0, 7.9).has_excess_demand(4.0));
+    assert!(claim(1.0, 4.0, 8.0).has_excess_demand(4.0));
+    assert!(!claim(1.0, 4.0, 8.0).has_excess_demand(f64::INFINITY));
 }
 
 /// Guards against an account whose jobs came first keeping all room that becomes free.
