--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -80,7 +80,7 @@
             run,
             endpoint: endpoint.id.clone(),
             end,
-            after_ms: now.steady_ms.saturating_sub(attempt.since_ms),
+            after_ms: now.steady_ms.saturating_sub(attempt.decided_at_ms),
         });
         self.is_schedule_due = true;
         self.break_gang(place, task, run, now);
@@ -326,7 +326,7 @@
     /// Completes a job when every task is done.
     fn settle_job(&mut self, place: usize, now: Now) {
         let job = &mut self.jobs[place];
-        if job.settle() && !job.state.is_final() {
+        if job.drop_done_occurrences() && !job.state.is_final() {
             job.state = JobState::Completed;
             job.is_dirty = true;
             job.ended_ms = now.steady_ms;
@@ -354,9 +354,9 @@
             .is_some_and(|spec| spec.long_running);
         let mut is_hopeless = false;
         if let Some(task) = job.task_mut(&ended.task) {
-            task.failed += 1;
-            task.avoid = Some(key);
-            is_hopeless = !is_long_running && task.failed >= max_attempts;
+            task.failed_runs += 1;
+            task.avoided_endpoint = Some(key);
+            is_hopeless = !is_long_running && task.failed_runs >= max_attempts;
         }
         self.remove_attempt(
             &ended.task,
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -73,7 +73,7 @@
             batch.visible_states.push((job.id, job.state));
             batch
                 .effects
-                .extend(job.waiting.drain(..).map(|token| Effect::Reply {
+                .extend(job.waiting_callers.drain(..).map(|token| Effect::Reply {
                     token,
                     answer: CallerAnswer::Accepted,
                 }));
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -249,7 +249,7 @@
             if let Ok(place) = self.search(id) {
                 let job = self.jobs.remove(place);
                 self.quotas.remove_job(job.account_number);
-                self.refuse(&job.waiting);
+                self.refuse(&job.waiting_callers);
             }
         }
     }
@@ -275,7 +275,7 @@
                 if known.visible_state.is_some() {
                     self.reply_immediately(token, CallerAnswer::Accepted);
                 } else {
-                    known.waiting.push(token);
+                    known.waiting_callers.push(token);
                 }
             }
             Err(_) if self.find_ended(id).is_some() => {
@@ -288,8 +288,8 @@
             Err(_) => {
                 let account = self.quotas.number(&job.account);
                 self.arrivals.note(&job.queue.pool, account, &job.spec, now);
-                job.waiting.push(token);
-                job.begin_due(now.wall_ms);
+                job.waiting_callers.push(token);
+                job.begin_due_occurrences(now.wall_ms);
                 self.add_job(Box::new(job));
                 self.is_schedule_due = true;
             }
@@ -300,7 +300,7 @@
     pub(crate) fn add_job(&mut self, mut job: Box<Job>) {
         job.account_number = self.quotas.number(&job.account);
         self.quotas.add_job(job.account_number);
-        if job.has_occurrences_to_come()
+        if job.has_future_occurrences()
             && let Err(place) = self.timed_jobs.binary_search(&job.id)
         {
             self.timed_jobs.insert(place, job.id);
@@ -511,10 +511,10 @@
                 continue;
             };
             let known = &self.jobs[place];
-            if known.state.is_final() || !known.has_occurrences_to_come() {
+            if known.state.is_final() || !known.has_future_occurrences() {
                 self.timed_jobs.remove(at);
-            } else if known.is_next_due(now.wall_ms) {
-                self.jobs[place].begin_due(now.wall_ms);
+            } else if known.is_next_occurrence_due(now.wall_ms) {
+                self.jobs[place].begin_due_occurrences(now.wall_ms);
             }
         }
     }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -206,7 +206,7 @@
     }
 
     fn task_avoids(&self, task: &TaskRef) -> Option<EndpointKey> {
-        self.jobs.get(task.job)?.task(task)?.avoid
+        self.jobs.get(task.job)?.task(task)?.avoided_endpoint
     }
 
     /// Places a gang, or tasks whose endpoints another service chooses.
@@ -391,7 +391,7 @@
     let mut chosen = Vec::new();
     for &index in waiting {
         let task = TaskRef { index, ..*name };
-        let avoid = job.task(&task).and_then(|task| task.avoid);
+        let avoid = job.task(&task).and_then(|task| task.avoided_endpoint);
         let Some(slot) = best_slot(endpoints, slots, spec, avoid) else {
             break;
         };
--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -47,7 +47,7 @@
     /// When an order for it may be repeated, on the steady clock.
     pub retry_at_ms: u64,
     /// When it was decided, on the steady clock.
-    pub since_ms: u64,
+    pub decided_at_ms: u64,
     /// How much is done, or 100 for a long-running task at work.
     pub percent: u32,
     /// When it showed progress last, on the endpoint's clock; nothing before the first report.
@@ -59,7 +59,7 @@
 impl Attempt {
     /// Creates an attempt that waits for its decision to be stored.
     #[must_use]
-    pub fn new(run: u32, endpoint: EndpointKey, since_ms: u64) -> Self {
+    pub fn new(run: u32, endpoint: EndpointKey, decided_at_ms: u64) -> Self {
         Self {
             run,
             endpoint,
@@ -69,7 +69,7 @@
             is_stopping: false,
             is_stop_stored: false,
             retry_at_ms: 0,
-            since_ms,
+            decided_at_ms,
             percent: 0,
             progress_clock_ms: None,
             pace: 100,
@@ -83,7 +83,7 @@
     /// Highest number of a run.
     pub run: u32,
     /// Runs that ended as failed.
-    pub failed: u32,
+    pub failed_runs: u32,
     /// Whether a run has ended as done.
     pub is_done: bool,
     /// Newest checkpoint; empty for none.
@@ -93,7 +93,7 @@
     /// Earliest next start, on the steady clock.
     pub not_before_ms: u64,
     /// Endpoint on which it failed last.
-    pub avoid: Option<EndpointKey>,
+    pub avoided_endpoint: Option<EndpointKey>,
 }
 
 impl Task {
@@ -185,7 +185,7 @@
     /// Node that keeps the payload for a while, if one is known to.
     pub origin: Option<SocketAddr>,
     /// Callers that wait for the hand-in to be stored.
-    pub waiting: Vec<ReplyToken>,
+    pub waiting_callers: Vec<ReplyToken>,
     /// When it ended, on the steady clock.
     pub ended_ms: u64,
 }
@@ -208,7 +208,7 @@
             is_dirty: true,
             is_spec_stored: false,
             origin: None,
-            waiting: Vec::new(),
+            waiting_callers: Vec::new(),
             ended_ms: 0,
         }
     }
@@ -228,19 +228,19 @@
 
     /// Tells whether some occurrence has not begun.
     #[must_use]
-    pub fn has_occurrences_to_come(&self) -> bool {
+    pub fn has_future_occurrences(&self) -> bool {
         self.next_occurrence < self.spec.occurrences()
     }
 
     /// Tells whether the next occurrence is due.
     #[must_use]
-    pub fn is_next_due(&self, wall_ms: u64) -> bool {
-        self.has_occurrences_to_come() && self.spec.due_ms(self.next_occurrence) <= wall_ms
+    pub fn is_next_occurrence_due(&self, wall_ms: u64) -> bool {
+        self.has_future_occurrences() && self.spec.due_ms(self.next_occurrence) <= wall_ms
     }
 
     /// Begins the occurrences that are due.
-    pub fn begin_due(&mut self, wall_ms: u64) {
-        while self.is_next_due(wall_ms) {
+    pub fn begin_due_occurrences(&mut self, wall_ms: u64) {
+        while self.is_next_occurrence_due(wall_ms) {
             self.occurrences
                 .push(Occurrence::new(self.next_occurrence, &self.spec));
             self.next_occurrence += 1;
@@ -313,7 +313,7 @@
     }
 
     /// Drops occurrences that are done; returns whether the whole job is.
-    pub fn settle(&mut self) -> bool {
+    pub fn drop_done_occurrences(&mut self) -> bool {
         self.occurrences.retain(|occurrence| {
             let is_done = occurrence.steps.iter().all(StepRun::is_done);
             let is_idle = occurrence
@@ -323,7 +323,7 @@
                 .all(|task| task.attempts.is_empty());
             !(is_done && is_idle)
         });
-        let is_begun = !self.has_occurrences_to_come();
+        let is_begun = !self.has_future_occurrences();
         let is_done = self
             .occurrences
             .iter()
--- a/crates/engine/src/stored.rs
+++ b/crates/engine/src/stored.rs
@@ -211,7 +211,13 @@
                     });
                     let attempts = attempts.collect();
                     let checkpoint = task.checkpoint.clone();
-                    StoredTask(task.run, task.failed, task.is_done, checkpoint, attempts)
+                    StoredTask(
+                        task.run,
+                        task.failed_runs,
+                        task.is_done,
+                        checkpoint,
+                        attempts,
+                    )
                 });
                 tasks.collect()
             });
@@ -286,7 +292,7 @@
     };
     let restore_task = |StoredTask(run, failed, is_done, checkpoint, attempts): StoredTask| Task {
         run,
-        failed,
+        failed_runs: failed,
         is_done,
         checkpoint,
         attempts: attempts.into_iter().filter_map(restore_attempt).collect(),
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -65,7 +65,7 @@
             let job = engine.jobs().find(|job| job.id == task.job);
             let avoid = job
                 .and_then(|job| job.task(&task))
-                .and_then(|task| task.avoid);
+                .and_then(|task| task.avoided_endpoint);
             let Some(slot) = best(&mut slots, &task, &spec, avoid) else {
                 break;
             };
