--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -299,7 +299,7 @@
             lease_ms: bounds.max_lease_ms.min(LEASE_MS),
             retention_ms: bounds.retention_ms + RETENTION_SLACK_MS,
             maintenance_ms: bounds.maintenance_ms,
-            vm_holder_ms: bounds.vm_lease_ms,
+            vm_lease_ms: bounds.vm_lease_ms,
             vm_orders_per_s: self.settings.vm_orders_per_s,
         }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -49,7 +49,7 @@
     /// Time that maintenance takes, in milliseconds.
     pub maintenance_ms: u64,
     /// Time in which orders for one VM may not come from two owners, in milliseconds.
-    pub vm_holder_ms: u64,
+    pub vm_lease_ms: u64,
     /// Orders for VMs that the platform takes, a second.
     pub vm_orders_per_s: u64,
 }
@@ -61,7 +61,7 @@
             lease_ms: 6_000,
             retention_ms: 150_000,
             maintenance_ms: 2_000,
-            vm_holder_ms: 3_000,
+            vm_lease_ms: 3_000,
             vm_orders_per_s: 64,
         }
     }
--- a/crates/engine/src/vm_cooldowns.rs
+++ b/crates/engine/src/vm_cooldowns.rs
@@ -27,13 +27,13 @@
 impl Engine {
     /// Takes in when an earlier owner ordered something for a VM.
     pub(crate) fn restore_vm(&mut self, name: &str, stored: StoredVm, now: Now) {
-        let recent_ms = self.settings.vm_holder_ms + CLOCK_SPREAD_MS;
+        let recent_ms = self.settings.vm_lease_ms + CLOCK_SPREAD_MS;
         if now.wall_ms < stored.ordered_ms + recent_ms
             && let Err(place) = self.search_vm_cooldown(name)
         {
             let cooldown = VmCooldown {
                 name: name.into(),
-                until_ms: now.steady_ms + self.settings.vm_holder_ms,
+                until_ms: now.steady_ms + self.settings.vm_lease_ms,
                 is_settled: stored.is_settled,
                 epoch: stored.epoch,
             };
