--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -149,7 +149,7 @@
                     }
                 }
             }
-            CallOutcome::OtherLife => self.endpoint_over(key, now),
+            CallOutcome::OtherLife => self.endpoint_ended(key, now),
             CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
         }
     }
@@ -255,7 +255,7 @@
                 endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms);
             }
             CallOutcome::Unsent | CallOutcome::Unknown => self.call_failed(key, now),
-            CallOutcome::OtherLife => self.endpoint_over(key, now),
+            CallOutcome::OtherLife => self.endpoint_ended(key, now),
             CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
         }
     }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -19,7 +19,7 @@
 const LEASE_MARGIN_MS: u64 = 150;
 
 /// Failed calls in a row after which an endpoint gets no more lease and nothing new.
-pub const SUSPECT_AFTER: u32 = 2;
+pub const SUSPECT_AFTER_FAILED_CALLS: u32 = 2;
 
 /// A reading of an endpoint's steady clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -195,9 +195,9 @@
                 token,
             } => self.cancel(job, &account, token, now),
             Event::ConfigChanged(config) => self.set_config(config),
-            Event::Registered { entry, is_fresh } => self.endpoint_listed(&entry, is_fresh, now),
-            Event::Deregistered(id) => self.endpoint_unlisted(&id, now),
-            Event::VmsListed(vms) => self.vms_listed(vms, now),
+            Event::Registered { entry, is_fresh } => self.register_endpoint(&entry, is_fresh, now),
+            Event::Deregistered(id) => self.deregister_endpoint(&id, now),
+            Event::VmsListed(vms) => self.update_vms(vms, now),
             Event::WaveOrdered(order) => self.wave_ordered(order, now),
             Event::Started {
                 endpoint,
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -1,7 +1,7 @@
 //! Endpoints' lives and leases: who is listed, what each reports, when a lease is over.
 
 use crate::{
-    endpoints::{PlacedRun, SUSPECT_AFTER},
+    endpoints::{PlacedRun, SUSPECT_AFTER_FAILED_CALLS},
     engine::Engine,
     event::{CallOutcome, Effect, EndpointKey, Now},
     job::TaskRef,
@@ -12,7 +12,7 @@
 
 /// Time between renewals of a lease, in milliseconds. A quarter of the shortest lease in use, so
 /// that three may fail before it lapses; each costs a call.
-const RENEW_EVERY_MS: u64 = 1_000;
+const RENEW_INTERVAL_MS: u64 = 1_000;
 
 /// Time that an endpoint may wait for an end before it answers a renewal, in milliseconds: an end
 /// is then told at once, without more calls.
@@ -24,7 +24,7 @@
 
 /// Shorter wait where filling tasks run beside serving ones, in milliseconds: tails are told only
 /// with an answer, and one over its bound must be found well within a second.
-const TAIL_WAIT_MS: u64 = 400;
+const MIXED_WAIT_MS: u64 = 400;
 
 /// Pause before the next renewal after one that told an end, in milliseconds: ends come in groups,
 /// and one call fetches several.
@@ -34,17 +34,17 @@
 const RENEW_RETRY_MS: u64 = 250;
 
 /// Time in which a stop for an unknown run is not repeated, in milliseconds.
-const ORPHAN_PAUSE_MS: u64 = 500;
+const ORPHAN_STOP_INTERVAL_MS: u64 = 500;
 
 /// Time for which an earlier owner may go on granting leases after a take-over, in milliseconds: it
 /// is turned away by the first endpoint that both reach, and asks each of them once a second.
-const DEPOSED_MS: u64 = 1_200;
+const PREVIOUS_OWNER_MS: u64 = 1_200;
 
 /// A lease on an endpoint whose clock may be 2 % slow, in percent.
 const SLOW_CLOCK_PERCENT: u64 = 103;
 
 impl Engine {
-    pub(crate) fn endpoint_listed(&mut self, entry: &EndpointEntry, is_fresh: bool, now: Now) {
+    pub(crate) fn register_endpoint(&mut self, entry: &EndpointEntry, is_fresh: bool, now: Now) {
         let key = self.endpoints.find_or_insert(&entry.id, now.steady_ms);
         if self.endpoints.get(key).has_ended {
             return;
@@ -61,7 +61,7 @@
             endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms);
         }
         if began_draining {
-            self.leave_draining(key, now);
+            self.stop_long_running_runs(key, now);
         }
         self.renew_lease(key, now);
         self.is_schedule_due = true;
@@ -74,15 +74,15 @@
     /// after a take-over nor that in which they are written does: a write may be carried out
     /// seconds late, when its life is over. Taking the later entry for the later life ended sound
     /// ones, and their runs were started a second time elsewhere.
-    fn end_others_at(&mut self, key: EndpointKey, now: Now) {
+    fn end_replaced_incarnations(&mut self, key: EndpointKey, now: Now) {
         for other in self.endpoints.others_in_place(key) {
-            self.endpoint_over(other, now);
+            self.endpoint_ended(other, now);
         }
     }
 
     /// Stops the long-running tasks of an endpoint that is leaving, so that they go on elsewhere.
-    fn leave_draining(&mut self, key: EndpointKey, now: Now) {
-        let lasting: Vec<(TaskRef, u32)> = self
+    fn stop_long_running_runs(&mut self, key: EndpointKey, now: Now) {
+        let long_running: Vec<(TaskRef, u32)> = self
             .endpoints
             .get(key)
             .placed_runs
@@ -90,12 +90,12 @@
             .filter(|placed| placed.is_long_running)
             .map(|placed| (placed.task, placed.run))
             .collect();
-        for (task, run) in lasting {
+        for (task, run) in long_running {
             self.stop_run(&task, run, now);
         }
     }
 
-    pub(crate) fn endpoint_unlisted(&mut self, id: &str, now: Now) {
+    pub(crate) fn deregister_endpoint(&mut self, id: &str, now: Now) {
         let Some(key) = self.endpoints.find(id) else {
             return;
         };
@@ -106,7 +106,7 @@
     }
 
     /// Records that an incarnation is over: nothing runs there, and nothing will.
-    pub(crate) fn endpoint_over(&mut self, key: EndpointKey, now: Now) {
+    pub(crate) fn endpoint_ended(&mut self, key: EndpointKey, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         if !endpoint.has_ended {
             self.log_events.push(LogEvent::EndpointEnded {
@@ -120,10 +120,10 @@
         }
         endpoint.has_ended = true;
         endpoint.is_registered = false;
-        self.lose_runs(key, RunEnd::EndpointOver, now);
+        self.remove_runs(key, RunEnd::EndpointOver, now);
     }
 
-    fn lose_runs(&mut self, key: EndpointKey, end: RunEnd, now: Now) {
+    fn remove_runs(&mut self, key: EndpointKey, end: RunEnd, now: Now) {
         let lost: Vec<(TaskRef, u32)> = self
             .endpoints
             .get(key)
@@ -149,14 +149,15 @@
             .endpoints
             .iter()
             .filter(|(_, endpoint)| {
-                let is_silent = endpoint.failed_calls >= SUSPECT_AFTER || !endpoint.is_reachable();
+                let is_silent =
+                    endpoint.failed_calls >= SUSPECT_AFTER_FAILED_CALLS || !endpoint.is_reachable();
                 is_silent && !endpoint.placed_runs.is_empty() && endpoint.is_lease_expired(now)
             })
             .map(|(key, _)| key)
             .collect();
         for key in expired {
             self.endpoints.get_mut(key).is_reconciled = false;
-            self.lose_runs(key, RunEnd::LeaseOver, now);
+            self.remove_runs(key, RunEnd::LeaseOver, now);
         }
     }
 
@@ -182,7 +183,8 @@
         let endpoint = self.endpoints.get_mut(key);
         endpoint.is_renewing = true;
         endpoint.renewals += 1;
-        let is_trusted = endpoint.failed_calls < SUSPECT_AFTER && endpoint.is_reconciled;
+        let is_trusted =
+            endpoint.failed_calls < SUSPECT_AFTER_FAILED_CALLS && endpoint.is_reconciled;
         let deadline_ms = if is_trusted {
             endpoint.grant_lease(now, self.settings.lease_ms)
         } else {
@@ -190,8 +192,8 @@
         };
         let wait_ms = if !is_trusted || endpoint.placed_runs.is_empty() {
             0
-        } else if has_mixed_load(&endpoint.placed_runs) {
-            TAIL_WAIT_MS
+        } else if has_serving_and_filler(&endpoint.placed_runs) {
+            MIXED_WAIT_MS
         } else if endpoint.placed_runs.len() > endpoint.long_running_runs {
             BUSY_WAIT_MS
         } else {
@@ -216,15 +218,15 @@
         match outcome {
             // An answer may come after that of the incarnation that has taken the place of its own.
             CallOutcome::Done(_) if self.endpoints.get(key).has_ended => return,
-            CallOutcome::Done(report) => self.take_report(key, &report, now),
-            CallOutcome::OtherLife => self.endpoint_over(key, now),
+            CallOutcome::Done(report) => self.process_report(key, &report, now),
+            CallOutcome::OtherLife => self.endpoint_ended(key, now),
             CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
             CallOutcome::Unsent => {
                 let endpoint = self.endpoints.get(key);
                 // Nothing listens where an endpoint said that it would leave, and its entry is
                 // gone too: it has left.
                 if endpoint.is_draining && !endpoint.is_registered {
-                    self.endpoint_over(key, now);
+                    self.endpoint_ended(key, now);
                 } else {
                     self.renewal_failed(key, now);
                 }
@@ -240,7 +242,7 @@
         self.call_failed(key, now);
     }
 
-    fn take_report(&mut self, key: EndpointKey, report: &EndpointReport, now: Now) {
+    fn process_report(&mut self, key: EndpointKey, report: &EndpointReport, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         endpoint.read_clock(report.clock_ms, now);
         if !endpoint.is_reconciled {
@@ -249,7 +251,7 @@
         }
         let renewal = endpoint.renewals;
         let last_processed_end = endpoint.last_processed_end;
-        self.end_others_at(key, now);
+        self.end_replaced_incarnations(key, now);
         for ended in report
             .ended
             .iter()
@@ -263,10 +265,10 @@
             self.unstored_ends.push(key);
         }
         for running in &report.running {
-            self.take_running(key, running, report.clock_ms, now);
+            self.process_running(key, running, report.clock_ms, now);
         }
         if !report.is_partial {
-            self.drop_missing(key, report, renewal, now);
+            self.remove_missing_runs(key, report, renewal, now);
         }
         self.stop_stuck_runs(key, report.clock_ms, now);
         self.adjust_pace(key);
@@ -274,7 +276,7 @@
         let pause_ms = if !report.ended.is_empty() {
             RENEW_PAUSE_MS
         } else if endpoint.placed_runs.is_empty() {
-            RENEW_EVERY_MS
+            RENEW_INTERVAL_MS
         } else {
             0
         };
@@ -282,9 +284,15 @@
         self.is_schedule_due = true;
     }
 
-    fn take_running(&mut self, key: EndpointKey, running: &RunningTask, clock_ms: u64, now: Now) {
+    fn process_running(
+        &mut self,
+        key: EndpointKey,
+        running: &RunningTask,
+        clock_ms: u64,
+        now: Now,
+    ) {
         let RunningTask { task, run, .. } = running;
-        let Some(is_new) = self.note_progress(key, running, clock_ms) else {
+        let Some(is_new) = self.record_progress(key, running, clock_ms) else {
             self.stop_orphan(key, task, *run, now);
             return;
         };
@@ -303,7 +311,7 @@
 
     /// Records how far a run is; tells whether it was not known to be there, or nothing for a run that
     /// was not placed there.
-    fn note_progress(
+    fn record_progress(
         &mut self,
         key: EndpointKey,
         running: &RunningTask,
@@ -334,7 +342,7 @@
             .iter_mut()
             .find(|(known, known_run, _)| known == task && *known_run == run);
         match orphan {
-            Some((_, _, sent_ms)) if now.steady_ms < *sent_ms + ORPHAN_PAUSE_MS => return,
+            Some((_, _, sent_ms)) if now.steady_ms < *sent_ms + ORPHAN_STOP_INTERVAL_MS => return,
             Some((_, _, sent_ms)) => *sent_ms = now.steady_ms,
             None => endpoint.orphans.push((*task, run, now.steady_ms)),
         }
@@ -347,7 +355,13 @@
 
     /// Takes back runs that a report leaves out though it was asked for after they were known to
     /// be there, or that an earlier owner's order never brought there.
-    fn drop_missing(&mut self, key: EndpointKey, report: &EndpointReport, renewal: u64, now: Now) {
+    fn remove_missing_runs(
+        &mut self,
+        key: EndpointKey,
+        report: &EndpointReport,
+        renewal: u64,
+        now: Now,
+    ) {
         let is_listed = |task: &TaskRef, run: u32| {
             report
                 .running
@@ -378,19 +392,19 @@
     }
 
     /// Takes room for the runs of an earlier owner, and says when they are over at the latest.
-    pub(crate) fn charge_inherited(&mut self, now: Now) {
+    pub(crate) fn charge_inherited_runs(&mut self, now: Now) {
         let mut unanswered = Vec::new();
         for job in self.jobs.iter() {
-            for (name, task) in job.tasks() {
-                let Some(spec) = job.step_spec(&name) else {
+            for (task_ref, task) in job.tasks() {
+                let Some(spec) = job.step_spec(&task_ref) else {
                     continue;
                 };
                 for attempt in &task.attempts {
-                    let placed = PlacedRun::new(name, attempt.run, spec);
+                    let placed = PlacedRun::new(task_ref, attempt.run, spec);
                     self.endpoints.get_mut(attempt.endpoint).add_run(placed);
                     self.quotas.charge(job.account_number, &spec.room);
                     if attempt.is_stop_stored {
-                        unanswered.push((name, attempt.run));
+                        unanswered.push((task_ref, attempt.run));
                     }
                 }
             }
@@ -398,7 +412,7 @@
         unanswered.sort_unstable();
         self.unanswered = unanswered;
         let lease_ms = self.settings.lease_ms * SLOW_CLOCK_PERCENT / 100;
-        let bound_ms = now.steady_ms + lease_ms + DEPOSED_MS;
+        let bound_ms = now.steady_ms + lease_ms + PREVIOUS_OWNER_MS;
         for key in self.endpoints.keys().to_vec() {
             self.endpoints.get_mut(key).bound_unknown_leases(bound_ms);
         }
@@ -406,6 +420,6 @@
 }
 
 /// Tells whether filling tasks run beside serving ones.
-fn has_mixed_load(placed_runs: &[PlacedRun]) -> bool {
+fn has_serving_and_filler(placed_runs: &[PlacedRun]) -> bool {
     placed_runs.iter().any(|run| run.is_filler) && placed_runs.iter().any(|run| run.is_serving)
 }
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     attempts::{find_attempt, start_order},
-    endpoints::SUSPECT_AFTER,
+    endpoints::SUSPECT_AFTER_FAILED_CALLS,
     engine::{Engine, ORDER_RETRY_MS},
     event::{Effect, EndpointKey, Now},
     job::TaskRef,
@@ -15,7 +15,7 @@
     pub(crate) fn repeat_orders(&mut self, now: Now) {
         for (task, run, key, is_stop) in self.due_orders(now) {
             let endpoint = self.endpoints.get_mut(key);
-            if endpoint.failed_calls >= SUSPECT_AFTER || !endpoint.is_reachable() {
+            if endpoint.failed_calls >= SUSPECT_AFTER_FAILED_CALLS || !endpoint.is_reachable() {
                 continue;
             }
             if is_stop {
--- a/crates/engine/src/restore.rs
+++ b/crates/engine/src/restore.rs
@@ -44,7 +44,7 @@
             }
         }
         self.ended.sort_unstable_by_key(|job| job.id);
-        self.charge_inherited(now);
+        self.charge_inherited_runs(now);
         self.is_schedule_due = true;
         unread
     }
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -60,7 +60,7 @@
     }
 
     /// Takes in the platform's list of VMs.
-    pub(crate) fn vms_listed(&mut self, entries: Vec<VmEntry>, now: Now) {
+    pub(crate) fn update_vms(&mut self, entries: Vec<VmEntry>, now: Now) {
         let mut entries = entries;
         entries.sort_unstable_by(|one, other| one.name.cmp(&other.name));
         let is_listed = |vm: &Vm| {
@@ -118,7 +118,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in replaced {
-            self.endpoint_over(key, now);
+            self.endpoint_ended(key, now);
         }
     }
 
@@ -147,7 +147,7 @@
                     self.maintenance_begun(wave, name);
                 }
                 if let Some(key) = endpoint {
-                    self.endpoint_over(key, now);
+                    self.endpoint_ended(key, now);
                 }
             }
             // An earlier call of the order may be carried out yet, or has been: given back now, the VM
