--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -21,7 +21,7 @@
 const LONG_COOLDOWN_MS: u64 = 4_000;
 
 /// Runs that fail in a row before an endpoint rests for long.
-const BAD_AFTER: u32 = 2;
+const LONG_COOLDOWN_AFTER_FAILURES: u32 = 2;
 
 /// Rest of an endpoint that refused an order, in milliseconds.
 const REFUSAL_COOLDOWN_MS: u64 = 500;
@@ -83,11 +83,11 @@
             after_ms: now.steady_ms.saturating_sub(attempt.decided_at_ms),
         });
         self.is_schedule_due = true;
-        self.break_gang(place, task, run, now);
+        self.stop_gang(place, task, run, now);
     }
 
     /// Stops the other members of a gang of which one has ended before it was done.
-    fn break_gang(&mut self, place: usize, task: &TaskRef, run: u32, now: Now) {
+    fn stop_gang(&mut self, place: usize, task: &TaskRef, run: u32, now: Now) {
         let job = &self.jobs[place];
         let is_gang = job.step_spec(task).is_some_and(|spec| spec.gang);
         let is_done = job.task(task).is_some_and(|task| task.is_done);
@@ -96,10 +96,11 @@
         }
         let members: Vec<TaskRef> = job
             .tasks()
-            .filter(|(name, member)| {
-                name.is_sibling(task) && member.attempts.iter().any(|attempt| attempt.run == run)
+            .filter(|(task_ref, member)| {
+                task_ref.is_sibling(task)
+                    && member.attempts.iter().any(|attempt| attempt.run == run)
             })
-            .map(|(name, _)| name)
+            .map(|(task_ref, _)| task_ref)
             .collect();
         for member in members {
             self.stop_run(&member, run, now);
@@ -283,25 +284,25 @@
         }
     }
 
-    fn run_done(&mut self, place: usize, name: &TaskRef, run: u32, now: Now) {
+    fn run_done(&mut self, place: usize, task_ref: &TaskRef, run: u32, now: Now) {
         let job = &mut self.jobs[place];
         job.is_dirty = true;
-        let Some(spec) = job.step_spec(name) else {
+        let Some(spec) = job.step_spec(task_ref) else {
             return;
         };
         let (is_long_running, is_gang) = (spec.long_running, spec.gang);
         if is_long_running {
-            self.remove_attempt(name, run, RunEnd::Reported(EndKind::Done), now);
+            self.remove_attempt(task_ref, run, RunEnd::Reported(EndKind::Done), now);
             return;
         }
         let names: Vec<TaskRef> = if is_gang {
             // One end of a gang stands for all of them.
             job.tasks()
                 .map(|(other, _)| other)
-                .filter(|other| other.is_sibling(name))
+                .filter(|other| other.is_sibling(task_ref))
                 .collect()
         } else {
-            vec![*name]
+            vec![*task_ref]
         };
         for member in &names {
             if let Some(task) = self.jobs[place].task_mut(member) {
@@ -309,7 +310,7 @@
                 task.checkpoint = CompactString::default();
             }
         }
-        self.remove_attempt(name, run, RunEnd::Reported(EndKind::Done), now);
+        self.remove_attempt(task_ref, run, RunEnd::Reported(EndKind::Done), now);
         for member in &names {
             let runs: Vec<u32> = self.jobs[place]
                 .task(member)
@@ -320,11 +321,11 @@
             }
         }
         self.is_schedule_due = true;
-        self.settle_job(place, now);
+        self.complete_job_if_done(place, now);
     }
 
     /// Completes a job when every task is done.
-    fn settle_job(&mut self, place: usize, now: Now) {
+    fn complete_job_if_done(&mut self, place: usize, now: Now) {
         let job = &mut self.jobs[place];
         if job.drop_done_occurrences() && !job.state.is_final() {
             job.state = JobState::Completed;
@@ -341,7 +342,7 @@
     fn run_failed(&mut self, place: usize, key: EndpointKey, ended: &EndedTask, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         endpoint.failed_runs += 1;
-        let cooldown_ms = if endpoint.failed_runs >= BAD_AFTER {
+        let cooldown_ms = if endpoint.failed_runs >= LONG_COOLDOWN_AFTER_FAILURES {
             LONG_COOLDOWN_MS
         } else {
             FIRST_COOLDOWN_MS
@@ -352,11 +353,11 @@
         let is_long_running = job
             .step_spec(&ended.task)
             .is_some_and(|spec| spec.long_running);
-        let mut is_hopeless = false;
+        let mut has_exhausted_attempts = false;
         if let Some(task) = job.task_mut(&ended.task) {
             task.failed_runs += 1;
             task.avoided_endpoint = Some(key);
-            is_hopeless = !is_long_running && task.failed_runs >= max_attempts;
+            has_exhausted_attempts = !is_long_running && task.failed_runs >= max_attempts;
         }
         self.remove_attempt(
             &ended.task,
@@ -364,7 +365,7 @@
             RunEnd::Reported(EndKind::Failed),
             now,
         );
-        if is_hopeless && !self.jobs[place].state.is_final() {
+        if has_exhausted_attempts && !self.jobs[place].state.is_final() {
             self.end_job(place, JobState::Failed, now);
         }
     }
@@ -377,12 +378,12 @@
     /// take the run for one at work, and interrupt others of its step beyond their budget. A store
     /// that is away draws this out for seconds, in which others of the step may have gone; the
     /// decision is taken back then.
-    pub(crate) fn stop_stored(&mut self, task: &TaskRef, run: u32) -> bool {
+    pub(crate) fn stop_committed(&mut self, task: &TaskRef, run: u32) -> bool {
         let Ok(place) = self.search(task.job) else {
             return false;
         };
-        let is_owed = self.jobs[place].state.is_final() || self.is_leaving(task, run);
-        let may_stop = is_owed || self.may_interrupt(task);
+        let is_required = self.jobs[place].state.is_final() || self.is_leaving(task, run);
+        let may_stop = is_required || self.may_interrupt(task);
         let job = &mut self.jobs[place];
         let Some(attempt) = find_attempt(job, task, run) else {
             return false;
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -101,7 +101,7 @@
                 Effect::Start(order) => {
                     released.extend(self.release_start(*order, now));
                 }
-                Effect::Stop { task, run, .. } if !self.stop_stored(&task, run) => {}
+                Effect::Stop { task, run, .. } if !self.stop_committed(&task, run) => {}
                 other => released.push(other),
             }
         }
--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -294,13 +294,13 @@
                 .zip(0_u16..)
                 .flat_map(move |(step, number)| {
                     step.tasks.iter().zip(0_u16..).map(move |(task, index)| {
-                        let name = TaskRef {
+                        let task_ref = TaskRef {
                             job: self.id,
                             occurrence: occurrence.number,
                             step: number,
                             index,
                         };
-                        (name, task)
+                        (task_ref, task)
                     })
                 })
         })
