--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -83,7 +83,7 @@
     fn spares(&self, loads: &[PoolLoad], idle: &[(usize, EndpointKey)], now: Now) -> Spares {
         let is_free = |place: &usize| {
             let vm = &self.vms[*place];
-            vm.is_free(now) && !self.awaits_maintenance(&vm.entry.name)
+            vm.accepts_orders(now) && !self.awaits_maintenance(&vm.entry.name)
         };
         let is_standby = |place: &usize| {
             let pool = load_place(loads, &self.vms[*place].entry.pool);
@@ -132,7 +132,10 @@
         let standby = standby.name.clone();
         for &(place, key) in idle {
             let vm = &self.vms[place];
-            if !vm.is_free(now) || vm.entry.pool == standby || !self.vm_order_rate.allows_order() {
+            if !vm.accepts_orders(now)
+                || vm.entry.pool == standby
+                || !self.vm_order_rate.allows_order()
+            {
                 continue;
             }
             let has_idled = now.steady_ms >= self.endpoints.get(key).empty_since_ms + IDLE_MS;
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -40,9 +40,9 @@
     /// When that order was given, on the steady clock.
     pub ordered_ms: u64,
     /// Whether a call for that order is under way.
-    is_asked: bool,
+    is_call_pending: bool,
     /// Whether a call for that order got no answer, so that it may be carried out yet.
-    may_be_done: bool,
+    may_take_effect: bool,
     /// Until when nothing is ordered for it, on the steady clock.
     pub cooldown_until_ms: u64,
     /// Whether an order for it is still to be stored.
@@ -75,7 +75,7 @@
                 self.endpoints.set_vm(key, &entry.name);
             }
             match self.vm_place(&entry.name) {
-                Ok(place) => self.vms[place].refresh(entry, now),
+                Ok(place) => self.vms[place].update(entry, now),
                 Err(place) => self.vms.insert(
                     place,
                     Vm {
@@ -83,8 +83,8 @@
                         entry,
                         order: None,
                         ordered_endpoint: None,
-                        is_asked: false,
-                        may_be_done: false,
+                        is_call_pending: false,
+                        may_take_effect: false,
                         ordered_ms: 0,
                         maintained_until_ms: 0,
                         is_dirty: false,
@@ -93,11 +93,11 @@
                 ),
             }
         }
-        self.end_replaced(now);
+        self.end_replaced_endpoints(now);
     }
 
     /// Ends lives on VMs that are listed with another one.
-    fn end_replaced(&mut self, now: Now) {
+    fn end_replaced_endpoints(&mut self, now: Now) {
         let replaced: Vec<EndpointKey> = self
             .endpoints
             .iter()
@@ -131,7 +131,7 @@
         let Ok(place) = self.vm_place(name) else {
             return;
         };
-        self.vms[place].is_asked = false;
+        self.vms[place].is_call_pending = false;
         let Some(order) = self.vms[place].order.clone() else {
             return;
         };
@@ -142,7 +142,7 @@
             VmOutcome::Done => {
                 self.vms[place].is_dirty = true;
                 let until_ms = now.steady_ms + self.settings.maintenance_ms + MAINTENANCE_SLACK_MS;
-                self.vms[place].begin_absence(&order, until_ms);
+                self.vms[place].mark_unavailable(&order, until_ms);
                 if let VmOrder::Maintain(wave) = order {
                     self.maintenance_begun(wave, name);
                 }
@@ -152,7 +152,7 @@
             }
             // An earlier call of the order may be carried out yet, or has been: given back now, the VM
             // would take work that ends with it. The order is repeated until its outcome is known.
-            VmOutcome::Busy | VmOutcome::Refused if self.vms[place].may_be_done => {
+            VmOutcome::Busy | VmOutcome::Refused if self.vms[place].may_take_effect => {
                 self.vms[place].ordered_ms = now.steady_ms;
             }
             VmOutcome::Busy | VmOutcome::Refused => {
@@ -167,7 +167,7 @@
                 }
             }
             // Repeated later: both orders do nothing when they were carried out before.
-            VmOutcome::Unknown => self.vms[place].may_be_done = true,
+            VmOutcome::Unknown => self.vms[place].may_take_effect = true,
         }
     }
 
@@ -178,9 +178,9 @@
         let vm = &mut self.vms[place];
         if vm.order.as_ref() != Some(&order) {
             vm.ordered_endpoint = current;
-            vm.may_be_done = false;
+            vm.may_take_effect = false;
         }
-        vm.is_asked = true;
+        vm.is_call_pending = true;
         self.vm_order_rate.note_order();
         vm.ordered_ms = now.steady_ms;
         let effect = match &order {
@@ -221,7 +221,7 @@
     pub(crate) fn repeat_vm_orders(&mut self, now: Now) {
         for place in 0..self.vms.len() {
             let vm = &self.vms[place];
-            let is_due = !vm.is_asked
+            let is_due = !vm.is_call_pending
                 && now.steady_ms >= vm.ordered_ms + VM_ORDER_RETRY_MS
                 && self.vm_order_rate.allows_order();
             if let Some(order) = vm.order.clone()
@@ -234,7 +234,7 @@
 }
 
 impl Vm {
-    fn refresh(&mut self, entry: VmEntry, now: Now) {
+    fn update(&mut self, entry: VmEntry, now: Now) {
         let is_ordered_move = match &self.order {
             Some(VmOrder::Move(pool)) => entry.pool == *pool,
             _ => false,
@@ -254,9 +254,9 @@
     /// Tells whether something may be ordered for the VM.
     ///
     /// While a call is under way, its answer would be taken for that to another order.
-    pub(crate) fn is_free(&self, now: Now) -> bool {
+    pub(crate) fn accepts_orders(&self, now: Now) -> bool {
         self.order.is_none()
-            && !self.is_asked
+            && !self.is_call_pending
             && self.entry.state == VmState::Up
             && now.steady_ms >= self.cooldown_until_ms
     }
@@ -267,7 +267,7 @@
     }
 
     /// Notes that the VM has left for what was ordered.
-    fn begin_absence(&mut self, order: &VmOrder, maintained_until_ms: u64) {
+    fn mark_unavailable(&mut self, order: &VmOrder, maintained_until_ms: u64) {
         self.order = None;
         self.entry.endpoint = CompactString::default();
         match order {
--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -339,7 +339,7 @@
             // A VM of the standby pool has no endpoint.
             None => vm.entry.endpoint.is_empty(),
         };
-        vm.is_free(now) && is_empty
+        vm.accepts_orders(now) && is_empty
     }
 
     /// Keeps new work from as many VMs as can be maintained next.
