--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -38,7 +38,7 @@
             self.schedule(now);
         }
         let mut batch = Batch {
-            records: std::mem::take(&mut self.drops),
+            records: std::mem::take(&mut self.deletions),
             effects: Vec::new(),
             visible_states: Vec::new(),
             stored_ends: self.unacknowledged(),
@@ -87,7 +87,7 @@
                 let job = self.jobs.quiet_mut(place);
                 job.visible_state = Some(state);
                 if state.is_final() && !job.has_attempts() && !job.is_dirty {
-                    self.forget_details(place);
+                    self.drop_job_details(place);
                 }
             }
         }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -19,7 +19,7 @@
         order_rate::OrderRate,
         quota::{AccountNumber, QuotaTracker},
         state::Job,
-        stored::{Record, progress_drop, spec_drop},
+        stored::{Record, progress_deletion, spec_deletion},
         vm_cooldowns::VmCooldown,
         vms::Vm,
         waiting::OpenSteps,
@@ -34,10 +34,10 @@
 
 /// Time for which an ended life of an endpoint is remembered, in milliseconds: its entry is gone and
 /// the last late answers have come long before.
-const FORGET_LIFE_MS: u64 = 30_000;
+const INCARNATION_RETENTION_MS: u64 = 30_000;
 
 /// Time between two looks for lives to forget, in milliseconds.
-const FORGET_EVERY_MS: u64 = 1_000;
+const PRUNE_INTERVAL_MS: u64 = 1_000;
 
 /// Bounds that the platform sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -87,13 +87,13 @@
     /// Jobs that may have to be stored; some may be named twice.
     pub(crate) unstored_jobs: Vec<JobId>,
     /// Jobs that have occurrences to come, sorted by id.
-    pub(crate) timed_jobs: Vec<JobId>,
+    pub(crate) scheduled_jobs: Vec<JobId>,
     pub(crate) open_steps: OpenSteps,
     pub(crate) quotas: QuotaTracker,
     /// Accounts that flood, sorted, with the share of each in thousandths of a core.
     pub(crate) excess_demand: Vec<(AccountNumber, f64)>,
     /// Jobs that have ended, sorted by id.
-    pub(crate) ended: Vec<EndedJob>,
+    pub(crate) ended_jobs: Vec<EndedJob>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) free_room: FreeRoom,
     /// Endpoints at which nothing starts until a time on the steady clock, sorted by that time.
@@ -111,18 +111,18 @@
     pub(crate) waves: Vec<Wave>,
     pub(crate) pending_effects: Vec<Effect>,
     pub(crate) immediate_effects: Vec<Effect>,
-    pub(crate) drops: Vec<Record>,
+    pub(crate) deletions: Vec<Record>,
     /// What is known of steps whose endpoints another service chooses, sorted by step.
     pub(crate) advice: Vec<StepAdvice>,
     /// Work handed in lately.
     pub(crate) arrivals: Arrivals,
     pub(crate) log_events: Vec<LogEvent>,
     /// When the pools were noted last, on the steady clock.
-    pub(crate) plans_noted_ms: u64,
+    pub(crate) pools_logged_ms: u64,
     /// Entries of endpoints that were seen being written.
     pub(crate) fresh_entries: u64,
     /// When lives were forgotten last, on the steady clock.
-    lives_forgotten_ms: u64,
+    incarnations_pruned_ms: u64,
     pub(crate) is_schedule_due: bool,
     pub(crate) may_order_vms: bool,
     /// Whether nothing can be stored at the moment.
@@ -139,11 +139,11 @@
             config: Arc::default(),
             jobs: JobTable::default(),
             unstored_jobs: Vec::new(),
-            timed_jobs: Vec::new(),
+            scheduled_jobs: Vec::new(),
             open_steps: OpenSteps::default(),
             quotas: QuotaTracker::default(),
             excess_demand: Vec::new(),
-            ended: Vec::new(),
+            ended_jobs: Vec::new(),
             endpoints: EndpointTable::default(),
             free_room: FreeRoom::default(),
             cooling_endpoints: Vec::new(),
@@ -155,13 +155,13 @@
             waves: Vec::new(),
             pending_effects: Vec::new(),
             immediate_effects: Vec::new(),
-            drops: Vec::new(),
+            deletions: Vec::new(),
             advice: Vec::new(),
             arrivals: Arrivals::default(),
             log_events: Vec::new(),
-            plans_noted_ms: 0,
+            pools_logged_ms: 0,
             fresh_entries: 0,
-            lives_forgotten_ms: 0,
+            incarnations_pruned_ms: 0,
             is_schedule_due: false,
             may_order_vms: false,
             is_store_unavailable: false,
@@ -278,7 +278,7 @@
                     known.waiting_callers.push(token);
                 }
             }
-            Err(_) if self.find_ended(id).is_some() => {
+            Err(_) if self.find_ended_job(id).is_some() => {
                 self.reply_immediately(token, CallerAnswer::Accepted);
             }
             Err(_) if self.is_store_unavailable => self.refuse(&[token]),
@@ -301,9 +301,9 @@
         job.account_number = self.quotas.number(&job.account);
         self.quotas.add_job(job.account_number);
         if job.has_future_occurrences()
-            && let Err(place) = self.timed_jobs.binary_search(&job.id)
+            && let Err(place) = self.scheduled_jobs.binary_search(&job.id)
         {
-            self.timed_jobs.insert(place, job.id);
+            self.scheduled_jobs.insert(place, job.id);
         }
         self.jobs.add(job);
     }
@@ -325,7 +325,7 @@
     pub fn can_access(&self, id: JobId, account: &str) -> bool {
         let holder = match self.search(id) {
             Ok(place) => Some(&self.jobs[place].account),
-            Err(_) => self.find_ended(id).map(|job| &job.account),
+            Err(_) => self.find_ended_job(id).map(|job| &job.account),
         };
         holder.is_none_or(|holder| holder.is_empty() || holder == account)
     }
@@ -342,7 +342,7 @@
                 token,
                 answer: CallerAnswer::Cancelled,
             });
-        } else if self.find_ended(id).is_some() {
+        } else if self.find_ended_job(id).is_some() {
             self.reply_immediately(token, CallerAnswer::Cancelled);
         } else {
             self.reply_immediately(token, CallerAnswer::Unknown);
@@ -410,9 +410,9 @@
         self.jobs.search(id)
     }
 
-    fn find_ended(&self, id: JobId) -> Option<&EndedJob> {
-        let place = self.ended.binary_search_by_key(&id, |job| job.id);
-        place.ok().map(|place| &self.ended[place])
+    fn find_ended_job(&self, id: JobId) -> Option<&EndedJob> {
+        let place = self.ended_jobs.binary_search_by_key(&id, |job| job.id);
+        place.ok().map(|place| &self.ended_jobs[place])
     }
 
     /// Returns what may be told of a job; nothing when no such job is stored.
@@ -420,7 +420,7 @@
     pub fn job_state(&self, id: JobId) -> Option<JobState> {
         match self.search(id) {
             Ok(place) => self.jobs[place].visible_state,
-            Err(_) => self.find_ended(id).map(|job| job.state),
+            Err(_) => self.find_ended_job(id).map(|job| job.state),
         }
     }
 
@@ -468,18 +468,21 @@
     }
 
     /// Keeps only the state of a job that has ended.
-    pub(crate) fn forget_details(&mut self, place: usize) {
+    pub(crate) fn drop_job_details(&mut self, place: usize) {
         let job = self.jobs.remove(place);
         self.quotas.remove_job(job.account_number);
-        self.drops.push(spec_drop(job.id));
-        if let Err(place) = self.ended.binary_search_by_key(&job.id, |ended| ended.id) {
+        self.deletions.push(spec_deletion(job.id));
+        if let Err(place) = self
+            .ended_jobs
+            .binary_search_by_key(&job.id, |ended| ended.id)
+        {
             let ended = EndedJob {
                 id: job.id,
                 state: job.state,
                 account: job.account,
                 at_ms: job.ended_ms,
             };
-            self.ended.insert(place, ended);
+            self.ended_jobs.insert(place, ended);
         }
     }
 
@@ -488,10 +491,10 @@
         self.expire_leases(now);
         self.repeat_orders(now);
         self.renew_leases(now);
-        self.forget_old(now);
-        if now.steady_ms >= self.lives_forgotten_ms + FORGET_EVERY_MS {
-            self.lives_forgotten_ms = now.steady_ms;
-            let before_ms = now.steady_ms.saturating_sub(FORGET_LIFE_MS);
+        self.remove_expired_jobs(now);
+        if now.steady_ms >= self.incarnations_pruned_ms + PRUNE_INTERVAL_MS {
+            self.incarnations_pruned_ms = now.steady_ms;
+            let before_ms = now.steady_ms.saturating_sub(INCARNATION_RETENTION_MS);
             self.endpoints.remove_ended(before_ms);
         }
         self.forget_advice();
@@ -505,27 +508,27 @@
     }
 
     fn begin_occurrences(&mut self, now: Now) {
-        for at in (0..self.timed_jobs.len()).rev() {
-            let Ok(place) = self.search(self.timed_jobs[at]) else {
-                self.timed_jobs.remove(at);
+        for at in (0..self.scheduled_jobs.len()).rev() {
+            let Ok(place) = self.search(self.scheduled_jobs[at]) else {
+                self.scheduled_jobs.remove(at);
                 continue;
             };
             let known = &self.jobs[place];
             if known.state.is_final() || !known.has_future_occurrences() {
-                self.timed_jobs.remove(at);
+                self.scheduled_jobs.remove(at);
             } else if known.is_next_occurrence_due(now.wall_ms) {
                 self.jobs[place].begin_due_occurrences(now.wall_ms);
             }
         }
     }
 
-    fn forget_old(&mut self, now: Now) {
+    fn remove_expired_jobs(&mut self, now: Now) {
         let retention_ms = self.settings.retention_ms;
-        let drops = &mut self.drops;
-        self.ended.retain(|job| {
+        let deletions = &mut self.deletions;
+        self.ended_jobs.retain(|job| {
             let is_kept = now.steady_ms < job.at_ms + retention_ms;
             if !is_kept {
-                drops.push(progress_drop(job.id));
+                deletions.push(progress_deletion(job.id));
             }
             is_kept
         });
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -61,9 +61,9 @@
 
     /// Notes how pools stand: one for which something was ordered, and each of them now and then.
     fn note_plans(&mut self, loads: &[PoolLoad], now: Now) {
-        let is_due = now.steady_ms >= self.plans_noted_ms + PLANS_NOTED_EVERY_MS;
+        let is_due = now.steady_ms >= self.pools_logged_ms + PLANS_NOTED_EVERY_MS;
         if is_due {
-            self.plans_noted_ms = now.steady_ms;
+            self.pools_logged_ms = now.steady_ms;
         }
         let plans = loads
             .iter()
--- a/crates/engine/src/restore.rs
+++ b/crates/engine/src/restore.rs
@@ -43,7 +43,7 @@
                 unread.push(record.key.as_str());
             }
         }
-        self.ended.sort_unstable_by_key(|job| job.id);
+        self.ended_jobs.sort_unstable_by_key(|job| job.id);
         self.charge_inherited_runs(now);
         self.is_schedule_due = true;
         unread
@@ -64,7 +64,7 @@
             let state = progress.state();
             let account = progress.account().clone();
             if state.is_final() {
-                self.ended.push(EndedJob {
+                self.ended_jobs.push(EndedJob {
                     id,
                     state,
                     account,
--- a/crates/engine/src/stored.rs
+++ b/crates/engine/src/stored.rs
@@ -169,7 +169,7 @@
 
 /// Returns the record that drops what the caller sent.
 #[must_use]
-pub fn spec_drop(job: JobId) -> Record {
+pub fn spec_deletion(job: JobId) -> Record {
     Record {
         key: format!("{SPEC_PREFIX}/{job}"),
         value: Vec::new(),
@@ -178,7 +178,7 @@
 
 /// Returns the record that drops a job.
 #[must_use]
-pub fn progress_drop(job: JobId) -> Record {
+pub fn progress_deletion(job: JobId) -> Record {
     Record {
         key: format!("{PROGRESS_PREFIX}/{job}"),
         value: Vec::new(),
