--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -50,6 +50,7 @@
 pub use {
     access::{Access, Credentials, Denial, judge},
     calls::{CallResult, CallSubject, EndpointCall},
+    carried::{CallNumber, CarriedCall, CarriedRequest, CarryAnswer, CarryRequest},
     in_flight::{FOLLOW_MS, InFlight, MOST_UNDER_WAY, STORE_AWAY_MS},
     members::{HEARD_MS, Member, Members},
     node::{MetricsPage, run},
@@ -58,6 +59,10 @@
         RENEW_EVERY_MS, SILENCE_MS, SMALL_NODE_DELAY_MS, SUSPECT_MS,
     },
     payloads::Payloads,
+    peer::{
+        Ask, ConfigRequest, OwnerAnswer, OwnerRequest, OwnershipAnswer, OwnershipAsk,
+        OwnershipRequest,
+    },
     pending::PendingCalls,
     shares::Shares,
     speed::Speed,
--- /dev/null
+++ b/crates/gateway/tests/encodings.rs
@@ -0,0 +1,147 @@
+//! Encodings of messages between nodes, held as bytes: nodes of other builds read and write them.
+
+use {
+    lynxwheel_gateway::{
+        KeptAnswer, KeptHeader, PeerAnswer, PeerAnswerRequest, Refusal, RefusalReason,
+    },
+    lynxwheel_protocol::{RequestKey, decode_message, encode_message},
+    serde::{Serialize, de::DeserializeOwned},
+    std::fmt::Debug,
+};
+
+/// Digits of held bytes in one line.
+const LINE_DIGITS: usize = 90;
+
+fn hex(bytes: &[u8]) -> String {
+    let digits = bytes.iter().flat_map(|byte| [byte >> 4, byte & 15]);
+    let digits = digits.filter_map(|digit| char::from_digit(digit.into(), 16));
+    digits.collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let pairs = (0..hex.len()).step_by(2).map(|at| &hex[at..at + 2]);
+    let bytes = pairs.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits"));
+    bytes.collect()
+}
+
+/// Compares an encoding with the bytes held; where it differs, shows it as it would be held.
+fn assert_held(encoded: &[u8], held: &str) {
+    let encoded = hex(encoded);
+    let starts = (0..encoded.len()).step_by(LINE_DIGITS);
+    let lines = starts.map(|at| &encoded[at..encoded.len().min(at + LINE_DIGITS)]);
+    let lines: Vec<&str> = lines.collect();
+    assert!(encoded == held, "encoded as\n{}", lines.join("\\\n"));
+}
+
+/// Checks that a message is encoded as the bytes held, and that they are decoded as the message.
+fn check<T: Debug + DeserializeOwned + PartialEq + Serialize>(message: &T, held: &str) {
+    assert_held(&encode_message(message).expect("a small message"), held);
+    assert_eq!(decode_message::<T>(&bytes(held)).as_ref(), Ok(message));
+}
+
+macro_rules! held {
+    ($($(#[$guard:meta])* $name:ident: $message:expr => $held:expr;)*) => {
+        $($(#[$guard])* #[test] fn $name() { check(&$message, $held); })*
+    };
+}
+
+fn kept() -> KeptAnswer {
+    KeptAnswer {
+        status: 201,
+        headers: vec![KeptHeader {
+            name: "content-type".into(),
+            value: b"text/plain".to_vec(),
+        }],
+        body: vec![0x01, 0x7f, 0x80, 0xff],
+    }
+}
+
+fn refusal(reason: RefusalReason) -> Refusal {
+    Refusal {
+        reason,
+        did_not_run: true,
+        retry_after_ms: 1_500,
+        detail: "try later".into(),
+    }
+}
+
+/// Refusals for each reason.
+fn refusals() -> Vec<Refusal> {
+    let reasons = [
+        RefusalReason::BadRequest,
+        RefusalReason::SlowBody,
+        RefusalReason::BodyTooLarge,
+        RefusalReason::RateExceeded,
+        RefusalReason::UnknownService,
+        RefusalReason::NoEndpoint,
+        RefusalReason::NoFreeSlot,
+        RefusalReason::LogUnavailable,
+        RefusalReason::KeyReused,
+        RefusalReason::KeyPending,
+        RefusalReason::KeyEnded,
+        RefusalReason::KeyTooOld,
+        RefusalReason::KeysFull,
+        RefusalReason::OutcomeUnknown,
+        RefusalReason::Timeout,
+    ];
+    reasons.map(refusal).to_vec()
+}
+
+held! {
+    /// A node finds no answer of a key that a peer holds.
+    peer_answer_request: PeerAnswerRequest {
+        key: RequestKey(0x0123_4567_89ab_cdef_fedc_ba98_7654_3210),
+        incarnation: 7,
+        wait_ms: 2_500,
+    } => "\
+        83a36b6579c4100123456789abcdeffedcba9876543210ab696e6361726e6174696f6e07a7776169745f6d73cd\
+        09c4";
+
+    /// A second attempt gets another answer than the first.
+    answered: PeerAnswer::Answered(kept()) => "\
+        81a8416e73776572656483a6737461747573ccc9a7686561646572739182a46e616d65ac636f6e74656e742d74\
+        797065a576616c75659a746578742f706c61696ea4626f647994017fcc80ccff";
+
+    /// A second attempt is not told that the first was answered.
+    too_large: PeerAnswer::TooLarge(200) => "81a8546f6f4c61726765ccc8";
+
+    /// A second attempt is not told that the first was refused.
+    refused: PeerAnswer::Refused(refusal(RefusalReason::NoFreeSlot)) => "\
+        81a75265667573656484a6726561736f6eac6e6f5f667265655f736c6f74ab6469645f6e6f745f72756ec3ae72\
+        657472795f61667465725f6d73cd05dca664657461696ca9747279206c61746572";
+
+    /// A refusal gets another reason on its way, or none.
+    refusal_of_each_reason: refusals() => "\
+        9f84a6726561736f6eab6261645f72657175657374ab6469645f6e6f745f72756ec3ae72657472795f61667465\
+        725f6d73cd05dca664657461696ca9747279206c6174657284a6726561736f6ea9736c6f775f626f6479ab6469\
+        645f6e6f745f72756ec3ae72657472795f61667465725f6d73cd05dca664657461696ca9747279206c61746572\
+        84a6726561736f6eae626f64795f746f6f5f6c61726765ab6469645f6e6f745f72756ec3ae72657472795f6166\
+        7465725f6d73cd05dca664657461696ca9747279206c6174657284a6726561736f6ead726174655f6578636565\
+        646564ab6469645f6e6f745f72756ec3ae72657472795f61667465725f6d73cd05dca664657461696ca9747279\
+        206c6174657284a6726561736f6eaf756e6b6e6f776e5f73657276696365ab6469645f6e6f745f72756ec3ae72\
+        657472795f61667465725f6d73cd05dca664657461696ca9747279206c6174657284a6726561736f6eab6e6f5f\
+        656e64706f696e74ab6469645f6e6f745f72756ec3ae72657472795f61667465725f6d73cd05dca66465746169\
+        6ca9747279206c6174657284a6726561736f6eac6e6f5f667265655f736c6f74ab6469645f6e6f745f72756ec3\
+        ae72657472795f61667465725f6d73cd05dca664657461696ca9747279206c6174657284a6726561736f6eaf6c\
+        6f675f756e617661696c61626c65ab6469645f6e6f745f72756ec3ae72657472795f61667465725f6d73cd05dc\
+        a664657461696ca9747279206c6174657284a6726561736f6eaa6b65795f726575736564ab6469645f6e6f745f\
+        72756ec3ae72657472795f61667465725f6d73cd05dca664657461696ca9747279206c6174657284a672656173\
+        6f6eab6b65795f70656e64696e67ab6469645f6e6f745f72756ec3ae72657472795f61667465725f6d73cd05dc\
+        a664657461696ca9747279206c6174657284a6726561736f6ea96b65795f656e646564ab6469645f6e6f745f72\
+        756ec3ae72657472795f61667465725f6d73cd05dca664657461696ca9747279206c6174657284a6726561736f\
+        6eab6b65795f746f6f5f6f6c64ab6469645f6e6f745f72756ec3ae72657472795f61667465725f6d73cd05dca6\
+        64657461696ca9747279206c6174657284a6726561736f6ea96b6579735f66756c6cab6469645f6e6f745f7275\
+        6ec3ae72657472795f61667465725f6d73cd05dca664657461696ca9747279206c6174657284a6726561736f6e\
+        af6f7574636f6d655f756e6b6e6f776eab6469645f6e6f745f72756ec3ae72657472795f61667465725f6d73cd\
+        05dca664657461696ca9747279206c6174657284a6726561736f6ea774696d656f7574ab6469645f6e6f745f72\
+        756ec3ae72657472795f61667465725f6d73cd05dca664657461696ca9747279206c61746572";
+
+    /// A request that runs is taken for one that does not.
+    running: PeerAnswer::Running => "a752756e6e696e67";
+
+    /// A key of which nothing is kept is taken for one that runs.
+    not_kept: PeerAnswer::NotKept => "a74e6f744b657074";
+
+    /// A node that was restarted is taken for the holder of a key.
+    other_run: PeerAnswer::OtherRun => "a84f7468657252756e";
+}
