--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -30,22 +30,22 @@
 
 /// A name that is none of a job or task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BadName;
+pub struct ParseNameError;
 
-impl fmt::Display for BadName {
+impl fmt::Display for ParseNameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("no name of a job or task")
     }
 }
 
 impl TryFrom<[u8; ID_DIGITS]> for JobId {
-    type Error = BadName;
+    type Error = ParseNameError;
 
-    fn try_from(digits: [u8; ID_DIGITS]) -> Result<Self, BadName> {
+    fn try_from(digits: [u8; ID_DIGITS]) -> Result<Self, ParseNameError> {
         if digits.iter().all(u8::is_ascii_hexdigit) {
             Ok(Self(digits))
         } else {
-            Err(BadName)
+            Err(ParseNameError)
         }
     }
 }
@@ -57,10 +57,10 @@
 }
 
 impl FromStr for JobId {
-    type Err = BadName;
+    type Err = ParseNameError;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let digits: [u8; ID_DIGITS] = text.as_bytes().try_into().map_err(|_| BadName)?;
+    fn from_str(text: &str) -> Result<Self, ParseNameError> {
+        let digits: [u8; ID_DIGITS] = text.as_bytes().try_into().map_err(|_| ParseNameError)?;
         Self::try_from(digits)
     }
 }
@@ -99,19 +99,19 @@
 }
 
 impl FromStr for TaskRef {
-    type Err = BadName;
+    type Err = ParseNameError;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
+    fn from_str(text: &str) -> Result<Self, ParseNameError> {
         let mut parts = text.split('.');
-        let mut next = || parts.next().ok_or(BadName);
+        let mut next = || parts.next().ok_or(ParseNameError);
         let task = Self {
             job: next()?.parse()?,
-            occurrence: next()?.parse().map_err(|_| BadName)?,
-            step: next()?.parse().map_err(|_| BadName)?,
-            index: next()?.parse().map_err(|_| BadName)?,
+            occurrence: next()?.parse().map_err(|_| ParseNameError)?,
+            step: next()?.parse().map_err(|_| ParseNameError)?,
+            index: next()?.parse().map_err(|_| ParseNameError)?,
         };
         if parts.next().is_some() {
-            return Err(BadName);
+            return Err(ParseNameError);
         }
         Ok(task)
     }
@@ -119,7 +119,7 @@
 
 /// Amounts of an endpoint's room.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MB.
@@ -128,10 +128,10 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// Tells whether `wanted` fits in.
     #[must_use]
-    pub fn holds(&self, wanted: &Self) -> bool {
+    pub fn can_fit(&self, wanted: &Self) -> bool {
         self.cpu_millis >= wanted.cpu_millis
             && self.memory_mb >= wanted.memory_mb
             && self.gpus >= wanted.gpus
@@ -146,7 +146,7 @@
 
     /// Returns so many times the amount.
     #[must_use]
-    pub fn times(&self, count: u64) -> Self {
+    pub fn scaled(&self, count: u64) -> Self {
         Self {
             cpu_millis: self.cpu_millis * count,
             memory_mb: self.memory_mb * count,
@@ -156,7 +156,7 @@
 
     /// Returns what is left after `other` was taken, or nothing of an amount that does not suffice.
     #[must_use]
-    pub fn less(&self, other: &Self) -> Self {
+    pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
@@ -175,7 +175,7 @@
     /// Number of tasks.
     pub count: u16,
     /// Room that each task asks for.
-    pub room: Room,
+    pub room: Resources,
     /// Caller's rough estimate of a task's duration, in milliseconds.
     pub estimated_ms: u64,
     /// Steps of which every task must be done first.
@@ -209,9 +209,9 @@
 impl StepSpec {
     /// Returns the room that a task takes of its endpoint.
     #[must_use]
-    pub fn charged(&self) -> Room {
+    pub fn charged(&self) -> Resources {
         if self.fills {
-            return Room {
+            return Resources {
                 cpu_millis: 0,
                 ..self.room
             };
@@ -259,7 +259,7 @@
 
     /// Returns the longest chain of estimated work, in milliseconds.
     #[must_use]
-    pub fn chain_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let start = step
@@ -274,7 +274,7 @@
 
     /// Returns why the job cannot be taken, if so.
     #[must_use]
-    pub fn mistake(&self) -> Option<&'static str> {
+    pub fn validation_error(&self) -> Option<&'static str> {
         if self.steps.is_empty() {
             return Some("steps: a job needs one or more");
         }
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -12,7 +12,7 @@
     lynxwheel_engine::{
         Batch, CallOutcome, ClientAccounts, Effect, EndKind, EndedTask, EndpointEntry,
         EndpointReport, Engine, EngineSettings, Event, FleetConfig, JobId, JobSpec, JobState, Now,
-        Record, Refusal, Room, RunningTask, StartOrder, StepSpec, TaskRef,
+        Record, Refusal, Resources, RunningTask, StartOrder, StepSpec, TaskRef,
     },
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
@@ -171,7 +171,7 @@
             address: ([127, 0, 0, 1], 9_000 + number).into(),
             pool: POOL.into(),
             zone: "zone-1".into(),
-            capacity: Room {
+            capacity: Resources {
                 cpu_millis: CORES * 1_000,
                 memory_mb: 64_000,
                 gpus: 0,
@@ -222,7 +222,7 @@
             self.serve_mailbox();
         }
         for job in 1..=self.jobs {
-            let state = self.engine.shown(job_id(job));
+            let state = self.engine.job_state(job_id(job));
             assert!(
                 state.is_some_and(JobState::is_final),
                 "job {job}: {state:?}"
@@ -313,11 +313,11 @@
 
     fn flush(&mut self) {
         let now = self.now();
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.send(effects);
         if self.in_flight.is_none() {
-            let batch = self.engine.cut_batch(now);
-            let effects = self.engine.take_at_once();
+            let batch = self.engine.take_batch(now);
+            let effects = self.engine.take_immediate_effects();
             self.send(effects);
             if batch.records.is_empty() {
                 let effects = self.engine.committed(batch, now);
