--- a/crates/controller/tests/encodings.rs
+++ b/crates/controller/tests/encodings.rs
@@ -10,7 +10,7 @@
     lynxwheel_engine::{
         CallOutcome, CallerLimits, ClientAccount, ClientAccounts, EndKind, EndedTask,
         EndpointAddress, EndpointReport, FleetConfig, JobSpec, JobState, KeyDigest, Pool, Queue,
-        Refusal, Room, RunningTask, StartOrder, StepSpec, TaskRef,
+        Refusal, Resources, RunningTask, StartOrder, StepSpec, TaskRef,
     },
     lynxwheel_protocol::{CodecError, decode_message, encode_compact_message, encode_message},
     serde::{Serialize, de::DeserializeOwned},
@@ -89,8 +89,8 @@
     "5c0e7a21d94b36f8.3.1.300".parse().expect("a task's name")
 }
 
-fn room(cpu_millis: u64) -> Room {
-    Room {
+fn room(cpu_millis: u64) -> Resources {
+    Resources {
         cpu_millis,
         memory_mb: 2_048,
         gpus: 1,
--- a/crates/engine/tests/encodings.rs
+++ b/crates/engine/tests/encodings.rs
@@ -8,7 +8,7 @@
     lynxwheel_engine::{
         CallOutcome, CallerLimits, ClientAccount, ClientAccounts, Effect, EndKind, EndedTask,
         EndpointAddress, EndpointReport, Engine, EngineSettings, Event, FleetConfig, Job, JobSpec,
-        JobState, KeyDigest, Now, Pool, Queue, Record, Refusal, Room, RunningTask, StartOrder,
+        JobState, KeyDigest, Now, Pool, Queue, Record, Refusal, Resources, RunningTask, StartOrder,
         StepSpec, TaskRef, VmOutcome, WaveOrder,
     },
     serde::{Serialize, de::DeserializeOwned},
@@ -62,8 +62,8 @@
     "5c0e7a21d94b36f8.3.1.300".parse().expect("a task's name")
 }
 
-fn room(cpu_millis: u64) -> Room {
-    Room {
+fn room(cpu_millis: u64) -> Resources {
+    Resources {
         cpu_millis,
         memory_mb: 2_048,
         gpus: 1,
@@ -366,7 +366,7 @@
         };
         engine.handle(Event::Config(config.into()), now);
     }
-    engine.cut_batch(now).records
+    engine.take_batch(now).records
 }
 
 /// Checks both records of a job, and that an owner that reads the bytes held writes the same.
@@ -524,7 +524,7 @@
     let progress = progress_of(fleet, 1);
     assert_held(&progress.value, held);
     let engine = restored(&[held_record(&progress.key, held)], fleet.now);
-    assert_eq!(engine.shown(job_id(1)), Some(state));
+    assert_eq!(engine.job_state(job_id(1)), Some(state));
     assert!(engine.is_open_to(job_id(1), "account-1"));
     assert!(!engine.is_open_to(job_id(1), "account-2"));
 }
@@ -638,7 +638,7 @@
     let key = format!("v/{name}");
     take_over(&mut fleet, &[held_record(&key, held)]);
     let taken_ms = fleet.now.steady_ms;
-    fleet.engine.end_vm_rests(over_epoch, taken_ms + 1_000);
+    fleet.engine.end_vm_cooldowns(over_epoch, taken_ms + 1_000);
     list_vms(&mut fleet);
     order_wave(&mut fleet, 13, &[name]);
     while !is_ordered(&fleet, name) {
