--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -10,7 +10,7 @@
         advice::StepAdvice,
         arrivals::Arrivals,
         config::{FleetConfig, Queue},
-        endpoint_table::Endpoints,
+        endpoint_table::EndpointTable,
         event::{CallerAnswer, Effect, EndpointKey, Event, Now, ReplyToken},
         free_room::FreeRoom,
         job::{JobId, JobState, Resources, TaskRef},
@@ -94,7 +94,7 @@
     pub(crate) flooding: Vec<(AccountNumber, f64)>,
     /// Jobs that have ended, sorted by id.
     pub(crate) ended: Vec<EndedJob>,
-    pub(crate) endpoints: Endpoints,
+    pub(crate) endpoints: EndpointTable,
     pub(crate) free_room: FreeRoom,
     /// Endpoints at which nothing starts until a time on the steady clock, sorted by that time.
     pub(crate) cooling_endpoints: Vec<(u64, EndpointKey)>,
@@ -144,7 +144,7 @@
             quotas: QuotaLedger::default(),
             flooding: Vec::new(),
             ended: Vec::new(),
-            endpoints: Endpoints::default(),
+            endpoints: EndpointTable::default(),
             free_room: FreeRoom::default(),
             cooling_endpoints: Vec::new(),
             unstored_ends: Vec::new(),
@@ -194,11 +194,11 @@
                 account,
                 token,
             } => self.cancel(job, &account, token, now),
-            Event::Config(config) => self.set_config(config),
-            Event::Listed { entry, is_fresh } => self.endpoint_listed(&entry, is_fresh, now),
-            Event::Unlisted(id) => self.endpoint_unlisted(&id, now),
-            Event::Vms(vms) => self.vms_listed(vms, now),
-            Event::Wave(order) => self.wave_ordered(order, now),
+            Event::ConfigChanged(config) => self.set_config(config),
+            Event::Registered { entry, is_fresh } => self.endpoint_listed(&entry, is_fresh, now),
+            Event::Deregistered(id) => self.endpoint_unlisted(&id, now),
+            Event::VmsListed(vms) => self.vms_listed(vms, now),
+            Event::WaveOrdered(order) => self.wave_ordered(order, now),
             Event::Started {
                 endpoint,
                 task,
@@ -220,7 +220,7 @@
                 percent,
                 is_done,
             } => self.pace_answered(endpoint, &task, run, percent, is_done),
-            Event::VmAnswer { vm, outcome } => self.vm_answered(&vm, outcome, now),
+            Event::VmOrderAnswered { vm, outcome } => self.vm_answered(&vm, outcome, now),
             Event::Tick => self.tick(now),
         }
     }
@@ -266,7 +266,7 @@
 
     fn submit(&mut self, mut job: Job, token: ReplyToken, now: Now) {
         let id = job.id;
-        if !self.is_open_to(id, &job.account) {
+        if !self.can_access(id, &job.account) {
             return self.reply_immediately(token, CallerAnswer::OtherAccount);
         }
         match self.search(id) {
@@ -322,7 +322,7 @@
     /// Tells whether a caller of an account may ask for a job, hand it in again or cancel it; a job
     /// that is not known is open to everybody.
     #[must_use]
-    pub fn is_open_to(&self, id: JobId, account: &str) -> bool {
+    pub fn can_access(&self, id: JobId, account: &str) -> bool {
         let holder = match self.search(id) {
             Ok(place) => Some(&self.jobs[place].account),
             Err(_) => self.find_ended(id).map(|job| &job.account),
@@ -331,7 +331,7 @@
     }
 
     fn cancel(&mut self, id: JobId, account: &str, token: ReplyToken, now: Now) {
-        if !self.is_open_to(id, account) {
+        if !self.can_access(id, account) {
             self.reply_immediately(token, CallerAnswer::OtherAccount);
         } else if let Ok(place) = self.search(id) {
             if !self.jobs[place].state.is_final() {
@@ -371,8 +371,8 @@
 
     /// Returns what an account has running, as far as that is known; unknown outcomes count.
     #[must_use]
-    pub fn running_of(&self, account: &str) -> Resources {
-        self.quotas.running_of(account)
+    pub fn running_resources(&self, account: &str) -> Resources {
+        self.quotas.running_resources(account)
     }
 
     /// Returns the version of the configuration in force here.
@@ -387,7 +387,10 @@
         }
         for place in 0..self.jobs.len() {
             let known = &self.jobs[place].queue;
-            let queue = config.queues.iter().find(|queue| queue.is_same(known));
+            let queue = config
+                .queues
+                .iter()
+                .find(|queue| queue.has_same_route(known));
             if let Some(queue) = queue
                 && *queue != *known
             {
@@ -430,10 +433,10 @@
 
     /// Counts the jobs of a queue of which no task has started.
     #[must_use]
-    pub fn pending(&self, queue: &Queue) -> usize {
+    pub fn queued_job_count(&self, queue: &Queue) -> usize {
         self.jobs
             .iter()
-            .filter(|job| job.state == JobState::Queued && job.queue.is_same(queue))
+            .filter(|job| job.state == JobState::Queued && job.queue.has_same_route(queue))
             .count()
     }
 
@@ -450,7 +453,7 @@
 
     /// Returns the endpoints.
     #[must_use]
-    pub fn endpoints(&self) -> &Endpoints {
+    pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
@@ -489,7 +492,7 @@
         if now.steady_ms >= self.lives_forgotten_ms + FORGET_EVERY_MS {
             self.lives_forgotten_ms = now.steady_ms;
             let before_ms = now.steady_ms.saturating_sub(FORGET_LIFE_MS);
-            self.endpoints.forget_over(before_ms);
+            self.endpoints.remove_ended(before_ms);
         }
         self.forget_advice();
         self.vm_order_rate.refill(now);
