--- a/crates/coordination/src/catch_up.rs
+++ b/crates/coordination/src/catch_up.rs
@@ -43,7 +43,7 @@
 
 /// Returns the live peer that has folded most, if it is ahead.
 fn most_ahead(node: &Node, own: u64) -> Option<NodeName> {
-    let views = node.peers().views(node.clock().now_ms());
+    let views = node.peers().live_peers(node.clock().now_ms());
     views
         .into_iter()
         .map(|view| view.hello)
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -49,7 +49,7 @@
 pub use node::{BackgroundThreads, Node};
 pub use operations::Operation;
 pub use pace::{Pace, RateShare};
-pub use peers::{LocalEndpoints, PeerView, Peers};
+pub use peers::{LocalEndpoints, PeerStatus, Peers};
 pub use proposer::{Decision, ProposeError, Proposer};
 pub use published_state::PublishedState;
 pub use readiness::Readiness;
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -228,7 +228,7 @@
         if is_current {
             self.inner.was_current.store(true, Ordering::Relaxed);
         }
-        let views = self.peers().views(self.clock().now_ms());
+        let views = self.peers().live_peers(self.clock().now_ms());
         Readiness {
             is_current,
             was_current: self.inner.was_current.load(Ordering::Relaxed),
@@ -239,7 +239,7 @@
     }
 
     fn is_level_with_reader(&self, offset: u64) -> bool {
-        let views = self.peers().views(self.clock().now_ms());
+        let views = self.peers().live_peers(self.clock().now_ms());
         views
             .iter()
             .any(|view| view.hello.reads_log && view.hello.offset <= offset)
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -53,7 +53,7 @@
 
 /// A peer as it last described itself.
 #[derive(Clone, Debug)]
-pub struct PeerView {
+pub struct PeerStatus {
     /// Its last message.
     pub hello: PeerHello,
     /// When the message came, in milliseconds since the epoch.
@@ -66,7 +66,7 @@
     node: NodeName,
     configured: Vec<NodeName>,
     started_ms: u64,
-    rows: Mutex<Vec<PeerView>>,
+    rows: Mutex<Vec<PeerStatus>>,
     local: OnceLock<LocalEndpoints>,
     is_stopping: AtomicBool,
     news: watch::Sender<u64>,
@@ -130,7 +130,7 @@
 
     /// Returns the live peers' last messages, by name.
     #[must_use]
-    pub fn views(&self, now_ms: u64) -> Vec<PeerView> {
+    pub fn live_peers(&self, now_ms: u64) -> Vec<PeerStatus> {
         let mut views = self.rows().clone();
         views.retain(|view| is_live(view, now_ms));
         views
@@ -149,7 +149,7 @@
                 if hello.stopping && !rows[row].hello.stopping {
                     info!(event = "peer_stopping", peer = hello.node.as_str(); "");
                 }
-                rows[row] = PeerView {
+                rows[row] = PeerStatus {
                     hello,
                     seen_ms: now_ms,
                 };
@@ -158,7 +158,7 @@
                 info!(event = "peer_seen", peer = hello.node.as_str(); "");
                 rows.insert(
                     row,
-                    PeerView {
+                    PeerStatus {
                         hello,
                         seen_ms: now_ms,
                     },
@@ -213,11 +213,11 @@
         rows
     }
 
-    fn rows(&self) -> MutexGuard<'_, Vec<PeerView>> {
+    fn rows(&self) -> MutexGuard<'_, Vec<PeerStatus>> {
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn is_live(view: &PeerView, now_ms: u64) -> bool {
+fn is_live(view: &PeerStatus, now_ms: u64) -> bool {
     !view.hello.stopping && now_ms < view.seen_ms + PEER_TIMEOUT_MS
 }
--- a/crates/coordination/src/upkeep.rs
+++ b/crates/coordination/src/upkeep.rs
@@ -42,7 +42,7 @@
 
 /// Tells whether every live peer said that it knows the version.
 fn is_known(node: &Node, fold_version: u32) -> bool {
-    let views = node.peers().views(node.clock().now_ms());
+    let views = node.peers().live_peers(node.clock().now_ms());
     views.len() + 1 == node.live_nodes().len()
         && views
             .iter()
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -19,7 +19,7 @@
     wait_until("all hear each other", || {
         [&first, &second, &third]
             .iter()
-            .all(|run| run.node.peers().views(fleet.clock.now_ms()).len() == 2)
+            .all(|run| run.node.peers().live_peers(fleet.clock.now_ms()).len() == 2)
     })
     .await;
     third.shutdown.begin();
@@ -38,7 +38,11 @@
     let first = fleet.run(0).await;
     let second = fleet.run(1).await;
     wait_until("they hear each other", || {
-        !first.node.peers().views(fleet.clock.now_ms()).is_empty()
+        !first
+            .node
+            .peers()
+            .live_peers(fleet.clock.now_ms())
+            .is_empty()
     })
     .await;
     second.node.peers().announce_stop();
@@ -65,7 +69,7 @@
     second.node.peers().set_local_endpoints(local);
     second.node.peers().announce();
     wait_until("the other node knows", || {
-        let views = first.node.peers().views(fleet.clock.now_ms());
+        let views = first.node.peers().live_peers(fleet.clock.now_ms());
         views
             .iter()
             .any(|view| view.hello.leaving == [leaving.clone()])
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -7,7 +7,7 @@
         shares::{EndpointShares, NodeView},
     },
     arc_swap::ArcSwap,
-    lynxwheel_coordination::{LocalEndpoints, Node, NodeSettings, PeerView},
+    lynxwheel_coordination::{LocalEndpoints, Node, NodeSettings, PeerStatus},
     lynxwheel_protocol::{EndpointLoad, NodeName, PoolName, ServiceSpec},
     lynxwheel_state::{FleetState, VmState},
     std::{
@@ -192,7 +192,7 @@
         let mut maker = lock(&self.maker);
         let state = self.node.state();
         let former = self.latest.load_full();
-        let peers = self.node.peers().views(now_ms);
+        let peers = self.node.peers().live_peers(now_ms);
         maker.view.see(self.node.live_nodes(), now_ms);
         maker.unreachable.retain(|peer| now_ms < peer.until_ms);
         let pools = by_pool(&state);
@@ -311,7 +311,12 @@
     }
 
     /// Returns the live peers with slots on a service's endpoints.
-    fn spares(&self, vms: &[&VmState], peers: &[PeerView], settings: &NodeSettings) -> Vec<Spare> {
+    fn spares(
+        &self,
+        vms: &[&VmState],
+        peers: &[PeerStatus],
+        settings: &NodeSettings,
+    ) -> Vec<Spare> {
         let mut spares: Vec<Spare> = peers
             .iter()
             .filter_map(|peer| {
@@ -349,7 +354,7 @@
     }
 
     /// Takes in what the peers last told of endpoints.
-    fn see_peers(&mut self, peers: &[PeerView], now_ms: u64) {
+    fn see_peers(&mut self, peers: &[PeerStatus], now_ms: u64) {
         for known in &self.endpoints {
             let endpoint = &known.endpoint;
             let loads = peers
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -91,7 +91,7 @@
     .await;
     let fleet = Arc::new(fleet);
     let first = &fleet.nodes[0].node;
-    let knows_peer = || !first.peers().views(first.clock().now_ms()).is_empty();
+    let knows_peer = || !first.peers().live_peers(first.clock().now_ms()).is_empty();
     wait_until("the peer is known", knows_peer).await;
     let mut callers = JoinSet::new();
     for caller in 0..16 {
@@ -219,7 +219,7 @@
     assert_eq!(first.gateway.leaving()[0].vm.as_str(), "vm-0");
     let second = &fleet.nodes[3].node;
     let is_told = || {
-        let peers = second.peers().views(second.clock().now_ms());
+        let peers = second.peers().live_peers(second.clock().now_ms());
         peers.iter().any(|peer| !peer.hello.leaving.is_empty())
     };
     wait_until("the peer is told", is_told).await;
