--- a/crates/coordination/src/snapshot_chunks.rs
+++ b/crates/coordination/src/snapshot_chunks.rs
@@ -11,7 +11,7 @@
 
 /// Cuts a state into chunks; nothing when it cannot be encoded or is too large.
 #[must_use]
-pub fn cut_snapshot(state: &FleetState, writer: u64) -> Option<Vec<SnapshotChunk>> {
+pub fn split_snapshot(state: &FleetState, writer: u64) -> Option<Vec<SnapshotChunk>> {
     let bytes = save(state).ok()?;
     let chunks = u32::try_from(bytes.len().div_ceil(SNAPSHOT_CHUNK_BYTES)).ok()?;
     if chunks > MAX_SNAPSHOT_CHUNKS {
--- a/crates/coordination/src/snapshots.rs
+++ b/crates/coordination/src/snapshots.rs
@@ -1,7 +1,7 @@
 //! Writing snapshots into the log service.
 
 use {
-    crate::{log_client::LogClient, node::Node, snapshot_chunks::cut_snapshot},
+    crate::{log_client::LogClient, node::Node, snapshot_chunks::split_snapshot},
     log::{error, info, warn},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{RecordBody, SnapshotId, encode_chunk},
@@ -70,7 +70,7 @@
 
 async fn write(node: &Node, log: &LogClient) -> Option<SnapshotId> {
     let state = node.state();
-    let Some(chunks) = cut_snapshot(&state, node.incarnation()) else {
+    let Some(chunks) = split_snapshot(&state, node.incarnation()) else {
         error!(event = "snapshot_failed", offset = state.offset(); "the state cannot be encoded");
         return None;
     };
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -4,7 +4,7 @@
 
 use {
     common::{Fleet, RunningNode, wait_for, wait_until},
-    lynxwheel_coordination::{Clock, ProposeError, SnapshotAssembly, cut_snapshot},
+    lynxwheel_coordination::{Clock, ProposeError, SnapshotAssembly, split_snapshot},
     lynxwheel_protocol::{
         Kind, Record, RecordBody, Resource, ResourceRef, Resources, TeamSpec, WriterId,
     },
@@ -288,7 +288,7 @@
     let older = large_state(1_500);
     let newer = large_state(1_600);
     let newest = large_state(1_700);
-    let cut = |state, writer| cut_snapshot(state, writer).expect("a small state");
+    let cut = |state, writer| split_snapshot(state, writer).expect("a small state");
     let mut assembly = SnapshotAssembly::default();
     let half = cut(&newest, 3);
     assert!(half.len() > 1, "needs several chunks");
--- a/crates/scenario/src/snapshot_steps.rs
+++ b/crates/scenario/src/snapshot_steps.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::world::{Kept, StepResult, World},
-    lynxwheel_coordination::{SnapshotAssembly, cut_snapshot},
+    lynxwheel_coordination::{SnapshotAssembly, split_snapshot},
     lynxwheel_protocol::SnapshotChunk,
     lynxwheel_state::FleetState,
     std::error::Error,
@@ -12,7 +12,7 @@
     pub(crate) fn keep_snapshot(&mut self, node: &str, name: &str) -> StepResult {
         let node = self.node(node)?;
         let offset = node.state().offset();
-        let chunks = cut_snapshot(node.state(), node.incarnation).ok_or("too large")?;
+        let chunks = split_snapshot(node.state(), node.incarnation).ok_or("too large")?;
         let count = chunks.len();
         self.kept.push(Kept {
             name: name.into(),
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::inputs::{inputs, nested, run},
-    lynxwheel_coordination::{SnapshotAssembly, cut_snapshot},
+    lynxwheel_coordination::{SnapshotAssembly, split_snapshot},
     lynxwheel_gateway::{PeerAnswer, PeerAnswerRequest},
     lynxwheel_protocol::{
         ActionRequest, AppendAnswer, AppendRequest, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
@@ -162,7 +162,7 @@
 #[test]
 fn changed_chunks_make_no_state() {
     let state = state();
-    let chunks = cut_snapshot(&state, 7).expect("small");
+    let chunks = split_snapshot(&state, 7).expect("small");
     let valid: Vec<Vec<u8>> = chunks
         .iter()
         .map(|chunk| encode_chunk(chunk).expect("small"))
