--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -54,4 +54,4 @@
 pub use published_state::PublishedState;
 pub use readiness::Readiness;
 pub use settings::{NodeIdentity, NodeSettings, PeerAddress};
-pub use snapshot_chunks::{SnapshotAssembly, split_snapshot};
+pub use snapshot_chunks::{SnapshotAssembler, split_snapshot};
--- a/crates/coordination/src/recovery.rs
+++ b/crates/coordination/src/recovery.rs
@@ -5,7 +5,7 @@
         log_client::{LogClient, LogError},
         node::Node,
         peer_server::{HELLO_PATH, SNAPSHOT_PATH},
-        snapshot_chunks::SnapshotAssembly,
+        snapshot_chunks::SnapshotAssembler,
     },
     log::{error, info, warn},
     lynxwheel_protocol::{PeerHello, PeerSnapshot, ReadAnswer, decode_chunk},
@@ -132,7 +132,7 @@
     let lowest = head
         .earliest_offset
         .max(head.next_offset.saturating_sub(MAX_LOOKED));
-    let mut assembly = SnapshotAssembly::default();
+    let mut assembler = SnapshotAssembler::default();
     let mut end = head.next_offset;
     while end > lowest {
         let from = end.saturating_sub(WINDOW).max(lowest);
@@ -142,8 +142,8 @@
             .entries
             .iter()
             .filter_map(|entry| decode_chunk(&entry.bytes).ok())
-            .for_each(|chunk| assembly.add(chunk));
-        if let Some(state) = assembly.latest() {
+            .for_each(|chunk| assembler.add(chunk));
+        if let Some(state) = assembler.latest() {
             return Ok(Some(state));
         }
         end = from;
--- a/crates/coordination/src/snapshot_chunks.rs
+++ b/crates/coordination/src/snapshot_chunks.rs
@@ -40,7 +40,7 @@
 /// after a lost answer. Chunks are therefore kept apart by the whole identity of their snapshot,
 /// and a snapshot counts only when all are there and the digest matches.
 #[derive(Debug, Default)]
-pub struct SnapshotAssembly {
+pub struct SnapshotAssembler {
     partial: Vec<Partial>,
 }
 
@@ -51,7 +51,7 @@
     missing: usize,
 }
 
-impl SnapshotAssembly {
+impl SnapshotAssembler {
     /// Adds a chunk; one that does not fit its snapshot is ignored.
     pub fn add(&mut self, chunk: SnapshotChunk) {
         let is_sound = chunk.id.chunks <= MAX_SNAPSHOT_CHUNKS
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -4,7 +4,7 @@
 
 use {
     common::{Fleet, RunningNode, wait_for, wait_until},
-    lynxwheel_coordination::{Clock, ProposeError, SnapshotAssembly, split_snapshot},
+    lynxwheel_coordination::{Clock, ProposeError, SnapshotAssembler, split_snapshot},
     lynxwheel_protocol::{
         Kind, Record, RecordBody, Resource, ResourceRef, Resources, TeamSpec, WriterId,
     },
@@ -289,23 +289,23 @@
     let newer = large_state(1_600);
     let newest = large_state(1_700);
     let cut = |state, writer| split_snapshot(state, writer).expect("a small state");
-    let mut assembly = SnapshotAssembly::default();
+    let mut assembler = SnapshotAssembler::default();
     let half = cut(&newest, 3);
     assert!(half.len() > 1, "needs several chunks");
     for chunk in &half[1..] {
-        assembly.add(chunk.clone());
-        assembly.add(chunk.clone());
+        assembler.add(chunk.clone());
+        assembler.add(chunk.clone());
     }
-    assert!(assembly.latest().is_none());
+    assert!(assembler.latest().is_none());
     for (a, b) in cut(&older, 1).into_iter().zip(cut(&newer, 2)) {
-        assembly.add(a);
-        assembly.add(b);
+        assembler.add(a);
+        assembler.add(b);
     }
-    assert!(assembly.latest().is_some_and(|state| state == newer));
+    assert!(assembler.latest().is_some_and(|state| state == newer));
     let mut spoiled = half[0].clone();
     spoiled.bytes[0] ^= 1;
-    assembly.add(spoiled);
-    assert!(assembly.latest().is_some_and(|state| state == newer));
+    assembler.add(spoiled);
+    assert!(assembler.latest().is_some_and(|state| state == newer));
 }
 
 fn large_state(teams: u64) -> FleetState {
--- a/crates/scenario/src/node.rs
+++ b/crates/scenario/src/node.rs
@@ -1,7 +1,7 @@
 //! A simulated node: a cursor into the log, the folded state and what it believes.
 
 use {
-    lynxwheel_coordination::{PublishedState, SnapshotAssembly},
+    lynxwheel_coordination::{PublishedState, SnapshotAssembler},
     lynxwheel_protocol::{NodeName, ReadAnswer, Record, VmName, WriterId, ZoneName, decode_record},
     lynxwheel_state::{FleetState, Verdict},
     std::{error, fmt},
@@ -54,7 +54,7 @@
     pub(crate) is_cut: bool,
     pub(crate) unanswered: Option<Record>,
     pub(crate) beliefs: Vec<Belief>,
-    pub(crate) snapshots: SnapshotAssembly,
+    pub(crate) snapshots: SnapshotAssembler,
     state: FleetState,
     published: PublishedState,
 }
@@ -76,7 +76,7 @@
             is_cut: false,
             unanswered: None,
             beliefs: Vec::new(),
-            snapshots: SnapshotAssembly::default(),
+            snapshots: SnapshotAssembler::default(),
             published: PublishedState::new(state.clone()),
             state,
         }
--- a/crates/scenario/src/snapshot_steps.rs
+++ b/crates/scenario/src/snapshot_steps.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::world::{Kept, StepResult, World},
-    lynxwheel_coordination::{SnapshotAssembly, split_snapshot},
+    lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_protocol::SnapshotChunk,
     lynxwheel_state::FleetState,
     std::error::Error,
@@ -61,11 +61,11 @@
 
     /// Returns the state of a whole snapshot.
     pub(crate) fn whole(&self, name: &str) -> Result<FleetState, Box<dyn Error>> {
-        let mut assembly = SnapshotAssembly::default();
+        let mut assembler = SnapshotAssembler::default();
         for chunk in &self.kept(name)?.chunks {
-            assembly.add(chunk.clone());
+            assembler.add(chunk.clone());
         }
-        assembly
+        assembler
             .latest()
             .ok_or_else(|| "the snapshot is not whole".into())
     }
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::inputs::{inputs, nested, run},
-    lynxwheel_coordination::{SnapshotAssembly, split_snapshot},
+    lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_gateway::{PeerAnswer, PeerAnswerRequest},
     lynxwheel_protocol::{
         ActionRequest, AppendAnswer, AppendRequest, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
@@ -168,11 +168,11 @@
         .map(|chunk| encode_chunk(chunk).expect("small"))
         .collect();
     run(4, &inputs(valid), |bytes| {
-        let mut assembly = SnapshotAssembly::default();
+        let mut assembler = SnapshotAssembler::default();
         if let Ok(chunk) = decode_chunk(&bytes) {
-            assembly.add(chunk);
+            assembler.add(chunk);
         }
-        assembly.latest().is_none_or(|latest| latest == state)
+        assembler.latest().is_none_or(|latest| latest == state)
     });
 }
 
