--- a/crates/api/tests/api/watch.rs
+++ b/crates/api/tests/api/watch.rs
@@ -141,7 +141,7 @@
     let declared: Vec<_> = (0..200).map(declaration).collect();
     let proposals = declared.into_iter().map(|body| {
         let proposer = node.node.proposer().clone();
-        tokio::spawn(async move { proposer.is_accepted(body).await })
+        tokio::spawn(async move { proposer.propose_and_confirm(body).await })
     });
     for proposal in proposals.collect::<Vec<_>>() {
         assert!(proposal.await.expect("a decision"));
@@ -175,7 +175,7 @@
         let mut proposals = tokio::task::JoinSet::new();
         for number in first..(first + 512).min(count) {
             let proposer = node.node.proposer().clone();
-            proposals.spawn(async move { proposer.is_accepted(declaration(number)).await });
+            proposals.spawn(async move { proposer.propose_and_confirm(declaration(number)).await });
         }
         assert!(
             proposals
--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -212,7 +212,7 @@
             fence: self.claim.fence,
             succeeded,
         };
-        self.node.proposer().is_accepted(body).await;
+        self.node.proposer().propose_and_confirm(body).await;
     }
 
     /// Gives the VM to its new pool.
@@ -228,7 +228,7 @@
             vm: self.vm.name.clone(),
             fence: self.claim.fence,
         };
-        if self.node.proposer().is_accepted(body).await {
+        if self.node.proposer().propose_and_confirm(body).await {
             self.log_step("handed_over");
         }
     }
@@ -242,7 +242,7 @@
             vm: self.vm.name.clone(),
             fence: self.claim.fence,
         };
-        if self.node.proposer().is_accepted(body).await {
+        if self.node.proposer().propose_and_confirm(body).await {
             self.log_step(reason);
         }
     }
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -256,7 +256,7 @@
         info!(event = "vm_reports", count = reports.len(), offset = node.state().offset(); "");
         let reports = reports.to_vec();
         node.proposer()
-            .is_accepted(RecordBody::Report { reports })
+            .propose_and_confirm(RecordBody::Report { reports })
             .await;
     }
 }
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -99,7 +99,7 @@
     fn propose(&mut self, body: RecordBody) {
         let proposer = self.node.proposer().clone();
         self.proposals
-            .spawn(async move { proposer.is_accepted(body).await });
+            .spawn(async move { proposer.propose_and_confirm(body).await });
     }
 
     /// Takes over the claims of holders that are gone, which would stay charged for ever.
@@ -139,7 +139,7 @@
     fn propose_confirmed(&mut self, pool: PoolName, body: RecordBody) {
         let node = self.node.clone();
         self.proposals.spawn(async move {
-            confirm_pool(&node, &pool).await && node.proposer().is_accepted(body).await
+            confirm_pool(&node, &pool).await && node.proposer().propose_and_confirm(body).await
         });
     }
 
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -107,7 +107,7 @@
     }
 
     /// Proposes a record and tells whether it was accepted.
-    pub async fn is_accepted(&self, body: RecordBody) -> bool {
+    pub async fn propose_and_confirm(&self, body: RecordBody) -> bool {
         matches!(self.propose(body).await, Ok(decision) if decision.verdict.is_accepted())
     }
 }
--- a/crates/coordination/src/snapshots.rs
+++ b/crates/coordination/src/snapshots.rs
@@ -37,7 +37,7 @@
         }
         if let Some(id) = write(&node, &log).await {
             node.proposer()
-                .is_accepted(RecordBody::Snapshot { id })
+                .propose_and_confirm(RecordBody::Snapshot { id })
                 .await;
         }
         due_since_ms = None;
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -193,7 +193,7 @@
             attempt: self.job.attempts,
             used: report.used,
         };
-        self.node.proposer().is_accepted(body).await;
+        self.node.proposer().propose_and_confirm(body).await;
     }
 
     async fn end(&self, outcome: JobOutcome) {
@@ -202,7 +202,7 @@
             attempt: self.job.attempts,
             outcome,
         };
-        if self.node.proposer().is_accepted(body).await {
+        if self.node.proposer().propose_and_confirm(body).await {
             info!(event = "placement", decision = "end", job = self.job.spec.name.as_str(),
                 vm = self.attempt.vm.as_str(), outcome = format!("{outcome:?}").as_str();
                 "");
--- a/crates/coordination/src/upkeep.rs
+++ b/crates/coordination/src/upkeep.rs
@@ -26,12 +26,12 @@
         if node.clock().now_ms() > node.state().time_ms() + MAX_LAG_MS
             && rank(&node, "time") < CONFIRMING_NODES
         {
-            node.proposer().is_accepted(RecordBody::Tick).await;
+            node.proposer().propose_and_confirm(RecordBody::Tick).await;
         }
         let next = node.state().fold_version() + 1;
         if next <= FOLD_VERSION && rank(&node, "fold-version") == 0 && is_known(&node, next) {
             let raise = RecordBody::RaiseVersion { fold_version: next };
-            node.proposer().is_accepted(raise).await;
+            node.proposer().propose_and_confirm(raise).await;
         }
     }
 }
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -27,7 +27,7 @@
 
 async fn declare(run: &RunningNode, name: &str) {
     wait_for("the declaration is accepted", || {
-        run.node.proposer().is_accepted(team(name))
+        run.node.proposer().propose_and_confirm(team(name))
     })
     .await;
 }
@@ -261,7 +261,13 @@
     lying.digest ^= 1;
     fleet.tell(0, &lying).await;
     assert!(first.node.has_diverged());
-    assert!(!first.node.proposer().is_accepted(team("day-shift")).await);
+    assert!(
+        !first
+            .node
+            .proposer()
+            .propose_and_confirm(team("day-shift"))
+            .await
+    );
 }
 
 /// Two nodes count a pool's available VMs differently, yet neither has rejected what the other
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -252,7 +252,7 @@
 
 async fn wait_accepted(node: &Node, body: RecordBody) {
     let until = Instant::now() + LIMIT;
-    while !node.proposer().is_accepted(body.clone()).await {
+    while !node.proposer().propose_and_confirm(body.clone()).await {
         assert!(Instant::now() < until, "no record is accepted");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
