--- a/crates/api/src/write.rs
+++ b/crates/api/src/write.rs
@@ -88,7 +88,7 @@
                 problem.retry_after_ms = Some(u32::try_from(retry_after_ms).unwrap_or(u32::MAX));
                 problem
             }
-            ProposeError::Unknown { id } => {
+            ProposeError::OutcomeUnknown { id } => {
                 let operation = OperationId(id);
                 let detail = format!(
                     "the write may or may not take effect; ask for /v1/operations/{operation}"
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -35,7 +35,7 @@
         retry_after_ms: u64,
     },
     /// It may have been appended, or may be later.
-    Unknown {
+    OutcomeUnknown {
         /// Identity of the record, by which its outcome can be looked up.
         id: WriterId,
     },
@@ -50,7 +50,7 @@
                     "the log takes no records; come back in {retry_after_ms} ms"
                 )
             }
-            Self::Unknown { id } => write!(
+            Self::OutcomeUnknown { id } => write!(
                 formatter,
                 "the outcome of record {}-{} is not known yet",
                 id.incarnation, id.sequence
@@ -102,7 +102,7 @@
         match timeout(self.limit, ticket.decision).await {
             Ok(Ok(decision)) => Ok(decision),
             Ok(Err(_)) => Err(not_appended),
-            Err(_) => Err(ProposeError::Unknown { id: ticket.id }),
+            Err(_) => Err(ProposeError::OutcomeUnknown { id: ticket.id }),
         }
     }
 
--- a/crates/coordination/tests/joining.rs
+++ b/crates/coordination/tests/joining.rs
@@ -36,7 +36,7 @@
                 assert!(retry_after_ms > 0);
                 is_put_off = true;
             }
-            Err(ProposeError::Unknown { id }) => panic!("unknown outcome of {id:?}"),
+            Err(ProposeError::OutcomeUnknown { id }) => panic!("unknown outcome of {id:?}"),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -227,7 +227,7 @@
     set_late(&fleet, u32::MAX);
     let stuck = only.node.proposer().propose(team("late-shift")).await;
     assert!(
-        matches!(stuck, Err(ProposeError::Unknown { .. })),
+        matches!(stuck, Err(ProposeError::OutcomeUnknown { .. })),
         "{stuck:?}"
     );
     let refused = only.node.proposer().propose(team("early-shift")).await;
--- a/crates/gateway/src/intents.rs
+++ b/crates/gateway/src/intents.rs
@@ -63,7 +63,7 @@
             Err(ProposeError::NotAppended { retry_after_ms }) => Intended::NotAppended(
                 unavailable("the log takes no records").with_retry_after_ms(retry_after_ms),
             ),
-            Err(ProposeError::Unknown { id }) => Intended::Unknown {
+            Err(ProposeError::OutcomeUnknown { id }) => Intended::Unknown {
                 id,
                 refusal: unavailable("the log did not answer").with_retry_after_ms(RETRY_AFTER_MS),
             },
@@ -101,7 +101,7 @@
                     }
                     return;
                 }
-                Err(ProposeError::Unknown { id }) => return self.wait_decided(id).await,
+                Err(ProposeError::OutcomeUnknown { id }) => return self.wait_decided(id).await,
                 Err(ProposeError::NotAppended { retry_after_ms }) => {
                     tokio::time::sleep(Duration::from_millis(retry_after_ms)).await;
                 }
