--- a/crates/api/src/write.rs
+++ b/crates/api/src/write.rs
@@ -7,7 +7,7 @@
     },
     http::{HeaderMap, Request, Response, StatusCode, header},
     hyper::body::Incoming,
-    lynxwheel_coordination::{Decision, Node, ProposeError},
+    lynxwheel_coordination::{Node, ProposalOutcome, ProposeError},
     lynxwheel_protocol::{
         OperationId, Problem, ProblemReason, RecordBody, Resource, ResourceRef, WriteAnswer,
         parse_resource,
@@ -77,7 +77,7 @@
     }
 }
 
-async fn propose(node: &Node, body: RecordBody) -> Result<Decision, Problem> {
+async fn propose(node: &Node, body: RecordBody) -> Result<ProposalOutcome, Problem> {
     node.proposer()
         .propose(body)
         .await
@@ -147,7 +147,7 @@
     }
 }
 
-fn written(reference: &ResourceRef, decision: &Decision) -> Response<Body> {
+fn written(reference: &ResourceRef, decision: &ProposalOutcome) -> Response<Body> {
     json_answer(
         StatusCode::OK,
         &WriteAnswer {
--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -5,7 +5,7 @@
         clock::Clock,
         log_client::{LogClient, LogError},
         pace::{Pace, RateShare},
-        proposer::{Decision, ProposeError},
+        proposer::{ProposalOutcome, ProposeError},
         published_state::PublishedState,
         waiters::Waiters,
     },
@@ -58,7 +58,7 @@
     /// Identity.
     pub(crate) id: WriterId,
     /// Gets the decision; closed without one when the record was not appended.
-    pub(crate) decision: oneshot::Receiver<Decision>,
+    pub(crate) decision: oneshot::Receiver<ProposalOutcome>,
 }
 
 /// A group's append has failed, and nobody knows yet whether it took effect.
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -4,7 +4,7 @@
     crate::{
         divergence::{DigestAt, Divergence},
         operations::Operations,
-        proposer::Decision,
+        proposer::ProposalOutcome,
         published_state::PublishedState,
         recent::RecentEntries,
         waiters::Waiters,
@@ -85,7 +85,7 @@
     }
 
     /// Applies one entry; an entry that does not follow the last one is left out.
-    fn fold(&mut self, entry: &LogEntry) -> Option<Decision> {
+    fn fold(&mut self, entry: &LogEntry) -> Option<ProposalOutcome> {
         if entry.offset != self.state.offset() + 1 {
             return None;
         }
@@ -102,7 +102,7 @@
         self.outputs
             .operations
             .note(entry.offset, &record, &verdict);
-        (record.id.incarnation == self.incarnation).then_some(Decision {
+        (record.id.incarnation == self.incarnation).then_some(ProposalOutcome {
             id: record.id,
             offset: entry.offset,
             verdict,
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -50,7 +50,7 @@
 pub use operations::Operation;
 pub use pace::{Pace, RateShare};
 pub use peers::{LocalEndpoints, PeerStatus, Peers};
-pub use proposer::{Decision, ProposeError, Proposer};
+pub use proposer::{ProposalOutcome, ProposeError, Proposer};
 pub use published_state::PublishedState;
 pub use readiness::Readiness;
 pub use settings::{NodeIdentity, NodeSettings, PeerAddress};
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -17,7 +17,7 @@
 
 /// What the fold made of a proposal.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Decision {
+pub struct ProposalOutcome {
     /// Identity of the record.
     pub id: WriterId,
     /// Offset of the record.
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// Fails when the record was not appended, or when its outcome is not known in time.
-    pub async fn propose(&self, body: RecordBody) -> Result<Decision, ProposeError> {
+    pub async fn propose(&self, body: RecordBody) -> Result<ProposalOutcome, ProposeError> {
         let not_appended = ProposeError::NotAppended {
             retry_after_ms: RETRY_AFTER_MS,
         };
--- a/crates/coordination/src/waiters.rs
+++ b/crates/coordination/src/waiters.rs
@@ -1,7 +1,7 @@
 //! Proposers that wait for their records to come back through the log.
 
 use {
-    crate::proposer::Decision,
+    crate::proposer::ProposalOutcome,
     std::sync::{Mutex, MutexGuard, PoisonError},
     tokio::sync::oneshot,
 };
@@ -15,19 +15,19 @@
 #[derive(Debug)]
 struct Waiter {
     sequence: u64,
-    reply: oneshot::Sender<Decision>,
+    reply: oneshot::Sender<ProposalOutcome>,
 }
 
 impl Waiters {
     /// Registers a waiter; sequences come in rising order.
-    pub(crate) fn register(&self, sequence: u64) -> oneshot::Receiver<Decision> {
+    pub(crate) fn register(&self, sequence: u64) -> oneshot::Receiver<ProposalOutcome> {
         let (reply, receiver) = oneshot::channel();
         self.rows().push(Waiter { sequence, reply });
         receiver
     }
 
     /// Gives a waiter its decision.
-    pub(crate) fn resolve(&self, sequence: u64, decision: Decision) {
+    pub(crate) fn resolve(&self, sequence: u64, decision: ProposalOutcome) {
         let mut rows = self.rows();
         let Ok(row) = rows.binary_search_by_key(&sequence, |waiter| waiter.sequence) else {
             return;
