--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -4,9 +4,9 @@
     crate::{
         clock::Clock,
         log_client::{LogClient, LogError},
-        pace::{Pace, RateShare},
         proposer::{ProposalOutcome, ProposeError},
         published_state::PublishedState,
+        rate_limit::{RateLimiter, RateShare},
         waiters::Waiters,
     },
     kameo::{
@@ -80,7 +80,7 @@
 pub(crate) struct Appender {
     log: LogClient,
     clock: Clock,
-    pace: Pace,
+    rate_limiter: RateLimiter,
     share: RateShare,
     started: Instant,
     published: Arc<PublishedState>,
@@ -107,7 +107,7 @@
         Self {
             log,
             clock,
-            pace: Pace::default(),
+            rate_limiter: RateLimiter::default(),
             share,
             started: Instant::now(),
             published,
@@ -130,8 +130,8 @@
         self.is_busy = true;
         let count = self.queue.len().min(MAX_GROUP);
         let now_us = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let per_s = self.own_per_s();
-        let wait = Duration::from_micros(self.pace.take(now_us, per_s));
+        let per_s = self.allowed_per_s();
+        let wait = Duration::from_micros(self.rate_limiter.reserve(now_us, per_s));
         let group = Group {
             records: self.queue.drain(..count).collect(),
             appender: context.actor_ref().clone(),
@@ -165,10 +165,10 @@
     ///
     /// After a failure all nodes have something to append although the log shows none of it yet,
     /// so each keeps to its fair part for a while.
-    fn own_per_s(&mut self) -> u64 {
+    fn allowed_per_s(&mut self) -> u64 {
         let now_ms = self.clock.now_ms();
         if now_ms < self.cautious_until_ms {
-            return self.share.fair_per_s();
+            return self.share.fair_share_per_s();
         }
         let state = self.published.load();
         let others = state
@@ -177,7 +177,7 @@
             .filter(|writer| writer.incarnation != self.incarnation)
             .map(|writer| writer.sequence)
             .sum();
-        self.share.own_per_s(now_ms, others)
+        self.share.allowed_per_s(now_ms, others)
     }
 
     fn be_cautious(&mut self) {
--- a/crates/coordination/src/pace.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -14,14 +14,14 @@
 /// After an outage every node has something to append; without a bound they would all be refused
 /// for exceeding the service's rate, again and again.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct RateLimiter {
     next_us: u64,
 }
 
-impl Pace {
+impl RateLimiter {
     /// Counts an append and returns how long it must wait, both in microseconds, when `per_s` are
     /// allowed in a second.
-    pub fn take(&mut self, now_us: u64, per_s: u64) -> u64 {
+    pub fn reserve(&mut self, now_us: u64, per_s: u64) -> u64 {
         let interval_us = 1_000_000 / per_s.max(1);
         self.next_us = self.next_us.max(now_us) + interval_us;
         let allowance_us = interval_us * BURST;
@@ -57,13 +57,13 @@
 
     /// Returns the fair part, in appends a second.
     #[must_use]
-    pub fn fair_per_s(&self) -> u64 {
+    pub fn fair_share_per_s(&self) -> u64 {
         self.all_per_s / self.nodes
     }
 
     /// Returns what may be used now, in appends a second; `others` counts the records of all
     /// other nodes so far.
-    pub fn own_per_s(&mut self, now_ms: u64, others: u64) -> u64 {
+    pub fn allowed_per_s(&mut self, now_ms: u64, others: u64) -> u64 {
         let elapsed_ms = now_ms.saturating_sub(self.counted_ms);
         if elapsed_ms >= COUNT_MS {
             let written = others.saturating_sub(self.counted);
@@ -72,6 +72,6 @@
             self.counted_ms = now_ms;
         }
         let unused = self.all_per_s.saturating_sub(HEADROOM * self.others_per_s);
-        unused.max(self.fair_per_s())
+        unused.max(self.fair_share_per_s())
     }
 }
--- a/crates/coordination/tests/pace.rs
+++ b/crates/coordination/tests/rate_limit.rs
@@ -1,16 +1,16 @@
 //! The bound on appends.
 
-use lynxwheel_coordination::{Pace, RateShare};
+use lynxwheel_coordination::{RateLimiter, RateShare};
 
 /// Appends of one node in a second at most.
 const RATE: u64 = 40;
 
 /// Returns when `count` appends go out that are all ready at `start_us`.
-fn times(pace: &mut Pace, start_us: u64, count: u32) -> Vec<u64> {
+fn times(rate_limiter: &mut RateLimiter, start_us: u64, count: u32) -> Vec<u64> {
     let mut now_us = start_us;
     (0..count)
         .map(|_| {
-            now_us += pace.take(now_us, RATE);
+            now_us += rate_limiter.reserve(now_us, RATE);
             now_us
         })
         .collect()
@@ -20,8 +20,8 @@
 /// and the log service refused most of it. No second may see more than the rate and the burst.
 #[test]
 fn no_second_exceeds_the_rate() {
-    let mut pace = Pace::default();
-    let times = times(&mut pace, 60_000_000, 400);
+    let mut rate_limiter = RateLimiter::default();
+    let times = times(&mut rate_limiter, 60_000_000, 400);
     for (row, start_us) in times.iter().enumerate() {
         let within = times[row..]
             .iter()
@@ -34,9 +34,9 @@
 /// A single append after a pause must not wait.
 #[test]
 fn rare_appends_do_not_wait() {
-    let mut pace = Pace::default();
+    let mut rate_limiter = RateLimiter::default();
     for second in 1..100 {
-        assert_eq!(pace.take(second * 1_000_000, RATE), 0);
+        assert_eq!(rate_limiter.reserve(second * 1_000_000, RATE), 0);
     }
 }
 
@@ -45,8 +45,8 @@
 #[test]
 fn unused_rate_is_used() {
     let mut share = RateShare::new(360, 9);
-    share.own_per_s(1_000, 500);
-    assert_eq!(share.own_per_s(2_000, 500), 360);
-    assert_eq!(share.own_per_s(3_000, 600), 160);
-    assert_eq!(share.own_per_s(4_000, 1_000), 40);
+    share.allowed_per_s(1_000, 500);
+    assert_eq!(share.allowed_per_s(2_000, 500), 360);
+    assert_eq!(share.allowed_per_s(3_000, 600), 160);
+    assert_eq!(share.allowed_per_s(4_000, 1_000), 40);
 }
