--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -74,7 +74,7 @@
     peers: Peers,
     peer_clients: Clients,
     snapshot_log: LogClient,
-    was_current: AtomicBool,
+    has_been_current: AtomicBool,
 }
 
 impl Inner {
@@ -103,7 +103,7 @@
             peers: Peers::new(&settings),
             peer_clients: Clients::new(PEER_CONNECTIONS),
             snapshot_log: LogClient::new(settings.platform, &snapshots),
-            was_current: AtomicBool::new(false),
+            has_been_current: AtomicBool::new(false),
             outputs,
             settings,
         }
@@ -226,15 +226,15 @@
     pub fn readiness(&self) -> Readiness {
         let is_current = self.is_current();
         if is_current {
-            self.inner.was_current.store(true, Ordering::Relaxed);
+            self.inner.has_been_current.store(true, Ordering::Relaxed);
         }
         let views = self.peers().live_peers(self.clock().now_ms());
         Readiness {
             is_current,
-            was_current: self.inner.was_current.load(Ordering::Relaxed),
-            peers: self.settings().peers.len(),
+            has_been_current: self.inner.has_been_current.load(Ordering::Relaxed),
+            configured_peers: self.settings().peers.len(),
             live_peers: views.len(),
-            reading_peers: views.iter().filter(|view| view.hello.reads_log).count(),
+            log_reading_peers: views.iter().filter(|view| view.hello.reads_log).count(),
         }
     }
 
--- a/crates/coordination/src/readiness.rs
+++ b/crates/coordination/src/readiness.rs
@@ -6,13 +6,13 @@
     /// Whether the node knows that it has seen everything up to a moment ago.
     pub is_current: bool,
     /// Whether it has been current since its start.
-    pub was_current: bool,
+    pub has_been_current: bool,
     /// Other nodes in the settings.
-    pub peers: usize,
+    pub configured_peers: usize,
     /// Other nodes that are live.
     pub live_peers: usize,
     /// Live ones that read the log.
-    pub reading_peers: usize,
+    pub log_reading_peers: usize,
 }
 
 impl Readiness {
@@ -24,7 +24,8 @@
     /// on; one that is cut off while others may go on steps aside, since it misses declarations.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let is_outage = self.peers == 0 || self.live_peers > 0 && self.reading_peers == 0;
-        self.is_current || self.was_current && is_outage
+        let is_outage =
+            self.configured_peers == 0 || self.live_peers > 0 && self.log_reading_peers == 0;
+        self.is_current || self.has_been_current && is_outage
     }
 }
