--- a/crates/api/tests/api/common.rs
+++ b/crates/api/tests/api/common.rs
@@ -53,7 +53,7 @@
 pub async fn start_node(platform: &PlatformServer, name: &str, access: Access) -> TestNode {
     let mut settings = NodeSettings::new(NodeIdentity::new(name, "zone-1"), platform.address());
     settings.propose_timeout_ms = PROPOSE_TIMEOUT_MS;
-    settings.tick_ms = 50;
+    settings.poll_interval_ms = 50;
     let stop = Shutdown::new();
     let (node, threads) = Node::start(settings, &stop);
     let api = Api::start(node.clone(), access, stop.clone());
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -87,7 +87,7 @@
         let appender = Appender::new(
             log.clone(),
             settings.clock.clone(),
-            RateShare::new(settings.appends_per_s, settings.peers.len() + 1),
+            RateShare::new(settings.max_appends_per_s, settings.peers.len() + 1),
             Arc::clone(&outputs.published),
             Arc::clone(&outputs.waiters),
             incarnation,
@@ -311,6 +311,6 @@
             info!(event = "joined", incarnation = node.incarnation(); "");
             return;
         }
-        tokio::time::sleep(Duration::from_millis(node.settings().rank_delay_ms)).await;
+        tokio::time::sleep(Duration::from_millis(node.settings().join_retry_ms)).await;
     }
 }
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -71,7 +71,7 @@
         }
         let due = due_probes(&node, &mut probed);
         report_probes(&node, due).await;
-        tokio::time::sleep(Duration::from_millis(node.settings().tick_ms)).await;
+        tokio::time::sleep(Duration::from_millis(node.settings().poll_interval_ms)).await;
     }
 }
 
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -25,7 +25,7 @@
 /// Plans for as long as it is polled.
 pub(crate) async fn plan(node: Node) {
     let mut offsets = node.published_state().subscribe();
-    let tick = Duration::from_millis(node.settings().tick_ms);
+    let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let quiet = Duration::from_millis(QUIET_ROUND_MS);
     let mut planned_offset = None;
     let mut planned_at = Instant::now();
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -49,17 +49,17 @@
     /// Time that a proposal may take until its outcome is called unknown, in milliseconds.
     pub propose_timeout_ms: u64,
     /// Pause between two looks at VMs and jobs, in milliseconds.
-    pub tick_ms: u64,
+    pub poll_interval_ms: u64,
     /// Pause by which each rank waits for the one before, in milliseconds.
-    pub rank_delay_ms: u64,
+    pub join_retry_ms: u64,
     /// Time that a VM may take for an action, in milliseconds.
     pub action_timeout_ms: u64,
     /// Records after which a snapshot is due; a small part of what the log keeps.
-    pub snapshot_records: u64,
+    pub snapshot_interval_records: u64,
     /// Time after which a snapshot is due, in milliseconds; a small part of what the log keeps.
-    pub snapshot_period_ms: u64,
+    pub snapshot_interval_ms: u64,
     /// Appends in a second that all nodes together make at most.
-    pub appends_per_s: u32,
+    pub max_appends_per_s: u32,
     /// Time source.
     pub clock: Clock,
 }
@@ -74,12 +74,12 @@
             stream: "fleet".into(),
             peers: Vec::new(),
             propose_timeout_ms: 3_000,
-            tick_ms: 200,
-            rank_delay_ms: 300,
+            poll_interval_ms: 200,
+            join_retry_ms: 300,
             action_timeout_ms: 600_000,
-            snapshot_records: 20_000,
-            snapshot_period_ms: 600_000,
-            appends_per_s: 360,
+            snapshot_interval_records: 20_000,
+            snapshot_interval_ms: 600_000,
+            max_appends_per_s: 360,
             clock: Clock::system(),
         }
     }
--- a/crates/coordination/src/snapshots.rs
+++ b/crates/coordination/src/snapshots.rs
@@ -65,7 +65,8 @@
         return true;
     }
     let age_ms = now_ms.saturating_sub(state.snapshot_ms());
-    records >= settings.snapshot_records || records > 1 && age_ms >= settings.snapshot_period_ms
+    records >= settings.snapshot_interval_records
+        || records > 1 && age_ms >= settings.snapshot_interval_ms
 }
 
 async fn write(node: &Node, log: &LogClient) -> Option<SnapshotId> {
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -28,7 +28,7 @@
 /// Runs attempts for as long as it is polled.
 pub(crate) async fn run(node: Node) {
     let platform = Client::new(node.settings().platform, CONNECTIONS);
-    let tick = Duration::from_millis(node.settings().tick_ms);
+    let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let mut offsets = node.published_state().subscribe();
     let mut watched = Watched::default();
     loop {
--- a/crates/coordination/tests/attempts.rs
+++ b/crates/coordination/tests/attempts.rs
@@ -90,7 +90,7 @@
         .expect("start the platform");
     let identity = NodeIdentity::new("node-1", "zone-1");
     let mut settings = NodeSettings::new(identity, platform.address());
-    settings.tick_ms = TICK_MS;
+    settings.poll_interval_ms = TICK_MS;
     let shutdown = Shutdown::new();
     let (node, threads) = Node::start(settings, &shutdown);
     for resource in declarations() {
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -295,7 +295,7 @@
     let identity = NodeIdentity::new(&name(own), &zone);
     let mut settings = NodeSettings::new(identity, platform).with_peers(peers);
     settings.propose_timeout_ms = options.propose_timeout_ms;
-    settings.tick_ms = 50;
+    settings.poll_interval_ms = 50;
     settings
 }
 
--- a/crates/lynxwheel/src/config.rs
+++ b/crates/lynxwheel/src/config.rs
@@ -212,12 +212,12 @@
             NodeSettings::new(identity, self.platform).with_peers(self.peers.clone());
         settings.stream.clone_from(&self.stream);
         settings.propose_timeout_ms = self.propose_timeout_ms;
-        settings.tick_ms = self.tick_ms;
-        settings.rank_delay_ms = self.rank_delay_ms;
+        settings.poll_interval_ms = self.tick_ms;
+        settings.join_retry_ms = self.rank_delay_ms;
         settings.action_timeout_ms = self.action_timeout_ms;
-        settings.appends_per_s = self.appends_per_s;
-        settings.snapshot_records = self.snapshot_records;
-        settings.snapshot_period_ms = self.snapshot_period_ms;
+        settings.max_appends_per_s = self.appends_per_s;
+        settings.snapshot_interval_records = self.snapshot_records;
+        settings.snapshot_interval_ms = self.snapshot_period_ms;
         settings
     }
 }
