--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -144,7 +144,7 @@
         let limit = Duration::from_millis(CALL_TIMEOUT_MS);
         match self
             .node
-            .clients()
+            .endpoint_clients()
             .get(address)
             .get("/healthz", limit)
             .await
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -186,7 +186,7 @@
 
     /// Returns the clients for probes.
     #[must_use]
-    pub fn clients(&self) -> &Arc<Clients> {
+    pub fn endpoint_clients(&self) -> &Arc<Clients> {
         &self.inner.clients
     }
 
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -140,7 +140,7 @@
 
 async fn probe_entry(node: Node, entry: VmEntry) -> Option<VmReport> {
     let address = entry.address.parse::<SocketAddr>().ok()?;
-    let client = node.clients().get(address);
+    let client = node.endpoint_clients().get(address);
     let probe_ms = node.clock().now_ms();
     let health = probe(Some(&client), &entry.name).await?;
     let phase = if health.leaving {
@@ -201,7 +201,7 @@
 async fn report_probes(node: &Node, vms: Vec<VmState>) -> bool {
     let mut probes = JoinSet::new();
     for vm in vms {
-        let clients = node.clients().clone();
+        let clients = node.endpoint_clients().clone();
         let clock = node.clock().clone();
         probes.spawn(async move {
             let client = vm.address.parse::<SocketAddr>();
