--- a/crates/coordination/src/peer_server.rs
+++ b/crates/coordination/src/peer_server.rs
@@ -24,7 +24,7 @@
 
 impl Node {
     /// Answers a peer's request for its state, entries or snapshot.
-    pub async fn handle_peer(&self, request: Request<Incoming>) -> Response<Body> {
+    pub async fn handle_peer_request(&self, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, HELLO_PATH) => self.answer_hello(request).await,
             (&Method::GET, ENTRIES_PATH) => self.answer_entries(&request),
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -107,7 +107,7 @@
         let peer = node.clone();
         tokio::spawn(server.serve(shutdown.clone(), move |request| {
             let peer = peer.clone();
-            async move { peer.handle_peer(request).await }
+            async move { peer.handle_peer_request(request).await }
         }));
         RunningNode {
             node,
--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -278,7 +278,7 @@
     match request.uri().path() {
         PEER_ANSWER_PATH => gateway.peer_answer(request).await,
         path if path.starts_with(PEER_RUN_PATH) => gateway.peer_run(request).await,
-        _ => node.handle_peer(request).await,
+        _ => node.handle_peer_request(request).await,
     }
 }
 
