--- a/crates/coordination/src/background.rs
+++ b/crates/coordination/src/background.rs
@@ -1,4 +1,4 @@
-//! Threads for the duties that are no actors.
+//! Background threads outside of the actor system.
 
 use {
     lynxwheel_transport::Shutdown,
@@ -6,12 +6,12 @@
     tokio::runtime::Handle,
 };
 
-/// Runs a future on a thread of its own until the signal is given, on the sockets and timers of the
-/// current runtime.
+/// Runs a future on its own thread until shutdown, with the I/O and timer drivers of the current
+/// runtime.
 ///
 /// # Errors
 ///
-/// Fails when no thread can be started.
+/// Returns an error when the thread cannot be started.
 pub fn spawn_background_thread<F>(
     name: &str,
     shutdown: &Shutdown,
