--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -1,7 +1,7 @@
 //! Carrying out the claims that this node holds.
 
 use {
-    crate::{node::Node, observer::confirm_pool, share::CoreShare},
+    crate::{cpu_share::CoreShare, node::Node, observer::confirm_pool},
     log::{info, warn},
     lynxwheel_decisions::{
         ActionStep, ClaimReview, ClaimStep as Step, ReleaseReason, action_step, review_claims,
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -1,7 +1,7 @@
 //! Planning: proposing claims, starts and final answers when it is this node's turn.
 
 use {
-    crate::{node::Node, observer::confirm_pool, share::CoreShare},
+    crate::{cpu_share::CoreShare, node::Node, observer::confirm_pool},
     log::info,
     lynxwheel_decisions::{
         ClaimStep, Tuning, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Starting and watching the attempts that this node holds.
 
 use {
-    crate::{node::Node, share::CoreShare, watched::Watched},
+    crate::{cpu_share::CoreShare, node::Node, watched::Watched},
     log::{info, warn},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
