--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -1,7 +1,7 @@
 //! Carrying out the claims that this node holds.
 
 use {
-    crate::{cpu_share::CoreShare, node::Node, observer::confirm_pool},
+    crate::{cpu_share::CpuShare, node::Node, observer::confirm_pool},
     log::{info, warn},
     lynxwheel_decisions::{
         ActionStep, ClaimReview, ClaimStep as Step, ReleaseReason, action_step, review_claims,
@@ -24,7 +24,7 @@
 const CONNECTIONS: usize = 8;
 
 /// Share of a core that looking for claims may take.
-const CORE_SHARE: CoreShare = CoreShare::new(5);
+const CPU_SHARE: CpuShare = CpuShare::new(5);
 
 /// Carries claims out for as long as it is polled.
 pub(crate) async fn act(node: Node) {
@@ -51,7 +51,7 @@
                 steps.spawn(step.take());
             }
         }
-        let rest = CORE_SHARE.rest(began.elapsed());
+        let rest = CPU_SHARE.pause_after(began.elapsed());
         steps.join_all().await;
         tokio::time::sleep(rest).await;
         drop(tokio::time::timeout(tick, offsets.changed()).await);
--- a/crates/coordination/src/cpu_share.rs
+++ b/crates/coordination/src/cpu_share.rs
@@ -1,29 +1,28 @@
-//! Bound on the share of processor time that a duty's rounds take.
+//! Limit on the CPU share of a periodic background task.
 
 use std::time::Duration;
 
-/// Longest pause between two rounds, in milliseconds; urgent work must not wait longer.
+/// Longest pause between two rounds, in milliseconds; bounds the delay of urgent work.
 const MAX_PAUSE_MS: u64 = 1_000;
 
-/// Thousandths of a core that a duty may take.
+/// CPU share of a background task, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct CoreShare {
+pub(crate) struct CpuShare {
     per_mille: u32,
 }
 
-impl CoreShare {
-    /// Creates the share of a duty that may take `per_mille` thousandths of a core.
+impl CpuShare {
+    /// Creates a share of `per_mille` thousandths of a core.
     pub(crate) const fn new(per_mille: u32) -> Self {
         Self { per_mille }
     }
 
-    /// Returns how long to rest after a round that took `cost`.
+    /// Returns the pause after a round that took `elapsed`.
     ///
-    /// Rounds follow news in the log. At full size a round takes milliseconds, and a log with a
-    /// hundred records a second would have the duty compute all the time; resting in proportion
-    /// keeps its share, whatever the size of the fleet and the rate of records.
-    pub(crate) fn rest(self, cost: Duration) -> Duration {
-        let rest = cost.saturating_mul(1_000 / self.per_mille.max(1));
-        rest.min(Duration::from_millis(MAX_PAUSE_MS))
+    /// Every new record triggers a round, and a round over a large fleet takes milliseconds. A
+    /// pause proportional to that time bounds the CPU use at any fleet size and record rate.
+    pub(crate) fn pause_after(self, elapsed: Duration) -> Duration {
+        let pause = elapsed.saturating_mul(1_000 / self.per_mille.max(1));
+        pause.min(Duration::from_millis(MAX_PAUSE_MS))
     }
 }
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -1,7 +1,7 @@
 //! Planning: proposing claims, starts and final answers when it is this node's turn.
 
 use {
-    crate::{cpu_share::CoreShare, node::Node, observer::confirm_pool},
+    crate::{cpu_share::CpuShare, node::Node, observer::confirm_pool},
     log::info,
     lynxwheel_decisions::{
         ClaimStep, Tuning, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
@@ -20,7 +20,7 @@
 const QUIET_ROUND_MS: u64 = 1_000;
 
 /// Share of a core that planning may take.
-const CORE_SHARE: CoreShare = CoreShare::new(15);
+const CPU_SHARE: CpuShare = CpuShare::new(15);
 
 /// Plans for as long as it is polled.
 pub(crate) async fn plan(node: Node) {
@@ -46,7 +46,7 @@
             }
             let cost = began.elapsed();
             round.proposals.join_all().await;
-            tokio::time::sleep(CORE_SHARE.rest(cost)).await;
+            tokio::time::sleep(CPU_SHARE.pause_after(cost)).await;
         }
         // Either news or the tick starts the next round.
         drop(tokio::time::timeout(tick, offsets.changed()).await);
--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -1,77 +1,80 @@
-//! Bound on how often a node appends.
+//! Rate limit on appends.
 
-/// Appends that may follow one another at once.
-const BURST: u64 = 8;
+/// Appends that may be sent in a burst without delay.
+const BURST_APPENDS: u64 = 8;
 
-/// Time over which the others' appends are counted, in milliseconds.
-const COUNT_MS: u64 = 1_000;
+/// Interval over which the append rate of the other nodes is measured, in milliseconds.
+const MEASUREMENT_INTERVAL_MS: u64 = 1_000;
 
-/// By how much the others' appends are taken to grow until they are counted again.
-const HEADROOM: u64 = 2;
+/// Factor by which the other nodes' rate may grow until it is measured again.
+const GROWTH_FACTOR: u64 = 2;
 
-/// Spaces appends so that all nodes together stay within what the log service takes.
+/// Delays appends so that all nodes together stay within the rate limit of the log service.
 ///
-/// After an outage every node has something to append; without a bound they would all be refused
-/// for exceeding the service's rate, again and again.
+/// After an outage every node has records to append. Without a limit the service would keep
+/// rejecting all of them for exceeding its rate.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
-    next_us: u64,
+    next_append_us: u64,
 }
 
 impl RateLimiter {
-    /// Counts an append and returns how long it must wait, both in microseconds, when `per_s` are
-    /// allowed in a second.
+    /// Reserves an append and returns its delay in microseconds, at a rate of `per_s` appends a
+    /// second.
     pub fn reserve(&mut self, now_us: u64, per_s: u64) -> u64 {
         let interval_us = 1_000_000 / per_s.max(1);
-        self.next_us = self.next_us.max(now_us) + interval_us;
-        let allowance_us = interval_us * BURST;
-        self.next_us.saturating_sub(now_us + allowance_us)
+        self.next_append_us = self.next_append_us.max(now_us) + interval_us;
+        let burst_us = interval_us * BURST_APPENDS;
+        self.next_append_us.saturating_sub(now_us + burst_us)
     }
 }
 
-/// This node's part of the log service's rate.
+/// This node's share of the log service's append rate.
 ///
-/// Every node always has its fair part. What the others leave unused, by the records that the log
-/// shows of them, it may use too, so that one node alone is not held to its part.
+/// A node may always use its fair share, and in addition the rate that the other nodes leave
+/// unused, as measured by their records in the log.
 #[derive(Debug)]
 pub struct RateShare {
-    all_per_s: u64,
-    nodes: u64,
+    total_per_s: u64,
+    node_count: u64,
     others_per_s: u64,
-    counted: u64,
-    counted_ms: u64,
+    measured_records: u64,
+    measured_at_ms: u64,
 }
 
 impl RateShare {
-    /// Shares `all_per_s` appends a second among `nodes`.
+    /// Divides `total_per_s` appends a second among `node_count` nodes.
     #[must_use]
-    pub fn new(all_per_s: u32, nodes: usize) -> Self {
+    pub fn new(total_per_s: u32, node_count: usize) -> Self {
         Self {
-            all_per_s: all_per_s.into(),
-            nodes: nodes.max(1) as u64,
-            others_per_s: all_per_s.into(),
-            counted: 0,
-            counted_ms: 0,
+            total_per_s: total_per_s.into(),
+            node_count: node_count.max(1) as u64,
+            others_per_s: total_per_s.into(),
+            measured_records: 0,
+            measured_at_ms: 0,
         }
     }
 
-    /// Returns the fair part, in appends a second.
+    /// Returns the fair share, in appends a second.
     #[must_use]
     pub fn fair_share_per_s(&self) -> u64 {
-        self.all_per_s / self.nodes
+        self.total_per_s / self.node_count
     }
 
-    /// Returns what may be used now, in appends a second; `others` counts the records of all
-    /// other nodes so far.
-    pub fn allowed_per_s(&mut self, now_ms: u64, others: u64) -> u64 {
-        let elapsed_ms = now_ms.saturating_sub(self.counted_ms);
-        if elapsed_ms >= COUNT_MS {
-            let written = others.saturating_sub(self.counted);
-            self.others_per_s = written * 1_000 / elapsed_ms;
-            self.counted = others;
-            self.counted_ms = now_ms;
+    /// Returns the rate that this node may use now, in appends a second.
+    ///
+    /// `other_records` is the total number of records of all other nodes so far.
+    pub fn allowed_per_s(&mut self, now_ms: u64, other_records: u64) -> u64 {
+        let elapsed_ms = now_ms.saturating_sub(self.measured_at_ms);
+        if elapsed_ms >= MEASUREMENT_INTERVAL_MS {
+            let new_records = other_records.saturating_sub(self.measured_records);
+            self.others_per_s = new_records * 1_000 / elapsed_ms;
+            self.measured_records = other_records;
+            self.measured_at_ms = now_ms;
         }
-        let unused = self.all_per_s.saturating_sub(HEADROOM * self.others_per_s);
-        unused.max(self.fair_share_per_s())
+        let unused_per_s = self
+            .total_per_s
+            .saturating_sub(GROWTH_FACTOR * self.others_per_s);
+        unused_per_s.max(self.fair_share_per_s())
     }
 }
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Starting and watching the attempts that this node holds.
 
 use {
-    crate::{cpu_share::CoreShare, node::Node, watched::Watched},
+    crate::{cpu_share::CpuShare, node::Node, watched::Watched},
     log::{info, warn},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
@@ -23,7 +23,7 @@
 const NOT_STARTED: &str = "status 409";
 
 /// Share of a core that looking for attempts may take.
-const CORE_SHARE: CoreShare = CoreShare::new(5);
+const CPU_SHARE: CpuShare = CpuShare::new(5);
 
 /// Runs attempts for as long as it is polled.
 pub(crate) async fn run(node: Node) {
@@ -57,7 +57,7 @@
                 steps.spawn(step.take());
             }
         }
-        let rest = CORE_SHARE.rest(began.elapsed());
+        let rest = CPU_SHARE.pause_after(began.elapsed());
         steps.join_all().await;
         tokio::time::sleep(rest).await;
         drop(tokio::time::timeout(tick, offsets.changed()).await);
