--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -202,7 +202,7 @@
             .drain(..)
             .map(|record| record.id.sequence)
             .collect();
-        self.waiters.forget(&sequences);
+        self.waiters.cancel(&sequences);
     }
 }
 
@@ -287,7 +287,7 @@
                 }
                 Err(error) => {
                     warn!(event = "record_refused", sequence = record.id.sequence; "{error}");
-                    self.waiters.forget(&[record.id.sequence]);
+                    self.waiters.cancel(&[record.id.sequence]);
                 }
             }
         }
@@ -306,7 +306,7 @@
                 }
             }
             if !may_be_applied {
-                self.waiters.forget(&sequences);
+                self.waiters.cancel(&sequences);
                 return GroupEnded { is_refused: true };
             }
             let is_slow = sent.elapsed() > Duration::from_millis(SLOW_MS);
--- a/crates/coordination/src/readiness.rs
+++ b/crates/coordination/src/readiness.rs
@@ -1,27 +1,27 @@
-//! Whether a balancer should send callers to a node.
+//! Readiness of a node for load balancers.
 
-/// What readiness depends on.
+/// Conditions that determine whether a node is ready.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Readiness {
-    /// Whether the node knows that it has seen everything up to a moment ago.
+    /// Whether the node's state is current.
     pub is_current: bool,
-    /// Whether it has been current since its start.
+    /// Whether the state has been current at least once since the start.
     pub has_been_current: bool,
-    /// Other nodes in the settings.
+    /// Number of peers in the settings.
     pub configured_peers: usize,
-    /// Other nodes that are live.
+    /// Number of live peers.
     pub live_peers: usize,
-    /// Live ones that read the log.
+    /// Number of live peers that can read the log.
     pub log_reading_peers: usize,
 }
 
 impl Readiness {
-    /// Tells whether callers should be sent to the node.
+    /// Returns whether a load balancer should route requests to the node.
     ///
-    /// While the log is down no node is current. If all of them turned readiness off for that, a
-    /// balancer would have nobody left, and callers of idempotent requests would get nothing during
-    /// an outage that does not concern them. A node that sees its peers without the log too goes
-    /// on; one that is cut off while others may go on steps aside, since it misses declarations.
+    /// During an outage of the log no node is current. If all nodes reported themselves unready,
+    /// idempotent requests would fail although they do not need the log. A node therefore stays
+    /// ready when none of its live peers can read the log either. A node that is isolated while
+    /// others read the log is unready, since it misses declarations.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let is_outage =
--- a/crates/coordination/src/waiters.rs
+++ b/crates/coordination/src/waiters.rs
@@ -1,4 +1,4 @@
-//! Proposers that wait for their records to come back through the log.
+//! Proposers waiting for their records to be read back from the log.
 
 use {
     crate::proposer::ProposalOutcome,
@@ -6,10 +6,10 @@
     tokio::sync::oneshot,
 };
 
-/// Waiting proposers of this run, by sequence.
+/// Waiting proposers of this incarnation, sorted by sequence.
 #[derive(Debug, Default)]
 pub(crate) struct Waiters {
-    rows: Mutex<Vec<Waiter>>,
+    waiters: Mutex<Vec<Waiter>>,
 }
 
 #[derive(Debug)]
@@ -19,32 +19,32 @@
 }
 
 impl Waiters {
-    /// Registers a waiter; sequences come in rising order.
+    /// Registers a waiter; sequences must be registered in ascending order.
     pub(crate) fn register(&self, sequence: u64) -> oneshot::Receiver<ProposalOutcome> {
         let (reply, receiver) = oneshot::channel();
-        self.rows().push(Waiter { sequence, reply });
+        self.lock().push(Waiter { sequence, reply });
         receiver
     }
 
-    /// Gives a waiter its decision.
-    pub(crate) fn resolve(&self, sequence: u64, decision: ProposalOutcome) {
-        let mut rows = self.rows();
-        let Ok(row) = rows.binary_search_by_key(&sequence, |waiter| waiter.sequence) else {
+    /// Sends the outcome to the waiter of a sequence, if there is one.
+    pub(crate) fn resolve(&self, sequence: u64, outcome: ProposalOutcome) {
+        let mut waiters = self.lock();
+        let Ok(index) = waiters.binary_search_by_key(&sequence, |waiter| waiter.sequence) else {
             return;
         };
-        let waiter = rows.remove(row);
-        drop(rows);
-        // A proposer that gave up waiting was told that the outcome is unknown.
-        drop(waiter.reply.send(decision));
+        let waiter = waiters.remove(index);
+        drop(waiters);
+        // The proposer may have timed out and dropped its receiver.
+        drop(waiter.reply.send(outcome));
     }
 
-    /// Forgets waiters whose records were never sent, which tells them so.
-    pub(crate) fn forget(&self, sequences: &[u64]) {
-        self.rows()
+    /// Removes waiters whose records were not appended; their channels close without an outcome.
+    pub(crate) fn cancel(&self, sequences: &[u64]) {
+        self.lock()
             .retain(|waiter| sequences.binary_search(&waiter.sequence).is_err());
     }
 
-    fn rows(&self) -> MutexGuard<'_, Vec<Waiter>> {
-        self.rows.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<Waiter>> {
+        self.waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
