--- a/crates/engine/tests/encodings.rs
+++ b/crates/engine/tests/encodings.rs
@@ -364,7 +364,7 @@
             queues: vec![queue.clone()],
             ..FleetConfig::default()
         };
-        engine.handle(Event::Config(config.into()), now);
+        engine.handle(Event::ConfigChanged(config.into()), now);
     }
     engine.take_batch(now).records
 }
@@ -525,8 +525,8 @@
     assert_held(&progress.value, held);
     let engine = restored(&[held_record(&progress.key, held)], fleet.now);
     assert_eq!(engine.job_state(job_id(1)), Some(state));
-    assert!(engine.is_open_to(job_id(1), "account-1"));
-    assert!(!engine.is_open_to(job_id(1), "account-2"));
+    assert!(engine.can_access(job_id(1), "account-1"));
+    assert!(!engine.can_access(job_id(1), "account-2"));
 }
 
 /// A completed job is not known after a take-over, or is told to another account.
@@ -547,7 +547,7 @@
 
 /// Orders the maintenance of VMs, all at once.
 fn order_wave(fleet: &mut Fleet, wave: u64, vms: &[&str]) {
-    fleet.handle(Event::Wave(WaveOrder {
+    fleet.handle(Event::WaveOrdered(WaveOrder {
         wave,
         vms: vms.iter().map(|name| (*name).into()).collect(),
         duration_s: 60.0,
@@ -557,7 +557,7 @@
 
 /// Lists two VMs that are switched off, and allows orders for them.
 fn list_vms(fleet: &mut Fleet) {
-    fleet.handle(Event::Vms(vec![spare("vm-1"), spare("vm-2")]));
+    fleet.handle(Event::VmsListed(vec![spare("vm-1"), spare("vm-2")]));
     fleet.engine.allow_vm_orders(true);
 }
 
@@ -568,7 +568,7 @@
     order_wave(&mut fleet, 12, &["vm-1", "vm-2"]);
     fleet.advance(100);
     for vm in begun {
-        fleet.handle(Event::VmAnswer {
+        fleet.handle(Event::VmOrderAnswered {
             vm: (*vm).into(),
             outcome: VmOutcome::Done,
         });
@@ -580,7 +580,7 @@
 /// Tells whether the maintenance of a VM was ordered.
 fn is_ordered(fleet: &Fleet, name: &str) -> bool {
     let mut orders = fleet.orders.iter();
-    orders.any(|order| matches!(order, Effect::Maintain { vm, .. } if vm == name))
+    orders.any(|order| matches!(order, Effect::MaintainVm { vm, .. } if vm == name))
 }
 
 /// Replaces the owner by one that has read records.
