--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -1,7 +1,7 @@
 //! Carrying out the claims that this node holds.
 
 use {
-    crate::{node::Node, observer::confirm_pool, share::CoreShare},
+    crate::{cpu_share::CpuShare, node::Node, observer::confirm_pool},
     log::{info, warn},
     lynxwheel_decisions::{
         ActionStep, ClaimReview, ClaimStep as Step, ReleaseReason, action_step, review_claims,
@@ -24,12 +24,12 @@
 const CONNECTIONS: usize = 8;
 
 /// Share of a core that looking for claims may take.
-const CORE_SHARE: CoreShare = CoreShare::new(5);
+const CPU_SHARE: CpuShare = CpuShare::new(5);
 
 /// Carries claims out for as long as it is polled.
 pub(crate) async fn act(node: Node) {
     let platform = Client::new(node.settings().platform, CONNECTIONS);
-    let tick = Duration::from_millis(node.settings().tick_ms);
+    let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let mut offsets = node.published_state().subscribe();
     loop {
         if node.has_diverged() {
@@ -51,7 +51,7 @@
                 steps.spawn(step.take());
             }
         }
-        let rest = CORE_SHARE.rest(began.elapsed());
+        let rest = CPU_SHARE.pause_after(began.elapsed());
         steps.join_all().await;
         tokio::time::sleep(rest).await;
         drop(tokio::time::timeout(tick, offsets.changed()).await);
@@ -144,7 +144,7 @@
         let limit = Duration::from_millis(CALL_TIMEOUT_MS);
         match self
             .node
-            .clients()
+            .endpoint_clients()
             .get(address)
             .get("/healthz", limit)
             .await
@@ -212,7 +212,7 @@
             fence: self.claim.fence,
             succeeded,
         };
-        self.node.proposer().is_accepted(body).await;
+        self.node.proposer().propose_and_confirm(body).await;
     }
 
     /// Gives the VM to its new pool.
@@ -228,7 +228,7 @@
             vm: self.vm.name.clone(),
             fence: self.claim.fence,
         };
-        if self.node.proposer().is_accepted(body).await {
+        if self.node.proposer().propose_and_confirm(body).await {
             self.log_step("handed_over");
         }
     }
@@ -242,7 +242,7 @@
             vm: self.vm.name.clone(),
             fence: self.claim.fence,
         };
-        if self.node.proposer().is_accepted(body).await {
+        if self.node.proposer().propose_and_confirm(body).await {
             self.log_step(reason);
         }
     }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -13,11 +13,11 @@
         membership::{PEER_CONNECTIONS, exchange_hellos},
         observer,
         operations::Operation,
-        pace::RateShare,
         peers::Peers,
         planner,
         proposer::Proposer,
         published_state::PublishedState,
+        rate_limit::RateShare,
         reader,
         readiness::Readiness,
         recent::RecentEntries,
@@ -74,7 +74,7 @@
     peers: Peers,
     peer_clients: Clients,
     snapshot_log: LogClient,
-    was_current: AtomicBool,
+    has_been_current: AtomicBool,
 }
 
 impl Inner {
@@ -87,7 +87,7 @@
         let appender = Appender::new(
             log.clone(),
             settings.clock.clone(),
-            RateShare::new(settings.appends_per_s, settings.peers.len() + 1),
+            RateShare::new(settings.max_appends_per_s, settings.peers.len() + 1),
             Arc::clone(&outputs.published),
             Arc::clone(&outputs.waiters),
             incarnation,
@@ -103,7 +103,7 @@
             peers: Peers::new(&settings),
             peer_clients: Clients::new(PEER_CONNECTIONS),
             snapshot_log: LogClient::new(settings.platform, &snapshots),
-            was_current: AtomicBool::new(false),
+            has_been_current: AtomicBool::new(false),
             outputs,
             settings,
         }
@@ -186,7 +186,7 @@
 
     /// Returns the clients for probes.
     #[must_use]
-    pub fn clients(&self) -> &Arc<Clients> {
+    pub fn endpoint_clients(&self) -> &Arc<Clients> {
         &self.inner.clients
     }
 
@@ -226,20 +226,20 @@
     pub fn readiness(&self) -> Readiness {
         let is_current = self.is_current();
         if is_current {
-            self.inner.was_current.store(true, Ordering::Relaxed);
+            self.inner.has_been_current.store(true, Ordering::Relaxed);
         }
-        let views = self.peers().views(self.clock().now_ms());
+        let views = self.peers().live_peers(self.clock().now_ms());
         Readiness {
             is_current,
-            was_current: self.inner.was_current.load(Ordering::Relaxed),
-            peers: self.settings().peers.len(),
+            has_been_current: self.inner.has_been_current.load(Ordering::Relaxed),
+            configured_peers: self.settings().peers.len(),
             live_peers: views.len(),
-            reading_peers: views.iter().filter(|view| view.hello.reads_log).count(),
+            log_reading_peers: views.iter().filter(|view| view.hello.reads_log).count(),
         }
     }
 
     fn is_level_with_reader(&self, offset: u64) -> bool {
-        let views = self.peers().views(self.clock().now_ms());
+        let views = self.peers().live_peers(self.clock().now_ms());
         views
             .iter()
             .any(|view| view.hello.reads_log && view.hello.offset <= offset)
@@ -311,6 +311,6 @@
             info!(event = "joined", incarnation = node.incarnation(); "");
             return;
         }
-        tokio::time::sleep(Duration::from_millis(node.settings().rank_delay_ms)).await;
+        tokio::time::sleep(Duration::from_millis(node.settings().join_retry_ms)).await;
     }
 }
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -17,7 +17,7 @@
 
 /// What the fold made of a proposal.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Decision {
+pub struct ProposalOutcome {
     /// Identity of the record.
     pub id: WriterId,
     /// Offset of the record.
@@ -35,7 +35,7 @@
         retry_after_ms: u64,
     },
     /// It may have been appended, or may be later.
-    Unknown {
+    OutcomeUnknown {
         /// Identity of the record, by which its outcome can be looked up.
         id: WriterId,
     },
@@ -50,7 +50,7 @@
                     "the log takes no records; come back in {retry_after_ms} ms"
                 )
             }
-            Self::Unknown { id } => write!(
+            Self::OutcomeUnknown { id } => write!(
                 formatter,
                 "the outcome of record {}-{} is not known yet",
                 id.incarnation, id.sequence
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// Fails when the record was not appended, or when its outcome is not known in time.
-    pub async fn propose(&self, body: RecordBody) -> Result<Decision, ProposeError> {
+    pub async fn propose(&self, body: RecordBody) -> Result<ProposalOutcome, ProposeError> {
         let not_appended = ProposeError::NotAppended {
             retry_after_ms: RETRY_AFTER_MS,
         };
@@ -102,12 +102,12 @@
         match timeout(self.limit, ticket.decision).await {
             Ok(Ok(decision)) => Ok(decision),
             Ok(Err(_)) => Err(not_appended),
-            Err(_) => Err(ProposeError::Unknown { id: ticket.id }),
+            Err(_) => Err(ProposeError::OutcomeUnknown { id: ticket.id }),
         }
     }
 
     /// Proposes a record and tells whether it was accepted.
-    pub async fn is_accepted(&self, body: RecordBody) -> bool {
+    pub async fn propose_and_confirm(&self, body: RecordBody) -> bool {
         matches!(self.propose(body).await, Ok(decision) if decision.verdict.is_accepted())
     }
 }
--- a/crates/coordination/src/snapshot_chunks.rs
+++ b/crates/coordination/src/snapshot_chunks.rs
@@ -11,7 +11,7 @@
 
 /// Cuts a state into chunks; nothing when it cannot be encoded or is too large.
 #[must_use]
-pub fn cut_snapshot(state: &FleetState, writer: u64) -> Option<Vec<SnapshotChunk>> {
+pub fn split_snapshot(state: &FleetState, writer: u64) -> Option<Vec<SnapshotChunk>> {
     let bytes = save(state).ok()?;
     let chunks = u32::try_from(bytes.len().div_ceil(SNAPSHOT_CHUNK_BYTES)).ok()?;
     if chunks > MAX_SNAPSHOT_CHUNKS {
@@ -40,7 +40,7 @@
 /// after a lost answer. Chunks are therefore kept apart by the whole identity of their snapshot,
 /// and a snapshot counts only when all are there and the digest matches.
 #[derive(Debug, Default)]
-pub struct SnapshotAssembly {
+pub struct SnapshotAssembler {
     partial: Vec<Partial>,
 }
 
@@ -51,7 +51,7 @@
     missing: usize,
 }
 
-impl SnapshotAssembly {
+impl SnapshotAssembler {
     /// Adds a chunk; one that does not fit its snapshot is ignored.
     pub fn add(&mut self, chunk: SnapshotChunk) {
         let is_sound = chunk.id.chunks <= MAX_SNAPSHOT_CHUNKS
--- a/crates/coordination/src/upkeep.rs
+++ b/crates/coordination/src/upkeep.rs
@@ -26,12 +26,12 @@
         if node.clock().now_ms() > node.state().time_ms() + MAX_LAG_MS
             && rank(&node, "time") < CONFIRMING_NODES
         {
-            node.proposer().is_accepted(RecordBody::Tick).await;
+            node.proposer().propose_and_confirm(RecordBody::Tick).await;
         }
         let next = node.state().fold_version() + 1;
         if next <= FOLD_VERSION && rank(&node, "fold-version") == 0 && is_known(&node, next) {
             let raise = RecordBody::RaiseVersion { fold_version: next };
-            node.proposer().is_accepted(raise).await;
+            node.proposer().propose_and_confirm(raise).await;
         }
     }
 }
@@ -42,7 +42,7 @@
 
 /// Tells whether every live peer said that it knows the version.
 fn is_known(node: &Node, fold_version: u32) -> bool {
-    let views = node.peers().views(node.clock().now_ms());
+    let views = node.peers().live_peers(node.clock().now_ms());
     views.len() + 1 == node.live_nodes().len()
         && views
             .iter()
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -140,7 +140,7 @@
     match request.uri().path() {
         PEER_ANSWER_PATH => gateway.peer_answer(request).await,
         path if path.starts_with(PEER_RUN_PATH) => gateway.peer_run(request).await,
-        _ => node.handle_peer(request).await,
+        _ => node.handle_peer_request(request).await,
     }
 }
 
@@ -252,7 +252,7 @@
 
 async fn wait_accepted(node: &Node, body: RecordBody) {
     let until = Instant::now() + LIMIT;
-    while !node.proposer().is_accepted(body.clone()).await {
+    while !node.proposer().propose_and_confirm(body.clone()).await {
         assert!(Instant::now() < until, "no record is accepted");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -295,7 +295,7 @@
     let identity = NodeIdentity::new(&name(own), &zone);
     let mut settings = NodeSettings::new(identity, platform).with_peers(peers);
     settings.propose_timeout_ms = options.propose_timeout_ms;
-    settings.tick_ms = 50;
+    settings.poll_interval_ms = 50;
     settings
 }
 
--- a/crates/scenario/src/snapshot_steps.rs
+++ b/crates/scenario/src/snapshot_steps.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::world::{Kept, StepResult, World},
-    lynxwheel_coordination::{SnapshotAssembly, cut_snapshot},
+    lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_protocol::SnapshotChunk,
     lynxwheel_state::FleetState,
     std::error::Error,
@@ -12,7 +12,7 @@
     pub(crate) fn keep_snapshot(&mut self, node: &str, name: &str) -> StepResult {
         let node = self.node(node)?;
         let offset = node.state().offset();
-        let chunks = cut_snapshot(node.state(), node.incarnation).ok_or("too large")?;
+        let chunks = split_snapshot(node.state(), node.incarnation).ok_or("too large")?;
         let count = chunks.len();
         self.kept.push(Kept {
             name: name.into(),
@@ -61,11 +61,11 @@
 
     /// Returns the state of a whole snapshot.
     pub(crate) fn whole(&self, name: &str) -> Result<FleetState, Box<dyn Error>> {
-        let mut assembly = SnapshotAssembly::default();
+        let mut assembler = SnapshotAssembler::default();
         for chunk in &self.kept(name)?.chunks {
-            assembly.add(chunk.clone());
+            assembler.add(chunk.clone());
         }
-        assembly
+        assembler
             .latest()
             .ok_or_else(|| "the snapshot is not whole".into())
     }
