--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::proxy::LinkTrouble,
-    lynxwheel_platform_standin::{EndpointTrouble, StoreTrouble},
+    lynxwheel_platform_standin::{EndpointTrouble, StoreFault},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
 };
@@ -42,7 +42,7 @@
     /// A node is told that its settings have changed.
     HangUp(usize),
     /// The store misbehaves.
-    Store(StoreTrouble),
+    Store(StoreFault),
     /// The store drops the history of what operators and endpoints write.
     ForgetHistory,
     /// A link is disturbed.
@@ -109,12 +109,12 @@
     }
 }
 
-fn store_trouble(random: &mut ChaCha8Rng) -> StoreTrouble {
+fn store_trouble(random: &mut ChaCha8Rng) -> StoreFault {
     match random.random_range(0..4) {
-        0 => StoreTrouble::Down,
-        1 => StoreTrouble::Silent,
-        2 => StoreTrouble::Slow(random.random_range(50..500)),
-        _ => StoreTrouble::Lossy,
+        0 => StoreFault::Unavailable,
+        1 => StoreFault::Unresponsive,
+        2 => StoreFault::Slow(random.random_range(50..500)),
+        _ => StoreFault::LostAnswers,
     }
 }
 
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -11,7 +11,7 @@
     },
     lynxwheel_platform_standin::{
         AccountSpec, EndpointSpec, EndpointStandIn, EndpointTrouble, NodeSettings, Observer,
-        QueueSpec, StoreStandIn, StoreTrouble, VmsStandIn, forget_written, put_config, put_wave,
+        QueueSpec, StoreFault, StoreStandIn, VmsStandIn, forget_written, put_config, put_wave,
     },
     nix::sys::signal::Signal,
     std::{
@@ -221,7 +221,7 @@
             Fault::PauseNode(node) => self.nodes[node].signal(Signal::SIGSTOP),
             Fault::StopNode(node) => self.nodes[node].signal(Signal::SIGTERM),
             Fault::HangUp(node) => self.nodes[node].signal(Signal::SIGHUP),
-            Fault::Store(trouble) => self.store.set_trouble(trouble),
+            Fault::Store(trouble) => self.store.set_fault(trouble),
             Fault::ForgetHistory => {
                 forget_written(&self.store);
             }
@@ -244,7 +244,7 @@
                 sleep(Duration::from_millis(GRACE_MS)).await;
                 self.restart(node);
             }
-            Fault::Store(_) => self.store.set_trouble(StoreTrouble::None),
+            Fault::Store(_) => self.store.set_fault(StoreFault::None),
             Fault::Link(place, _) => self.link(place).set_trouble(LinkTrouble::None),
             Fault::Endpoint(endpoint, _) => {
                 self.endpoints[endpoint].set_trouble(EndpointTrouble::None);
@@ -267,7 +267,7 @@
 
     /// Ends every trouble and starts what is down.
     pub fn heal(&self) {
-        self.store.set_trouble(StoreTrouble::None);
+        self.store.set_fault(StoreFault::None);
         let links = [&self.store_links, &self.caller_links, &self.endpoint_links];
         for link in links.into_iter().flatten() {
             link.set_trouble(LinkTrouble::None);
