--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::proxy::LinkTrouble,
-    lynxwheel_platform_standin::{EndpointTrouble, StoreFault},
+    lynxwheel_platform_standin::{EndpointFault, StoreFault},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
 };
@@ -48,7 +48,7 @@
     /// A link is disturbed.
     Link(LinkPlace, LinkTrouble),
     /// An endpoint misbehaves.
-    Endpoint(usize, EndpointTrouble),
+    Endpoint(usize, EndpointFault),
     /// An endpoint's life ends; another begins at the end.
     EndLife(usize),
     /// An endpoint says that it leaves, and does so at the end.
@@ -128,13 +128,13 @@
     }
 }
 
-fn endpoint_trouble(random: &mut ChaCha8Rng) -> EndpointTrouble {
+fn endpoint_trouble(random: &mut ChaCha8Rng) -> EndpointFault {
     match random.random_range(0..8) {
-        0 => EndpointTrouble::Silent,
-        1 | 2 => EndpointTrouble::Mute,
-        3 | 4 => EndpointTrouble::Late(random.random_range(500..5_000)),
-        5 => EndpointTrouble::Refusing,
-        6 => EndpointTrouble::Failing,
-        _ => EndpointTrouble::Stuck,
+        0 => EndpointFault::Unresponsive,
+        1 | 2 => EndpointFault::LostAnswers,
+        3 | 4 => EndpointFault::DelayedOrders(random.random_range(500..5_000)),
+        5 => EndpointFault::RefusedOrders,
+        6 => EndpointFault::FailingRuns,
+        _ => EndpointFault::StalledRuns,
     }
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -10,7 +10,7 @@
         run::SoakPlan,
     },
     lynxwheel_platform_standin::{
-        AccountSpec, EndpointSpec, EndpointStandIn, EndpointTrouble, NodeSettings, Observer,
+        AccountSpec, EndpointFault, EndpointSpec, EndpointStandIn, NodeSettings, Observer,
         QueueSpec, StoreFault, StoreStandIn, VmsStandIn, forget_written, put_config, put_wave,
     },
     nix::sys::signal::Signal,
@@ -226,7 +226,7 @@
                 forget_written(&self.store);
             }
             Fault::Link(place, trouble) => self.link(place).set_trouble(trouble),
-            Fault::Endpoint(endpoint, trouble) => self.endpoints[endpoint].set_trouble(trouble),
+            Fault::Endpoint(endpoint, trouble) => self.endpoints[endpoint].set_fault(trouble),
             Fault::EndLife(endpoint) => self.endpoints[endpoint].end_life(),
             Fault::Drain(endpoint) => self.endpoints[endpoint].drain(),
             Fault::Configure => self.configure(&self.accounts.next_round()),
@@ -247,7 +247,7 @@
             Fault::Store(_) => self.store.set_fault(StoreFault::None),
             Fault::Link(place, _) => self.link(place).set_trouble(LinkTrouble::None),
             Fault::Endpoint(endpoint, _) => {
-                self.endpoints[endpoint].set_trouble(EndpointTrouble::None);
+                self.endpoints[endpoint].set_fault(EndpointFault::None);
             }
             Fault::EndLife(endpoint) => self.endpoints[endpoint].begin_life(),
             Fault::Drain(endpoint) => {
@@ -273,7 +273,7 @@
             link.set_trouble(LinkTrouble::None);
         }
         for endpoint in &self.endpoints {
-            endpoint.set_trouble(EndpointTrouble::None);
+            endpoint.set_fault(EndpointFault::None);
             endpoint.begin_life();
         }
         for number in 0..self.nodes.len() {
