--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -7,7 +7,7 @@
     },
     compact_str::CompactString,
     lynxwheel_engine::{JobId, JobSpec, JobState, TaskRef},
-    lynxwheel_platform_standin::{EndSeen, Seen},
+    lynxwheel_platform_standin::{Observation, ObservedEnd},
     std::{
         sync::Mutex,
         time::{Duration, Instant},
@@ -335,37 +335,45 @@
     }
 
     /// Takes in what a stand-in has seen.
-    pub fn see(&self, seen: Seen) {
+    pub fn see(&self, seen: Observation) {
         let mut book = lock(&self.book);
         let mistakes = match seen {
-            Seen::Started {
-                life,
+            Observation::Started {
+                incarnation,
                 pool,
                 task,
                 run,
                 payload,
-            } => self.started(&mut book, &life, &pool, task, run, &payload),
-            Seen::Ended {
-                life,
+            } => self.started(&mut book, &incarnation, &pool, task, run, &payload),
+            Observation::Ended {
+                incarnation,
                 task,
                 run,
                 end,
             } => {
-                ended(&mut book, &life, &task, run, end);
+                ended(&mut book, &incarnation, &task, run, end);
                 Vec::new()
             }
-            Seen::Noted { task, run, end } => noted(&mut book, &task, run, end),
-            Seen::Forgotten { life } => {
-                forget_unnoted(&mut book, &life);
+            Observation::Acknowledged { task, run, end } => noted(&mut book, &task, run, end),
+            Observation::EndsExpired { incarnation } => {
+                forget_unnoted(&mut book, &incarnation);
                 Vec::new()
             }
-            Seen::VmOrder { vm, holder, fence } => ordered(&mut book, vm, holder, fence),
-            Seen::Maintained { vm, wave, others } if others >= self.max_down => {
+            Observation::VmOrder {
+                vm,
+                holder,
+                fencing_token,
+            } => ordered(&mut book, vm, holder, fencing_token),
+            Observation::MaintenanceStarted {
+                vm,
+                wave,
+                others_down,
+            } if others_down >= self.max_down => {
                 vec![format!(
-                    "{vm}: maintenance of wave {wave} beside {others} others"
+                    "{vm}: maintenance of wave {wave} beside {others_down} others"
                 )]
             }
-            Seen::Maintained { .. } => Vec::new(),
+            Observation::MaintenanceStarted { .. } => Vec::new(),
         };
         for mistake in mistakes {
             let text = self.stamped(&mistake);
@@ -440,7 +448,7 @@
     }
 }
 
-fn ended(book: &mut Book, life: &CompactString, task: &TaskRef, run: u32, end: EndSeen) {
+fn ended(book: &mut Book, life: &CompactString, task: &TaskRef, run: u32, end: ObservedEnd) {
     let Some(job) = book.job(task.job) else {
         return;
     };
@@ -450,12 +458,12 @@
             .live
             .retain(|(at, known_run)| at != life || *known_run != run);
         match end {
-            EndSeen::Done => {
+            ObservedEnd::Done => {
                 known.done.push((life.clone(), run, 0));
                 known.has_been_done = true;
             }
-            EndSeen::Failed => known.failed += 1,
-            EndSeen::Stopped | EndSeen::Lapsed | EndSeen::Lost => {}
+            ObservedEnd::Failed => known.failed += 1,
+            ObservedEnd::Stopped | ObservedEnd::Lapsed | ObservedEnd::Lost => {}
         }
     }
     book.take_room(life, -i64::try_from(cpu_millis).unwrap_or_default());
@@ -467,7 +475,7 @@
     }
 }
 
-fn noted(book: &mut Book, task: &TaskRef, run: u32, end: EndSeen) -> Vec<String> {
+fn noted(book: &mut Book, task: &TaskRef, run: u32, end: ObservedEnd) -> Vec<String> {
     let Some(job) = book.job(task.job) else {
         return Vec::new();
     };
@@ -482,7 +490,7 @@
             mistakes.push(format!("{task}: it ran again after run {run} was done"));
         }
     }
-    if end == EndSeen::Failed {
+    if end == ObservedEnd::Failed {
         known.failed_noted += 1;
         if known.failed_noted >= max_attempts && known.starts_after_last_failure > 0 {
             mistakes.push(format!("{task}: it ran again after its last failure"));
