--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -123,7 +123,7 @@
                 EndpointStandIn::start(spec, store.clone(), Arc::clone(&observer)).await?;
             let link = Proxy::start(endpoint.address()).await?;
             endpoint.advertise(link.address());
-            endpoint.begin_life();
+            endpoint.start_incarnation();
             endpoints.push(endpoint);
             endpoint_links.push(link);
         }
@@ -227,7 +227,7 @@
             }
             Fault::Link(place, trouble) => self.link(place).set_trouble(trouble),
             Fault::Endpoint(endpoint, trouble) => self.endpoints[endpoint].set_fault(trouble),
-            Fault::EndLife(endpoint) => self.endpoints[endpoint].end_life(),
+            Fault::EndLife(endpoint) => self.endpoints[endpoint].end_incarnation(),
             Fault::Drain(endpoint) => self.endpoints[endpoint].drain(),
             Fault::Configure => self.configure(&self.accounts.next_round()),
             Fault::Maintain => self.maintain(),
@@ -249,10 +249,10 @@
             Fault::Endpoint(endpoint, _) => {
                 self.endpoints[endpoint].set_fault(EndpointFault::None);
             }
-            Fault::EndLife(endpoint) => self.endpoints[endpoint].begin_life(),
+            Fault::EndLife(endpoint) => self.endpoints[endpoint].start_incarnation(),
             Fault::Drain(endpoint) => {
-                self.endpoints[endpoint].end_life();
-                self.endpoints[endpoint].begin_life();
+                self.endpoints[endpoint].end_incarnation();
+                self.endpoints[endpoint].start_incarnation();
             }
             Fault::HangUp(_) | Fault::ForgetHistory | Fault::Configure | Fault::Maintain => {}
         }
@@ -274,7 +274,7 @@
         }
         for endpoint in &self.endpoints {
             endpoint.set_fault(EndpointFault::None);
-            endpoint.begin_life();
+            endpoint.start_incarnation();
         }
         for number in 0..self.nodes.len() {
             self.nodes[number].signal(Signal::SIGCONT);
