--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -8,7 +8,7 @@
     http::{Method, StatusCode},
     lynxwheel_engine::{JobId, JobSpec, Room, StepSpec},
     lynxwheel_platform_standin::{
-        LASTING_PAYLOAD, QueueSpec, is_count, job_body, key_header, read_state, wait_header,
+        LONG_RUNNING_PAYLOAD, QueueSpec, is_count, job_body, key_header, read_state, wait_header,
     },
     lynxwheel_transport::{Answer, ClientRequest, Clients},
     rand::{RngExt, SeedableRng},
@@ -272,7 +272,11 @@
     let is_lasting = random.random_range(0..25) == 0;
     let payload = format!(
         "{} {:08x}",
-        if is_lasting { LASTING_PAYLOAD } else { "batch" },
+        if is_lasting {
+            LONG_RUNNING_PAYLOAD
+        } else {
+            "batch"
+        },
         random.random::<u32>()
     );
     let count = if is_lasting {
