--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -8,7 +8,8 @@
     http::{Method, StatusCode},
     lynxwheel_engine::{JobId, JobSpec, Room, StepSpec},
     lynxwheel_platform_standin::{
-        LONG_RUNNING_PAYLOAD, QueueSpec, is_count, job_body, key_header, read_state, wait_header,
+        LONG_RUNNING_PAYLOAD, QueueSpec, api_key_header, decode_job_state, encode_job, is_count,
+        timeout_header,
     },
     lynxwheel_transport::{Answer, ClientRequest, Clients},
     rand::{RngExt, SeedableRng},
@@ -93,8 +94,8 @@
 
     fn request(&self, method: Method, queue: usize, id: &str, key: &str) -> ClientRequest {
         let path = format!("{}{id}", self.queues[queue].path_prefix);
-        let (name, value) = wait_header(WAIT_MS);
-        let (key_name, key) = key_header(key);
+        let (name, value) = timeout_header(WAIT_MS);
+        let (key_name, key) = api_key_header(key);
         ClientRequest::new(method, path)
             .with_header(name, value)
             .with_header(key_name, key)
@@ -128,7 +129,7 @@
             let request = self
                 .request_for(Method::POST, known)
                 .with_header("Content-Type", "application/json")
-                .with_body(job_body(&spec));
+                .with_body(encode_job(&spec));
             let answer = self.call(self.any_node(random), &request).await;
             match answer.map(|answer| answer.status.as_u16()) {
                 Some(200..=299) => {
@@ -182,7 +183,7 @@
             return false;
         };
         match answer.status {
-            StatusCode::OK => match read_state(&answer.body) {
+            StatusCode::OK => match decode_job_state(&answer.body) {
                 Some(state) => {
                     self.ledger.shown(job, Some(state));
                     return state.is_final();
