--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -11,7 +11,8 @@
     },
     lynxwheel_platform_standin::{
         AccountSpec, EndpointFault, EndpointSpec, EndpointStandIn, NodeSettings, Observer,
-        QueueSpec, StoreFault, StoreStandIn, VmsStandIn, forget_written, put_config, put_wave,
+        QueueSpec, StoreFault, StoreStandIn, VmsStandIn, put_config, put_wave,
+        trim_operator_topics,
     },
     nix::sys::signal::Signal,
     std::{
@@ -223,7 +224,7 @@
             Fault::HangUp(node) => self.nodes[node].signal(Signal::SIGHUP),
             Fault::Store(trouble) => self.store.set_fault(trouble),
             Fault::ForgetHistory => {
-                forget_written(&self.store);
+                trim_operator_topics(&self.store);
             }
             Fault::Link(place, trouble) => self.link(place).set_trouble(trouble),
             Fault::Endpoint(endpoint, trouble) => self.endpoints[endpoint].set_fault(trouble),
