--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -11,7 +11,7 @@
     },
     lynxwheel_platform_standin::{
         AccountSpec, EndpointFault, EndpointSpec, EndpointStandIn, NodeSettings, Observer,
-        QueueSpec, StoreFault, StoreStandIn, VmsStandIn, put_config, put_wave,
+        QueueSpec, StoreFault, StoreStandIn, VmServiceStandIn, put_config, put_wave,
         trim_operator_topics,
     },
     nix::sys::signal::Signal,
@@ -128,7 +128,7 @@
             endpoints.push(endpoint);
             endpoint_links.push(link);
         }
-        let vms = VmsStandIn::start(&endpoints, observer).await?;
+        let vms = VmServiceStandIn::start(&endpoints, observer).await?;
         let mut world = Self {
             store,
             endpoints,
