--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -5,7 +5,7 @@
         engine::{Engine, ORDER_RETRY_MS},
         event::{CallOutcome, Effect, EndpointKey, Now, Refusal, StartOrder},
         job::{JobState, TaskRef},
-        note::{Note, RunEnd},
+        log_event::{LogEvent, RunEnd},
         reports::{EndKind, EndedTask},
         state::{Attempt, Job, Phase},
     },
@@ -14,17 +14,17 @@
 
 /// Rest of an endpoint after one run failed there, in milliseconds: long enough for other runs to
 /// show whether the endpoint or the task is to blame.
-const FIRST_REST_MS: u64 = 300;
+const FIRST_COOLDOWN_MS: u64 = 300;
 
 /// Rest of an endpoint after more runs failed in a row, in milliseconds. Troubles of endpoints
 /// last for seconds, and each trial costs somebody one of few attempts.
-const LONG_REST_MS: u64 = 4_000;
+const LONG_COOLDOWN_MS: u64 = 4_000;
 
 /// Runs that fail in a row before an endpoint rests for long.
 const BAD_AFTER: u32 = 2;
 
 /// Rest of an endpoint that refused an order, in milliseconds.
-const REFUSAL_REST_MS: u64 = 500;
+const REFUSAL_COOLDOWN_MS: u64 = 500;
 
 /// Pause of a task whose order was malformed for the endpoint, in milliseconds.
 const INVALID_PAUSE_MS: u64 = 2_000;
@@ -49,7 +49,7 @@
         attempt.retry_at_ms = now.steady_ms + ORDER_RETRY_MS;
         let endpoint = attempt.endpoint;
         self.jobs[place].is_dirty = true;
-        self.forming.push(Effect::Stop {
+        self.pending_effects.push(Effect::Stop {
             endpoint,
             task: *task,
             run,
@@ -75,7 +75,7 @@
         }
         let endpoint = self.endpoints.get_mut(attempt.endpoint);
         endpoint.release(task, run, now.steady_ms);
-        self.notes.push(Note::RunOver {
+        self.log_events.push(LogEvent::RunEnded {
             task: *task,
             run,
             endpoint: endpoint.id.clone(),
@@ -123,7 +123,7 @@
             // That run is known there; the next report tells how it stands.
             CallOutcome::Refused(Refusal::OldRun) => self.confirm(key, task, run, now),
             CallOutcome::Refused(refusal) => {
-                self.rest_after_refusal(key, *refusal, now);
+                self.start_refusal_cooldown(key, *refusal, now);
                 if *refusal == Refusal::Ticket {
                     self.ticket_refused(task, key);
                 }
@@ -150,7 +150,7 @@
                 }
             }
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.at_once.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
         }
     }
 
@@ -165,9 +165,9 @@
         self.jobs.quiet_mut(place).origin.take().is_some()
     }
 
-    fn rest_after_refusal(&mut self, key: EndpointKey, refusal: Refusal, now: Now) {
+    fn start_refusal_cooldown(&mut self, key: EndpointKey, refusal: Refusal, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
-        endpoint.rests_until_ms = now.steady_ms + REFUSAL_REST_MS;
+        endpoint.cooldown_until_ms = now.steady_ms + REFUSAL_COOLDOWN_MS;
         if refusal == Refusal::Late {
             // The reading of its clock is off; a report brings a new one.
             endpoint.renew_at_ms = now.steady_ms;
@@ -215,15 +215,15 @@
         if job.state == JobState::Queued {
             job.state = JobState::Running;
             // Nothing hangs on this state, so it is told before it is stored.
-            if job.shown == Some(JobState::Queued) {
-                job.shown = Some(JobState::Running);
+            if job.visible_state == Some(JobState::Queued) {
+                job.visible_state = Some(JobState::Running);
             }
         }
         // An endpoint that was empty is asked at leisure; from now on an end may come any time.
         let endpoint = self.endpoints.get_mut(key);
         endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms);
         if is_stopping {
-            self.at_once.push(Effect::Stop {
+            self.immediate_effects.push(Effect::Stop {
                 endpoint: key,
                 task: *task,
                 run,
@@ -256,7 +256,7 @@
             }
             CallOutcome::Unsent | CallOutcome::Unknown => self.call_failed(key, now),
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.at_once.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
         }
     }
 
@@ -330,7 +330,7 @@
             job.state = JobState::Completed;
             job.is_dirty = true;
             job.ended_ms = now.steady_ms;
-            self.notes.push(Note::JobEnded {
+            self.log_events.push(LogEvent::JobEnded {
                 job: job.id,
                 state: job.state,
                 after_ms: now.wall_ms.saturating_sub(job.accepted_ms),
@@ -341,12 +341,12 @@
     fn run_failed(&mut self, place: usize, key: EndpointKey, ended: &EndedTask, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         endpoint.failed_runs += 1;
-        let rest_ms = if endpoint.failed_runs >= BAD_AFTER {
-            LONG_REST_MS
+        let cooldown_ms = if endpoint.failed_runs >= BAD_AFTER {
+            LONG_COOLDOWN_MS
         } else {
-            FIRST_REST_MS
+            FIRST_COOLDOWN_MS
         };
-        endpoint.rests_until_ms = endpoint.rests_until_ms.max(now.steady_ms + rest_ms);
+        endpoint.cooldown_until_ms = endpoint.cooldown_until_ms.max(now.steady_ms + cooldown_ms);
         let max_attempts = self.jobs[place].queue.max_attempts;
         let job = &mut self.jobs[place];
         let lasts = job
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -13,14 +13,14 @@
         endpoint_table::Endpoints,
         event::{CallerAnswer, Effect, EndpointKey, Event, Now, ReplyToken},
         free_room::FreeRoom,
-        job::{JobId, JobState, Room, TaskRef},
+        job::{JobId, JobState, Resources, TaskRef},
         job_table::JobTable,
-        note::Note,
+        log_event::LogEvent,
         order_rate::OrderRate,
         quota::{AccountNumber, QuotaLedger},
-        rests::RestingVm,
         state::Job,
         stored::{Record, progress_drop, spec_drop},
+        vm_cooldowns::VmCooldown,
         vms::Vm,
         waiting::OpenSteps,
         waves::Wave,
@@ -97,7 +97,7 @@
     pub(crate) endpoints: Endpoints,
     pub(crate) free_room: FreeRoom,
     /// Endpoints at which nothing starts until a time on the steady clock, sorted by that time.
-    pub(crate) resting_endpoints: Vec<(u64, EndpointKey)>,
+    pub(crate) cooling_endpoints: Vec<(u64, EndpointKey)>,
     /// Endpoints of which ends were taken into account that are not in a batch yet.
     pub(crate) unstored_ends: Vec<EndpointKey>,
     /// Runs whose order may have to be repeated, sorted.
@@ -106,17 +106,17 @@
     pub(crate) vms: Vec<Vm>,
     pub(crate) vm_order_rate: OrderRate,
     /// VMs for which an earlier owner ordered something lately, sorted by name.
-    pub(crate) resting_vms: Vec<RestingVm>,
+    pub(crate) vm_cooldowns: Vec<VmCooldown>,
     /// Waves sorted by number.
     pub(crate) waves: Vec<Wave>,
-    pub(crate) forming: Vec<Effect>,
-    pub(crate) at_once: Vec<Effect>,
+    pub(crate) pending_effects: Vec<Effect>,
+    pub(crate) immediate_effects: Vec<Effect>,
     pub(crate) drops: Vec<Record>,
     /// What is known of steps whose endpoints another service chooses, sorted by step.
     pub(crate) advice: Vec<StepAdvice>,
     /// Work handed in lately.
     pub(crate) arrivals: Arrivals,
-    pub(crate) notes: Vec<Note>,
+    pub(crate) log_events: Vec<LogEvent>,
     /// When the pools were noted last, on the steady clock.
     pub(crate) plans_noted_ms: u64,
     /// Entries of endpoints that were seen being written.
@@ -126,7 +126,7 @@
     pub(crate) is_schedule_due: bool,
     pub(crate) may_order_vms: bool,
     /// Whether nothing can be stored at the moment.
-    is_store_away: bool,
+    is_store_unavailable: bool,
 }
 
 impl Engine {
@@ -146,25 +146,25 @@
             ended: Vec::new(),
             endpoints: Endpoints::default(),
             free_room: FreeRoom::default(),
-            resting_endpoints: Vec::new(),
+            cooling_endpoints: Vec::new(),
             unstored_ends: Vec::new(),
             unanswered: Vec::new(),
             vms: Vec::new(),
             vm_order_rate: OrderRate::new(settings.vm_orders_per_s),
-            resting_vms: Vec::new(),
+            vm_cooldowns: Vec::new(),
             waves: Vec::new(),
-            forming: Vec::new(),
-            at_once: Vec::new(),
+            pending_effects: Vec::new(),
+            immediate_effects: Vec::new(),
             drops: Vec::new(),
             advice: Vec::new(),
             arrivals: Arrivals::default(),
-            notes: Vec::new(),
+            log_events: Vec::new(),
             plans_noted_ms: 0,
             fresh_entries: 0,
             lives_forgotten_ms: 0,
             is_schedule_due: false,
             may_order_vms: false,
-            is_store_away: false,
+            is_store_unavailable: false,
         }
     }
 
@@ -234,9 +234,9 @@
     ///
     /// Kept until their callers' deadline, they would end as "not known", after which a caller may not
     /// hand its job in again. One that is refused at once comes back when the store does.
-    pub fn set_store_away(&mut self, is_away: bool) {
-        self.is_store_away = is_away;
-        if !is_away {
+    pub fn set_store_unavailable(&mut self, is_unavailable: bool) {
+        self.is_store_unavailable = is_unavailable;
+        if !is_unavailable {
             return;
         }
         let unsent: Vec<JobId> = self
@@ -256,34 +256,34 @@
 
     fn refuse(&mut self, tokens: &[ReplyToken]) {
         for &token in tokens {
-            self.answer_at_once(token, CallerAnswer::Refused);
+            self.reply_immediately(token, CallerAnswer::Refused);
         }
     }
 
-    fn answer_at_once(&mut self, token: ReplyToken, answer: CallerAnswer) {
-        self.at_once.push(Effect::Reply { token, answer });
+    fn reply_immediately(&mut self, token: ReplyToken, answer: CallerAnswer) {
+        self.immediate_effects.push(Effect::Reply { token, answer });
     }
 
     fn submit(&mut self, mut job: Job, token: ReplyToken, now: Now) {
         let id = job.id;
         if !self.is_open_to(id, &job.account) {
-            return self.answer_at_once(token, CallerAnswer::OtherAccount);
+            return self.reply_immediately(token, CallerAnswer::OtherAccount);
         }
         match self.search(id) {
             Ok(place) => {
                 let known = &mut self.jobs[place];
-                if known.shown.is_some() {
-                    self.answer_at_once(token, CallerAnswer::Accepted);
+                if known.visible_state.is_some() {
+                    self.reply_immediately(token, CallerAnswer::Accepted);
                 } else {
                     known.waiting.push(token);
                 }
             }
             Err(_) if self.find_ended(id).is_some() => {
-                self.answer_at_once(token, CallerAnswer::Accepted);
+                self.reply_immediately(token, CallerAnswer::Accepted);
             }
-            Err(_) if self.is_store_away => self.refuse(&[token]),
+            Err(_) if self.is_store_unavailable => self.refuse(&[token]),
             Err(_) if !self.may_ever_run(&job) => {
-                self.answer_at_once(token, CallerAnswer::OverQuota);
+                self.reply_immediately(token, CallerAnswer::OverQuota);
             }
             Err(_) => {
                 let account = self.quotas.number(&job.account);
@@ -314,7 +314,7 @@
         account.is_none_or(|account| {
             job.spec.steps.iter().all(|step| {
                 let together = if step.gang { u64::from(step.count) } else { 1 };
-                account.may_ever_run(&step.room.times(together))
+                account.may_ever_run(&step.room.scaled(together))
             })
         })
     }
@@ -332,20 +332,20 @@
 
     fn cancel(&mut self, id: JobId, account: &str, token: ReplyToken, now: Now) {
         if !self.is_open_to(id, account) {
-            self.answer_at_once(token, CallerAnswer::OtherAccount);
+            self.reply_immediately(token, CallerAnswer::OtherAccount);
         } else if let Ok(place) = self.search(id) {
             if !self.jobs[place].state.is_final() {
                 self.end_job(place, JobState::Cancelled, now);
             }
             // The answer waits for the batch, as the end may not be stored yet.
-            self.forming.push(Effect::Reply {
+            self.pending_effects.push(Effect::Reply {
                 token,
                 answer: CallerAnswer::Cancelled,
             });
         } else if self.find_ended(id).is_some() {
-            self.answer_at_once(token, CallerAnswer::Cancelled);
+            self.reply_immediately(token, CallerAnswer::Cancelled);
         } else {
-            self.answer_at_once(token, CallerAnswer::Unknown);
+            self.reply_immediately(token, CallerAnswer::Unknown);
         }
     }
 
@@ -355,7 +355,7 @@
         job.state = state;
         job.is_dirty = true;
         job.ended_ms = now.steady_ms;
-        self.notes.push(Note::JobEnded {
+        self.log_events.push(LogEvent::JobEnded {
             job: job.id,
             state,
             after_ms: now.wall_ms.saturating_sub(job.accepted_ms),
@@ -371,7 +371,7 @@
 
     /// Returns what an account has running, as far as that is known; unknown outcomes count.
     #[must_use]
-    pub fn running_of(&self, account: &str) -> Room {
+    pub fn running_of(&self, account: &str) -> Resources {
         self.quotas.running_of(account)
     }
 
@@ -414,9 +414,9 @@
 
     /// Returns what may be told of a job; nothing when no such job is stored.
     #[must_use]
-    pub fn shown(&self, id: JobId) -> Option<JobState> {
+    pub fn job_state(&self, id: JobId) -> Option<JobState> {
         match self.search(id) {
-            Ok(place) => self.jobs[place].shown,
+            Ok(place) => self.jobs[place].visible_state,
             Err(_) => self.find_ended(id).map(|job| job.state),
         }
     }
@@ -425,7 +425,7 @@
     #[must_use]
     pub fn is_unstored(&self, id: JobId) -> bool {
         self.search(id)
-            .is_ok_and(|place| self.jobs[place].shown.is_none())
+            .is_ok_and(|place| self.jobs[place].visible_state.is_none())
     }
 
     /// Counts the jobs of a queue of which no task has started.
@@ -455,13 +455,13 @@
     }
 
     /// Takes the effects that wait for nothing.
-    pub fn take_at_once(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.at_once)
+    pub fn take_immediate_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.immediate_effects)
     }
 
     /// Takes the notes on what was found out, for the log.
-    pub fn take_notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_log_events(&mut self) -> Vec<LogEvent> {
+        std::mem::take(&mut self.log_events)
     }
 
     /// Keeps only the state of a job that has ended.
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -5,8 +5,8 @@
 use {
     common::{Fleet, account, job_id, step},
     lynxwheel_engine::{
-        CallerAnswer, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest, Note,
-        QuotaLedger, Room, StepSpec,
+        CallerAnswer, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest, LogEvent,
+        QuotaLedger, Resources, StepSpec,
     },
 };
 
@@ -52,7 +52,7 @@
             fleet.end_all_done();
             fleet.settle();
         }
-        assert_eq!(fleet.shown(1), Some(JobState::Completed));
+        assert_eq!(fleet.job_state(1), Some(JobState::Completed));
     };
 
     /// Guards against runs whose end is not known being counted as over.
@@ -107,7 +107,7 @@
     decisions_that_are_not_stored_when_the_quota_is_cut_are_taken_back: {
         let mut fleet = fleet_with(&[account("maps", 6)]);
         fleet.submit_as("maps", 1, step(6));
-        let batch = fleet.engine.cut_batch(fleet.now);
+        let batch = fleet.engine.take_batch(fleet.now);
         fleet.put_in_flight(batch);
         fleet.configure_accounts(&[account("maps", 2)]);
         fleet.settle();
@@ -139,11 +139,11 @@
     no_more_is_placed_than_the_quota_allows: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, step(8));
-        let batch = fleet.engine.cut_batch(fleet.now);
+        let batch = fleet.engine.take_batch(fleet.now);
         assert_eq!(fleet.engine.running_of("maps").cpu_millis, 3_000);
         fleet.put_in_flight(batch);
         fleet.submit_as("maps", 2, StepSpec { gang: true, ..step(2) });
-        drop(fleet.engine.cut_batch(fleet.now));
+        drop(fleet.engine.take_batch(fleet.now));
         assert_eq!(fleet.engine.running_of("maps").cpu_millis, 3_000);
     };
 
@@ -153,13 +153,13 @@
         let wide = |gang| StepSpec { gang, ..step(4) };
         fleet.submit_as("maps", 1, wide(true));
         fleet.submit_as("maps", 2, wide(false));
-        let large = Room { cpu_millis: 3_001, memory_mb: 1, gpus: 0 };
+        let large = Resources { cpu_millis: 3_001, memory_mb: 1, gpus: 0 };
         fleet.submit_as("maps", 3, StepSpec { room: large, ..step(1) });
         fleet.settle();
         assert_eq!(answer(&fleet, 1), Some(CallerAnswer::OverQuota));
         assert_eq!(answer(&fleet, 2), Some(CallerAnswer::Accepted));
         assert_eq!(answer(&fleet, 3), Some(CallerAnswer::OverQuota));
-        assert_eq!(fleet.shown(1), None);
+        assert_eq!(fleet.job_state(1), None);
     };
 
     /// Guards against a gang of which only a part fits into the quota being started.
@@ -194,16 +194,16 @@
         fleet.submit_as("maps", 2, step(2));
         fleet.advance(1_000);
         assert_eq!(all(&fleet), 3);
-        assert_eq!(fleet.shown(1), Some(JobState::Cancelled));
+        assert_eq!(fleet.job_state(1), Some(JobState::Cancelled));
     };
 
     /// Guards against a job that waits without a word: the log has to say for what.
     waiting_for_a_quota_is_noted_with_its_figures: {
         let mut fleet = fleet_at_the_quota();
         fleet.advance(900);
-        let notes = fleet.engine.take_notes();
+        let notes = fleet.engine.take_log_events();
         let waits: Vec<_> = notes.iter().filter_map(|note| match note {
-            Note::QuotaReached(wait) => Some(wait),
+            LogEvent::QuotaReached(wait) => Some(wait),
             _ => None,
         }).collect();
         assert_eq!(waits.len(), 1, "not with every decision");
@@ -252,7 +252,7 @@
         fleet.advance(2_000);
         fleet.take_over();
         assert!(!fleet.engine.is_open_to(job_id(1), "post"));
-        assert_eq!(fleet.shown(1), Some(JobState::Cancelled));
+        assert_eq!(fleet.job_state(1), Some(JobState::Cancelled));
     };
 
     /// Guards against state that grows with every account that ever was.
@@ -297,7 +297,7 @@
     let mut ledger = QuotaLedger::default();
     ledger.configure(&ClientAccounts::new(vec![account("maps", 2)]));
     let number = ledger.number("maps");
-    let room = |cpu_millis, memory_mb| Room {
+    let room = |cpu_millis, memory_mb| Resources {
         cpu_millis,
         memory_mb,
         gpus: 1,
