--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -10,7 +10,7 @@
     compact_str::CompactString,
     kameo::actor::ActorRef,
     log::info,
-    lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
+    lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, EndpointTable, Event, Now, TaskRef},
     lynxwheel_platform::{
         AdviceClient, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
         encode_keyed_record, encode_wave_status,
@@ -48,7 +48,7 @@
     }
 
     /// Carries an effect out, without waiting for it.
-    pub fn carry_out(&mut self, effect: Effect, endpoints: &Endpoints, now: Now) {
+    pub fn carry_out(&mut self, effect: Effect, endpoints: &EndpointTable, now: Now) {
         let (key, call) = match effect {
             Effect::Start(order) => (order.endpoint, EndpointCall::Start(order)),
             Effect::Stop {
@@ -131,7 +131,7 @@
     async fn call_platform(&self, effect: Effect) {
         match effect {
             Effect::Advise { step, endpoints } => self.advise(step, &endpoints).await,
-            Effect::Move { vm, pool } => {
+            Effect::MoveVm { vm, pool } => {
                 let Some(calls) = &self.vms else {
                     return;
                 };
@@ -140,9 +140,9 @@
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
                     ""
                 );
-                self.tell(Event::VmAnswer { vm, outcome }).await;
+                self.tell(Event::VmOrderAnswered { vm, outcome }).await;
             }
-            Effect::Maintain { vm, wave } => {
+            Effect::MaintainVm { vm, wave } => {
                 let Some(calls) = &self.vms else {
                     return;
                 };
@@ -151,7 +151,7 @@
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
                     ""
                 );
-                self.tell(Event::VmAnswer { vm, outcome }).await;
+                self.tell(Event::VmOrderAnswered { vm, outcome }).await;
             }
             Effect::PublishWave { wave, is_completed } => self.publish(wave, is_completed).await,
             // The actor answers callers and resigns by itself.
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -255,7 +255,8 @@
     fn take_config(&mut self, now: Now) {
         let config = self.node.config.load();
         if config.version > self.engine.config_version() {
-            self.engine.handle(Event::Config(Arc::clone(&config)), now);
+            self.engine
+                .handle(Event::ConfigChanged(Arc::clone(&config)), now);
         }
     }
 
@@ -307,7 +308,7 @@
     fn tick_carriers(&mut self, now: Now) {
         let members = self.node.present_members(now.steady_ms);
         let endpoints = self.engine.endpoints();
-        let is_called = |key| !endpoints.get(key).is_over;
+        let is_called = |key| !endpoints.get(key).has_ended;
         let carriers = &mut self.dispatcher.carriers;
         let events = carriers.tick(&members, is_called, now.steady_ms);
         self.handle_all(events, now);
@@ -356,7 +357,7 @@
                 return self.engine.handle(event, now);
             }
             Ask::State { job, account } => self.state(&job, &account, now),
-            Ask::Pending { queue } => OwnerAnswer::Pending(self.engine.pending(&queue)),
+            Ask::Pending { queue } => OwnerAnswer::Pending(self.engine.queued_job_count(&queue)),
         };
         answer_now(reply, answer);
     }
@@ -366,7 +367,7 @@
         let Ok(job) = job.parse::<JobId>() else {
             return OwnerAnswer::Unknown;
         };
-        if !self.engine.is_open_to(job, account) {
+        if !self.engine.can_access(job, account) {
             return OwnerAnswer::OtherAccount;
         }
         if let Some(state) = self.engine.job_state(job) {
@@ -405,7 +406,7 @@
         for effect in effects {
             match effect {
                 Effect::Reply { token, answer } => self.reply(token, answer),
-                Effect::Resign => {
+                Effect::StepDown => {
                     warn!(event = "fenced", epoch = self.epoch; "");
                     drop(context.actor_ref().tell(OwnerMessage::Deposed).try_send());
                 }
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Starting and watching the attempts that this node holds.
 
 use {
-    crate::{node::Node, share::CoreShare, watched::Watched},
+    crate::{cpu_share::CpuShare, node::Node, watched::Watched},
     log::{info, warn},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
@@ -23,12 +23,12 @@
 const NOT_STARTED: &str = "status 409";
 
 /// Share of a core that looking for attempts may take.
-const CORE_SHARE: CoreShare = CoreShare::new(5);
+const CPU_SHARE: CpuShare = CpuShare::new(5);
 
 /// Runs attempts for as long as it is polled.
 pub(crate) async fn run(node: Node) {
     let platform = Client::new(node.settings().platform, CONNECTIONS);
-    let tick = Duration::from_millis(node.settings().tick_ms);
+    let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let mut offsets = node.published_state().subscribe();
     let mut watched = Watched::default();
     loop {
@@ -57,7 +57,7 @@
                 steps.spawn(step.take());
             }
         }
-        let rest = CORE_SHARE.rest(began.elapsed());
+        let rest = CPU_SHARE.pause_after(began.elapsed());
         steps.join_all().await;
         tokio::time::sleep(rest).await;
         drop(tokio::time::timeout(tick, offsets.changed()).await);
@@ -193,7 +193,7 @@
             attempt: self.job.attempts,
             used: report.used,
         };
-        self.node.proposer().is_accepted(body).await;
+        self.node.proposer().propose_and_confirm(body).await;
     }
 
     async fn end(&self, outcome: JobOutcome) {
@@ -202,7 +202,7 @@
             attempt: self.job.attempts,
             outcome,
         };
-        if self.node.proposer().is_accepted(body).await {
+        if self.node.proposer().propose_and_confirm(body).await {
             info!(event = "placement", decision = "end", job = self.job.spec.name.as_str(),
                 vm = self.attempt.vm.as_str(), outcome = format!("{outcome:?}").as_str();
                 "");
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -4,7 +4,7 @@
 
 use {
     common::{Fleet, RunningNode, wait_for, wait_until},
-    lynxwheel_coordination::{Clock, ProposeError, SnapshotAssembly, cut_snapshot},
+    lynxwheel_coordination::{Clock, ProposeError, SnapshotAssembler, split_snapshot},
     lynxwheel_protocol::{
         Kind, Record, RecordBody, Resource, ResourceRef, Resources, TeamSpec, WriterId,
     },
@@ -27,7 +27,7 @@
 
 async fn declare(run: &RunningNode, name: &str) {
     wait_for("the declaration is accepted", || {
-        run.node.proposer().is_accepted(team(name))
+        run.node.proposer().propose_and_confirm(team(name))
     })
     .await;
 }
@@ -227,7 +227,7 @@
     set_late(&fleet, u32::MAX);
     let stuck = only.node.proposer().propose(team("late-shift")).await;
     assert!(
-        matches!(stuck, Err(ProposeError::Unknown { .. })),
+        matches!(stuck, Err(ProposeError::OutcomeUnknown { .. })),
         "{stuck:?}"
     );
     let refused = only.node.proposer().propose(team("early-shift")).await;
@@ -261,7 +261,13 @@
     lying.digest ^= 1;
     fleet.tell(0, &lying).await;
     assert!(first.node.has_diverged());
-    assert!(!first.node.proposer().is_accepted(team("day-shift")).await);
+    assert!(
+        !first
+            .node
+            .proposer()
+            .propose_and_confirm(team("day-shift"))
+            .await
+    );
 }
 
 /// Two nodes count a pool's available VMs differently, yet neither has rejected what the other
@@ -288,24 +294,24 @@
     let older = large_state(1_500);
     let newer = large_state(1_600);
     let newest = large_state(1_700);
-    let cut = |state, writer| cut_snapshot(state, writer).expect("a small state");
-    let mut assembly = SnapshotAssembly::default();
+    let cut = |state, writer| split_snapshot(state, writer).expect("a small state");
+    let mut assembler = SnapshotAssembler::default();
     let half = cut(&newest, 3);
     assert!(half.len() > 1, "needs several chunks");
     for chunk in &half[1..] {
-        assembly.add(chunk.clone());
-        assembly.add(chunk.clone());
+        assembler.add(chunk.clone());
+        assembler.add(chunk.clone());
     }
-    assert!(assembly.latest().is_none());
+    assert!(assembler.latest().is_none());
     for (a, b) in cut(&older, 1).into_iter().zip(cut(&newer, 2)) {
-        assembly.add(a);
-        assembly.add(b);
+        assembler.add(a);
+        assembler.add(b);
     }
-    assert!(assembly.latest().is_some_and(|state| state == newer));
+    assert!(assembler.latest().is_some_and(|state| state == newer));
     let mut spoiled = half[0].clone();
     spoiled.bytes[0] ^= 1;
-    assembly.add(spoiled);
-    assert!(assembly.latest().is_some_and(|state| state == newer));
+    assembler.add(spoiled);
+    assert!(assembler.latest().is_some_and(|state| state == newer));
 }
 
 fn large_state(teams: u64) -> FleetState {
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::inputs::{inputs, nested, run},
-    lynxwheel_coordination::{SnapshotAssembly, cut_snapshot},
+    lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_gateway::{PeerAnswer, PeerAnswerRequest},
     lynxwheel_protocol::{
         ActionRequest, AppendAnswer, AppendRequest, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
@@ -162,17 +162,17 @@
 #[test]
 fn changed_chunks_make_no_state() {
     let state = state();
-    let chunks = cut_snapshot(&state, 7).expect("small");
+    let chunks = split_snapshot(&state, 7).expect("small");
     let valid: Vec<Vec<u8>> = chunks
         .iter()
         .map(|chunk| encode_chunk(chunk).expect("small"))
         .collect();
     run(4, &inputs(valid), |bytes| {
-        let mut assembly = SnapshotAssembly::default();
+        let mut assembler = SnapshotAssembler::default();
         if let Ok(chunk) = decode_chunk(&bytes) {
-            assembly.add(chunk);
+            assembler.add(chunk);
         }
-        assembly.latest().is_none_or(|latest| latest == state)
+        assembler.latest().is_none_or(|latest| latest == state)
     });
 }
 
