--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -52,7 +52,7 @@
     calls::{CallResult, CallSubject, EndpointCall},
     in_flight::{FOLLOW_MS, InFlight, MOST_UNDER_WAY, STORE_AWAY_MS},
     members::{HEARD_MS, Member, Members},
-    node::{MetricsPage, run},
+    node::{MetricsHandle, run},
     ownership::{
         FRESH_MS, OwnerId, OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS,
         RENEW_EVERY_MS, SILENCE_MS, SMALL_NODE_DELAY_MS, SUSPECT_MS,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -62,12 +62,12 @@
 
 /// Renders the metrics as text; what renders them is the program's choice.
 #[derive(Clone)]
-pub struct MetricsPage {
+pub struct MetricsHandle {
     render: Arc<dyn Fn() -> String + Send + Sync>,
     upkeep: Arc<dyn Fn() + Send + Sync>,
 }
 
-impl MetricsPage {
+impl MetricsHandle {
     /// Wraps what renders the metrics, and what sums up their samples now and then, so that they
     /// take no more and more memory while nobody asks.
     #[must_use]
@@ -88,7 +88,7 @@
     }
 }
 
-impl fmt::Debug for MetricsPage {
+impl fmt::Debug for MetricsHandle {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("MetricsPage")
     }
@@ -144,7 +144,7 @@
     /// When the store was reached last, on the steady clock in milliseconds.
     pub contact_ms: AtomicU64,
     /// Renders the metrics as text.
-    pub metrics: MetricsPage,
+    pub metrics: MetricsHandle,
     /// Given when the node has to stop.
     pub stopping: Shutdown,
     /// Given when the node takes no connections any more.
@@ -154,7 +154,7 @@
 impl Node {
     /// Creates a node.
     #[must_use]
-    pub fn new(settings: PlatformSettings, metrics: MetricsPage) -> Self {
+    pub fn new(settings: PlatformSettings, metrics: MetricsHandle) -> Self {
         let ip: IpAddr = settings
             .ip
             .parse()
@@ -360,7 +360,7 @@
 /// # Errors
 ///
 /// Fails when an address cannot be bound or signals cannot be received.
-pub async fn run(settings: PlatformSettings, metrics: MetricsPage) -> io::Result<()> {
+pub async fn run(settings: PlatformSettings, metrics: MetricsHandle) -> io::Result<()> {
     // First, so that a signal that comes while the node starts stops it gracefully, too.
     let signals = Signals::new()?;
     let node = Arc::new(Node::new(settings, metrics));
@@ -408,7 +408,7 @@
     }
 }
 
-async fn sum_up_metrics(metrics: MetricsPage) {
+async fn sum_up_metrics(metrics: MetricsHandle) {
     loop {
         tokio::time::sleep(Duration::from_millis(METRICS_UPKEEP_MS)).await;
         (metrics.upkeep)();
--- a/crates/lynxwheel/src/cli.rs
+++ b/crates/lynxwheel/src/cli.rs
@@ -3,7 +3,7 @@
 use {
     crate::{config::Config, daemon, dev, logging},
     clap::{Args, Parser, Subcommand},
-    lynxwheel_controller::MetricsPage,
+    lynxwheel_controller::MetricsHandle,
     lynxwheel_platform::PlatformSettings,
     metrics_exporter_prometheus::PrometheusBuilder,
     std::{
@@ -161,7 +161,7 @@
     let metrics = match PrometheusBuilder::new().install_recorder() {
         Ok(recorder) => {
             let upkeep = recorder.clone();
-            MetricsPage::new(move || recorder.render(), move || upkeep.run_upkeep())
+            MetricsHandle::new(move || recorder.render(), move || upkeep.run_upkeep())
         }
         Err(error) => return failed(&error.to_string()),
     };
