--- a/crates/controller/src/access.rs
+++ b/crates/controller/src/access.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Access {
     /// Version of the configuration.
-    pub version: u64,
+    pub config_version: u64,
     /// Queue.
     pub queue: Queue,
     /// Client account; empty for a queue that needs no key.
@@ -35,13 +35,13 @@
     /// No configuration is known yet.
     NoConfig,
     /// No queue has this host and path.
-    NoQueue,
+    UnknownQueue,
     /// The request carries no key of the right form.
-    BadKey(KeyMistake),
+    InvalidKey(KeyMistake),
     /// The key stands for no account.
     UnknownKey,
     /// What follows the queue's path is no id of a job.
-    NoJobId,
+    InvalidJobId,
 }
 
 /// Decides whether a request may be made.
@@ -49,27 +49,27 @@
 /// # Errors
 ///
 /// Says why not.
-pub fn judge(config: &FleetConfig, credentials: &Credentials) -> Result<Access, Denial> {
+pub fn authorize(config: &FleetConfig, credentials: &Credentials) -> Result<Access, Denial> {
     if config.version == 0 {
         return Err(Denial::NoConfig);
     }
     let queue = config
         .queue_for(&credentials.host, &credentials.path)
-        .ok_or(Denial::NoQueue)?;
+        .ok_or(Denial::UnknownQueue)?;
     let account = if queue.is_public {
         CompactString::default()
     } else {
-        let key = credentials.key.map_err(Denial::BadKey)?;
+        let key = credentials.key.map_err(Denial::InvalidKey)?;
         let holder = config.accounts.holder_of(&key);
         holder.ok_or(Denial::UnknownKey)?.name.clone()
     };
     let rest = &credentials.path[queue.path_prefix.len()..];
     let job = match rest {
         "" => None,
-        id => Some(id.parse().map_err(|_| Denial::NoJobId)?),
+        id => Some(id.parse().map_err(|_| Denial::InvalidJobId)?),
     };
     Ok(Access {
-        version: config.version,
+        config_version: config.version,
         queue: queue.clone(),
         account,
         job,
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        access::{Access, Credentials, Denial, judge},
+        access::{Access, Credentials, Denial, authorize},
         config_sync,
         node::Node,
         peer::{Ask, OWNER_PATH, OwnerAnswer, OwnerRequest},
@@ -61,9 +61,9 @@
 
 async fn answer(node: &Node, request: Request<Incoming>) -> Response<Body> {
     let credentials = credentials(&request);
-    let access = match may_call(node, &credentials).await {
+    let access = match authorize_request(node, &credentials).await {
         Ok(access) => access,
-        Err(denial) => return denied(denial, &credentials),
+        Err(denial) => return denial_response(denial, &credentials),
     };
     let caller = Caller {
         credentials,
@@ -102,26 +102,26 @@
 
 /// Decides whether a request may be made. A node that may have missed a configuration asks others for it
 /// where nobody else would notice.
-async fn may_call(node: &Node, credentials: &Credentials) -> Result<Access, Denial> {
-    let judged = judge(&node.config.load(), credentials);
-    if !config_sync::is_ask_due(node, judged.is_ok()) {
-        return judged;
+async fn authorize_request(node: &Node, credentials: &Credentials) -> Result<Access, Denial> {
+    let result = authorize(&node.config.load(), credentials);
+    if !config_sync::is_ask_due(node, result.is_ok()) {
+        return result;
     }
     config_sync::fetch_newer(node).await;
-    judge(&node.config.load(), credentials)
+    authorize(&node.config.load(), credentials)
 }
 
 /// Answers a request that may not be made. Nothing was done for it.
-fn denied(denial: Denial, credentials: &Credentials) -> Response<Body> {
+fn denial_response(denial: Denial, credentials: &Credentials) -> Response<Body> {
     let (status, reason) = match denial {
         Denial::NoConfig => return unavailable("no configuration yet"),
-        Denial::NoQueue => (StatusCode::NOT_FOUND, "no such queue".to_string()),
-        Denial::NoJobId => (
+        Denial::UnknownQueue => (StatusCode::NOT_FOUND, "no such queue".to_string()),
+        Denial::InvalidJobId => (
             StatusCode::NOT_FOUND,
             "no id of a job: 16 hexadecimal digits".to_string(),
         ),
         Denial::UnknownKey => (StatusCode::UNAUTHORIZED, "unknown key".to_string()),
-        Denial::BadKey(mistake) => (StatusCode::UNAUTHORIZED, mistake.to_string()),
+        Denial::InvalidKey(mistake) => (StatusCode::UNAUTHORIZED, mistake.to_string()),
     };
     if status == StatusCode::UNAUTHORIZED {
         counter!("lynxwheel_unauthorized_total").increment(1);
@@ -259,7 +259,7 @@
     let asked = ask_until_clear(node, &caller, ask).await;
     let Asked { answer, access } = match asked {
         Ok(asked) => asked,
-        Err(denial) => return Err(denied(denial, &caller.credentials)),
+        Err(denial) => return Err(denial_response(denial, &caller.credentials)),
     };
     count_request(kind, answer, begun);
     // States are asked for all the time.
@@ -267,7 +267,7 @@
         info!(
             event = kind, job:? = access.job.as_ref().map(JobId::as_str), pool = access.queue.pool.as_str(),
             account = access.account.as_str(), key:? = key.ok(), outcome:? = answer,
-            config_version = access.version, epoch = node.view.borrow().epoch;
+            config_version = access.config_version, epoch = node.view.borrow().epoch;
             ""
         );
     }
@@ -309,19 +309,19 @@
     loop {
         let left = caller.limit.saturating_sub(begun.elapsed());
         let attempt = left.min(Duration::from_millis(ATTEMPT_MS));
-        match ask_once(node, ask(&access), access.version, attempt).await {
+        match ask_once(node, ask(&access), access.config_version, attempt).await {
             OwnerAnswer::Unclear => is_unclear = true,
             OwnerAnswer::NotOwner => {}
             OwnerAnswer::NewerConfig => {
-                let known = access.version;
+                let known = access.config_version;
                 config_sync::fetch_newer(node).await;
-                match judge(&node.config.load(), &caller.credentials) {
+                match authorize(&node.config.load(), &caller.credentials) {
                     Ok(newer) => access = newer,
                     // An earlier ask may have been accepted by the older one.
                     Err(_) if is_unclear => break,
                     Err(denial) => return Err(denial),
                 }
-                if access.version > known {
+                if access.config_version > known {
                     continue;
                 }
             }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -48,7 +48,7 @@
 mod watcher;
 
 pub use {
-    access::{Access, Credentials, Denial, judge},
+    access::{Access, Credentials, Denial, authorize},
     calls::{CallResult, CallSubject, EndpointCall},
     in_flight::{FOLLOW_MS, InFlight, MOST_UNDER_WAY, STORE_AWAY_MS},
     members::{HEARD_MS, Member, Members},
--- a/crates/controller/tests/access.rs
+++ b/crates/controller/tests/access.rs
@@ -1,7 +1,7 @@
 //! Who may call what, by which version of the configuration.
 
 use {
-    lynxwheel_controller::{Access, Credentials, Denial, judge},
+    lynxwheel_controller::{Access, Credentials, Denial, authorize},
     lynxwheel_engine::{ClientAccount, ClientAccounts, FleetConfig, KeyDigest, KeyMistake, Queue},
 };
 
@@ -48,16 +48,16 @@
     path: &str,
     key: Result<&str, KeyMistake>,
 ) -> Result<String, Denial> {
-    let judged = judge(config, &credentials(path, key));
-    judged.map(|access: Access| access.account.to_string())
+    let authorized = authorize(config, &credentials(path, key));
+    authorized.map(|access: Access| access.account.to_string())
 }
 
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident: $path:expr, $key:expr => $expected:expr;)*) => {
         $($(#[$doc])* #[test] fn $name() {
             let expected: Result<&str, Denial> = $expected;
-            let judged = account(&config(3, &["k-1", "k-2"]), $path, $key);
-            assert_eq!(judged, expected.map(ToString::to_string));
+            let authorized = account(&config(3, &["k-1", "k-2"]), $path, $key);
+            assert_eq!(authorized, expected.map(ToString::to_string));
         })*
     };
 }
@@ -68,14 +68,14 @@
     an_unknown_key_is_refused: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
     a_part_of_a_key_is_refused: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
     a_request_without_a_key_is_refused: &format!("/maps/{JOB}"), Err(KeyMistake::Missing)
-        => Err(Denial::BadKey(KeyMistake::Missing));
+        => Err(Denial::InvalidKey(KeyMistake::Missing));
     /// Guards against a queue's count being told to strangers.
-    the_count_needs_a_key: "/maps/", Err(KeyMistake::Missing) => Err(Denial::BadKey(KeyMistake::Missing));
+    the_count_needs_a_key: "/maps/", Err(KeyMistake::Missing) => Err(Denial::InvalidKey(KeyMistake::Missing));
     a_public_queue_needs_no_key: &format!("/open/{JOB}"), Err(KeyMistake::Missing) => Ok("");
     /// Guards against a key on a public queue charging its account.
     a_key_on_a_public_queue_counts_for_nobody: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
-    an_unknown_queue_is_no_matter_of_keys: "/none/", Ok("k-3") => Err(Denial::NoQueue);
-    what_is_no_id_is_refused: "/maps/x", Ok("k-1") => Err(Denial::NoJobId);
+    an_unknown_queue_is_no_matter_of_keys: "/none/", Ok("k-3") => Err(Denial::UnknownQueue);
+    what_is_no_id_is_refused: "/maps/x", Ok("k-1") => Err(Denial::InvalidJobId);
 }
 
 /// Guards against a decision by a version that is not the one named with it.
@@ -86,12 +86,12 @@
         config(4, &["k-1"]),
         config(9, &["k-2"]),
     ];
-    let judged = versions.map(|config| {
-        let judged = judge(&config, &credentials("/maps/", Ok("k-1")));
-        judged.map(|access| access.version)
+    let authorized = versions.map(|config| {
+        let authorized = authorize(&config, &credentials("/maps/", Ok("k-1")));
+        authorized.map(|access| access.config_version)
     });
     assert_eq!(
-        judged,
+        authorized,
         [Err(Denial::NoConfig), Ok(4), Err(Denial::UnknownKey)]
     );
 }
