--- a/crates/controller/src/carried.rs
+++ b/crates/controller/src/delegate_messages.rs
@@ -8,10 +8,10 @@
 };
 
 /// Path at which a node takes an owner's calls.
-pub const CARRY_PATH: &str = "/carry";
+pub const DELEGATE_CALLS_PATH: &str = "/carry";
 
 /// Path at which an owner takes what came of them.
-pub const CARRIED_PATH: &str = "/carried";
+pub const DELEGATE_RESULTS_PATH: &str = "/carried";
 
 /// Path at which a node gives the payload of a job that came in there; the job's id follows.
 pub const PAYLOAD_PATH: &str = "/payload/";
@@ -21,7 +21,7 @@
 
 /// A call to make.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct CarriedCall {
+pub struct DelegatedCall {
     /// Number.
     pub number: CallNumber,
     /// Endpoint.
@@ -32,18 +32,18 @@
 
 /// Calls to make for an owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct CarryRequest {
+pub struct DelegateRequest {
     /// Epoch of the owner: the fencing token of the calls.
     pub epoch: u64,
     /// Address at which the owner takes the results.
     pub owner: SocketAddr,
     /// Calls.
-    pub calls: Vec<CarriedCall>,
+    pub calls: Vec<DelegatedCall>,
 }
 
 /// Results of calls that were made for an owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct CarriedRequest {
+pub struct DelegateResults {
     /// Epoch of the owner.
     pub epoch: u64,
     /// Node that made the calls.
@@ -54,7 +54,7 @@
 
 /// Answer to calls or to results.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum CarryAnswer {
+pub enum DelegateReply {
     /// Taken.
     Taken,
     /// Not taken: of these calls none will be made.
--- a/crates/controller/src/carriers.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -3,7 +3,9 @@
 use {
     crate::{
         calls::{CallResult, EndpointCall},
-        carried::{CARRY_PATH, CallNumber, CarriedCall, CarryAnswer, CarryRequest},
+        delegate_messages::{
+            CallNumber, DELEGATE_CALLS_PATH, DelegateReply, DelegateRequest, DelegatedCall,
+        },
         members::Member,
         owner::{Owner, OwnerMessage},
         pending::PendingCalls,
@@ -23,28 +25,28 @@
 };
 
 /// Time for a node's answer that it has taken calls, in milliseconds: calm answers take some 5 ms.
-const TAKE_MS: u64 = 500;
+const ACCEPT_TIMEOUT_MS: u64 = 500;
 
 /// Time beyond an endpoint's own wait within which a result comes, in milliseconds. A node calls an
 /// endpoint for half a second at most, and a slow one takes a few tenths to tell of it.
-const RESULT_MS: u64 = 1_500;
+const RESULT_TIMEOUT_MS: u64 = 1_500;
 
 /// Calls on their way to one node.
 #[derive(Debug, Default)]
 struct Outbox {
-    calls: Mutex<Vec<CarriedCall>>,
+    calls: Mutex<Vec<DelegatedCall>>,
     has_calls: Notify,
 }
 
 impl Outbox {
-    fn add(&self, call: CarriedCall) {
+    fn add(&self, call: DelegatedCall) {
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         calls.push(call);
         drop(calls);
         self.has_calls.notify_one();
     }
 
-    fn take(&self) -> Vec<CarriedCall> {
+    fn take(&self) -> Vec<DelegatedCall> {
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut calls)
     }
@@ -52,7 +54,7 @@
 
 /// A node that calls for this owner.
 #[derive(Debug)]
-struct Row {
+struct Delegate {
     address: SocketAddr,
     outbox: Arc<Outbox>,
     pending: PendingCalls,
@@ -60,19 +62,19 @@
 
 /// Nodes that call for this owner, and the calls whose results are to come.
 #[derive(Debug)]
-pub struct Carriers {
+pub struct DelegatePool {
     epoch: u64,
     own_address: SocketAddr,
     actor: ActorRef<Owner>,
     clients: Arc<Clients>,
     shares: Shares,
     /// Sorted by address.
-    rows: Vec<Row>,
+    delegates: Vec<Delegate>,
     next_number: CallNumber,
     senders: JoinSet<()>,
 }
 
-impl Carriers {
+impl DelegatePool {
     /// Creates the carriers of an owner, of which none is known yet.
     #[must_use]
     pub fn new(
@@ -88,14 +90,14 @@
             actor,
             clients,
             shares,
-            rows: Vec::new(),
+            delegates: Vec::new(),
             next_number: 0,
             senders: JoinSet::new(),
         }
     }
 
     /// Hands a call over to the node that calls its endpoint, or gives it back to be made here.
-    pub fn carry(
+    pub fn delegate(
         &mut self,
         endpoint: EndpointKey,
         zone: &str,
@@ -114,16 +116,18 @@
         self.next_number += 1;
         let number = self.next_number;
         let subject = call.subject();
-        let due_ms = now_ms + call.wait_ms() + RESULT_MS;
-        let row = self.row(address);
-        row.pending.add(number, endpoint, subject, due_ms);
-        row.outbox.add(CarriedCall { number, to, call });
+        let due_ms = now_ms + call.wait_ms() + RESULT_TIMEOUT_MS;
+        let delegate = self.delegate_for(address);
+        delegate.pending.add(number, endpoint, subject, due_ms);
+        delegate.outbox.add(DelegatedCall { number, to, call });
         None
     }
 
-    fn row(&mut self, address: SocketAddr) -> &mut Row {
-        let place = self.rows.binary_search_by_key(&address, |row| row.address);
-        let place = place.unwrap_or_else(|place| {
+    fn delegate_for(&mut self, address: SocketAddr) -> &mut Delegate {
+        let index = self
+            .delegates
+            .binary_search_by_key(&address, |delegate| delegate.address);
+        let index = index.unwrap_or_else(|index| {
             let outbox = Arc::new(Outbox::default());
             self.senders.spawn(send_calls(
                 Arc::clone(&outbox),
@@ -132,15 +136,15 @@
                 self.own_address,
                 self.actor.clone(),
             ));
-            let row = Row {
+            let delegate = Delegate {
                 address,
                 outbox,
                 pending: PendingCalls::default(),
             };
-            self.rows.insert(place, row);
-            place
+            self.delegates.insert(index, delegate);
+            index
         });
-        &mut self.rows[place]
+        &mut self.delegates[index]
     }
 
     /// Takes in results, and returns what the engine is told.
@@ -149,46 +153,48 @@
         address: SocketAddr,
         results: Vec<(CallNumber, CallResult)>,
     ) -> Vec<Event> {
-        match self.known_row(address) {
-            Some(row) => row.pending.take_results(results),
+        match self.known_delegate(address) {
+            Some(delegate) => delegate.pending.take_results(results),
             None => Vec::new(),
         }
     }
 
-    fn known_row(&mut self, address: SocketAddr) -> Option<&mut Row> {
-        let place = self.rows.binary_search_by_key(&address, |row| row.address);
-        place.ok().map(|place| &mut self.rows[place])
+    fn known_delegate(&mut self, address: SocketAddr) -> Option<&mut Delegate> {
+        let index = self
+            .delegates
+            .binary_search_by_key(&address, |delegate| delegate.address);
+        index.ok().map(|index| &mut self.delegates[index])
     }
 
     /// Takes in that a node took none of these calls. Returns those to be made here, and what the
     /// engine is told of others that the node had taken.
-    pub fn not_taken(
+    pub fn handle_refusal(
         &mut self,
         address: SocketAddr,
-        calls: Vec<CarriedCall>,
+        calls: Vec<DelegatedCall>,
         now_ms: u64,
-    ) -> (Vec<(EndpointKey, CarriedCall)>, Vec<Event>) {
-        let mut own = Vec::with_capacity(calls.len());
-        if let Some(row) = self.known_row(address) {
+    ) -> (Vec<(EndpointKey, DelegatedCall)>, Vec<Event>) {
+        let mut local = Vec::with_capacity(calls.len());
+        if let Some(delegate) = self.known_delegate(address) {
             for call in calls {
-                if let Some(endpoint) = row.pending.take_back(call.number) {
-                    own.push((endpoint, call));
+                if let Some(endpoint) = delegate.pending.take_back(call.number) {
+                    local.push((endpoint, call));
                 }
             }
         }
-        (own, self.lose(address, now_ms))
+        (local, self.mark_lost(address, now_ms))
     }
 
     /// Takes in that a node is not to be relied on: nobody knows what came of the calls that it took.
-    pub fn lose(&mut self, address: SocketAddr, now_ms: u64) -> Vec<Event> {
-        self.shares.lose(address, now_ms);
+    pub fn mark_lost(&mut self, address: SocketAddr, now_ms: u64) -> Vec<Event> {
+        self.shares.mark_lost(address, now_ms);
         let epoch = self.epoch;
-        let Some(row) = self.known_row(address) else {
+        let Some(delegate) = self.known_delegate(address) else {
             return Vec::new();
         };
-        drop(row.outbox.take());
-        warn!(event = "carrier_lost", epoch = epoch, peer:% = address, calls = row.pending.count(); "");
-        row.pending.give_up()
+        drop(delegate.outbox.take());
+        warn!(event = "carrier_lost", epoch = epoch, peer:% = address, calls = delegate.pending.count(); "");
+        delegate.pending.give_up()
     }
 
     /// Takes in which nodes are there and which endpoints are called, and gives up nodes from which a
@@ -202,22 +208,22 @@
         self.shares.retain(is_called);
         self.shares.set_members(members);
         let overdue: Vec<SocketAddr> = self
-            .rows
+            .delegates
             .iter()
-            .filter(|row| row.pending.is_overdue(now_ms))
-            .map(|row| row.address)
+            .filter(|delegate| delegate.pending.is_overdue(now_ms))
+            .map(|delegate| delegate.address)
             .collect();
         let mut events = Vec::new();
         for address in overdue {
-            events.extend(self.lose(address, now_ms));
+            events.extend(self.mark_lost(address, now_ms));
         }
         events
     }
 
     /// Returns how many endpoints other nodes call, and how many nodes do.
     #[must_use]
-    pub fn carried(&self) -> (usize, usize) {
-        self.shares.carried()
+    pub fn delegated_counts(&self) -> (usize, usize) {
+        self.shares.delegated_counts()
     }
 }
 
@@ -229,22 +235,24 @@
     owner: SocketAddr,
     actor: ActorRef<Owner>,
 ) {
-    let limit = Duration::from_millis(TAKE_MS);
+    let limit = Duration::from_millis(ACCEPT_TIMEOUT_MS);
     loop {
         outbox.has_calls.notified().await;
         let calls = outbox.take();
         if calls.is_empty() {
             continue;
         }
-        let request = CarryRequest {
+        let request = DelegateRequest {
             epoch,
             owner,
             calls,
         };
-        let answer = client.exchange_compact(CARRY_PATH, &request, limit).await;
+        let answer = client
+            .exchange_compact(DELEGATE_CALLS_PATH, &request, limit)
+            .await;
         let message = match answer {
-            Ok(CarryAnswer::Taken) => continue,
-            Ok(CarryAnswer::NotTaken) => OwnerMessage::NotCarried(client.peer(), request.calls),
+            Ok(DelegateReply::Taken) => continue,
+            Ok(DelegateReply::NotTaken) => OwnerMessage::CallsRefused(client.peer(), request.calls),
             Err(error) => {
                 info!(
                     event = "carry_failed", epoch = epoch, peer:% = client.peer(),
@@ -253,9 +261,9 @@
                     ""
                 );
                 if error.may_have_run {
-                    OwnerMessage::CarrierLost(client.peer())
+                    OwnerMessage::DelegateLost(client.peer())
                 } else {
-                    OwnerMessage::NotCarried(client.peer(), request.calls)
+                    OwnerMessage::CallsRefused(client.peer(), request.calls)
                 }
             }
         };
--- a/crates/controller/src/carrier.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -6,9 +6,9 @@
 use {
     crate::{
         calls::{CallResult, EndpointCall},
-        carried::{
-            CARRIED_PATH, CallNumber, CarriedCall, CarriedRequest, CarryAnswer, CarryRequest,
-            PAYLOAD_PATH,
+        delegate_messages::{
+            CallNumber, DELEGATE_RESULTS_PATH, DelegateReply, DelegateRequest, DelegateResults,
+            DelegatedCall, PAYLOAD_PATH,
         },
         node::Node,
     },
@@ -32,45 +32,45 @@
 };
 
 /// Calls under way for an owner at most; an owner that is turned away makes them itself.
-const MOST_UNDER_WAY: usize = 4_096;
+const MAX_IN_FLIGHT_CALLS: usize = 4_096;
 
 /// Time for which results are gathered before they are sent, in milliseconds.
-const GATHER_MS: u64 = 4;
+const RESULT_BATCH_DELAY_MS: u64 = 4;
 
 /// Time for another node's answer with a payload, in milliseconds.
-const PAYLOAD_MS: u64 = 250;
+const PAYLOAD_TIMEOUT_MS: u64 = 250;
 
 /// Time for the owner's answer to results, in milliseconds.
-const RESULTS_MS: u64 = 500;
+const RESULTS_TIMEOUT_MS: u64 = 500;
 
 /// Tries to send results. After that the owner has long taken them for unknown.
-const RESULTS_TRIES: u32 = 3;
+const MAX_RESULTS_ATTEMPTS: u32 = 3;
 
 /// Pause between two tries, in milliseconds.
-const RETRY_MS: u64 = 50;
+const RETRY_DELAY_MS: u64 = 50;
 
 /// Time between two looks for connections that are not used any more, in milliseconds.
-const PRUNE_EVERY_MS: u64 = 1_000;
+const PRUNE_INTERVAL_MS: u64 = 1_000;
 
 /// Calls made for the owner of one epoch.
 #[derive(Debug)]
-struct Carrying {
+struct DelegateSession {
     epoch: u64,
     owner: SocketAddr,
     calls: EndpointCalls,
-    under_way: AtomicUsize,
+    in_flight: AtomicUsize,
     results: Mutex<Vec<(CallNumber, CallResult)>>,
     has_results: Notify,
     is_over: AtomicBool,
 }
 
-impl Carrying {
+impl DelegateSession {
     fn new(epoch: u64, owner: SocketAddr) -> Self {
         Self {
             epoch,
             owner,
             calls: EndpointCalls::new(epoch),
-            under_way: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             results: Mutex::default(),
             has_results: Notify::new(),
             is_over: AtomicBool::new(false),
@@ -83,7 +83,7 @@
     }
 
     fn add_result(&self, number: CallNumber, result: CallResult) {
-        self.under_way.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
         let mut results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
         results.push((number, result));
         drop(results);
@@ -98,36 +98,41 @@
 
 /// What this node does for owners on other nodes.
 #[derive(Debug, Default)]
-pub struct CarrierDuty {
-    current: Mutex<Option<Arc<Carrying>>>,
+pub struct DelegateWorker {
+    current: Mutex<Option<Arc<DelegateSession>>>,
 }
 
-impl CarrierDuty {
+impl DelegateWorker {
     /// Takes calls of an owner, unless a later one is known.
-    pub fn take(&self, node: &Arc<Node>, request: CarryRequest) -> CarryAnswer {
+    pub fn accept(&self, node: &Arc<Node>, request: DelegateRequest) -> DelegateReply {
         let (known_epoch, _) = node.known_owner();
         if request.epoch < known_epoch || node.stopping.has_begun() {
-            return CarryAnswer::NotTaken;
+            return DelegateReply::NotTaken;
         }
-        let Some(carrying) = self.carrying(node, request.epoch, request.owner) else {
-            return CarryAnswer::NotTaken;
+        let Some(session) = self.session(node, request.epoch, request.owner) else {
+            return DelegateReply::NotTaken;
         };
         let count = request.calls.len();
-        let under_way = carrying.under_way.fetch_add(count, Ordering::Relaxed);
-        if under_way + count > MOST_UNDER_WAY {
-            carrying.under_way.fetch_sub(count, Ordering::Relaxed);
-            return CarryAnswer::NotTaken;
+        let in_flight = session.in_flight.fetch_add(count, Ordering::Relaxed);
+        if in_flight + count > MAX_IN_FLIGHT_CALLS {
+            session.in_flight.fetch_sub(count, Ordering::Relaxed);
+            return DelegateReply::NotTaken;
         }
         for call in request.calls {
             let node = Arc::clone(node);
-            let carrying = Arc::clone(&carrying);
-            tokio::spawn(async move { make(&node, &carrying, call).await });
+            let session = Arc::clone(&session);
+            tokio::spawn(async move { execute_call(&node, &session, call).await });
         }
-        CarryAnswer::Taken
+        DelegateReply::Taken
     }
 
     /// Returns what is carried for an epoch; nothing for one that is over.
-    fn carrying(&self, node: &Arc<Node>, epoch: u64, owner: SocketAddr) -> Option<Arc<Carrying>> {
+    fn session(
+        &self,
+        node: &Arc<Node>,
+        epoch: u64,
+        owner: SocketAddr,
+    ) -> Option<Arc<DelegateSession>> {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(known) = current.as_ref() {
             if known.epoch > epoch {
@@ -139,34 +144,34 @@
             known.end();
         }
         info!(event = "carrying", epoch = epoch, owner:% = owner; "");
-        let carrying = Arc::new(Carrying::new(epoch, owner));
-        *current = Some(Arc::clone(&carrying));
-        tokio::spawn(send_results(Arc::clone(node), Arc::clone(&carrying)));
-        Some(carrying)
+        let session = Arc::new(DelegateSession::new(epoch, owner));
+        *current = Some(Arc::clone(&session));
+        tokio::spawn(send_results(Arc::clone(node), Arc::clone(&session)));
+        Some(session)
     }
 }
 
 /// Makes a call, and keeps its result for the owner.
-async fn make(node: &Node, carrying: &Carrying, carried: CarriedCall) {
-    let CarriedCall {
+async fn execute_call(node: &Node, session: &DelegateSession, delegated: DelegatedCall) {
+    let DelegatedCall {
         number,
         to,
         mut call,
-    } = carried;
+    } = delegated;
     let has_payload = match &mut call {
-        EndpointCall::Start(order) => add_payload(node, order).await,
+        EndpointCall::Start(order) => attach_payload(node, order).await,
         _ => true,
     };
     let result = if has_payload {
-        call.make(&carrying.calls, &to).await
+        call.make(&session.calls, &to).await
     } else {
         CallResult::Ordered(CallOutcome::Unsent)
     };
-    carrying.add_result(number, result);
+    session.add_result(number, result);
 }
 
 /// Adds the payload that the owner left out of a start; tells whether it is there.
-async fn add_payload(node: &Node, order: &mut StartOrder) -> bool {
+async fn attach_payload(node: &Node, order: &mut StartOrder) -> bool {
     let Some(origin) = order.origin else {
         return true;
     };
@@ -198,7 +203,7 @@
 ) -> Result<CompactString, String> {
     let path = format!("{PAYLOAD_PATH}{job}");
     let client = node.peers.get(origin);
-    let limit = Duration::from_millis(PAYLOAD_MS);
+    let limit = Duration::from_millis(PAYLOAD_TIMEOUT_MS);
     let answer = client.get(&path, limit).await;
     let answer = answer.map_err(|error| error.reason)?;
     if answer.status != StatusCode::OK {
@@ -210,49 +215,51 @@
 }
 
 /// Sends results to the owner until its epoch is over.
-async fn send_results(node: Arc<Node>, carrying: Arc<Carrying>) {
-    let prune_every = Duration::from_millis(PRUNE_EVERY_MS);
-    while !carrying.is_over.load(Ordering::Relaxed) {
-        if timeout(prune_every, carrying.has_results.notified())
+async fn send_results(node: Arc<Node>, session: Arc<DelegateSession>) {
+    let prune_interval = Duration::from_millis(PRUNE_INTERVAL_MS);
+    while !session.is_over.load(Ordering::Relaxed) {
+        if timeout(prune_interval, session.has_results.notified())
             .await
             .is_err()
         {
-            carrying.calls.prune();
+            session.calls.prune();
             continue;
         }
-        sleep(Duration::from_millis(GATHER_MS)).await;
-        let results = carrying.take_results();
+        sleep(Duration::from_millis(RESULT_BATCH_DELAY_MS)).await;
+        let results = session.take_results();
         if results.is_empty() {
             continue;
         }
-        let request = CarriedRequest {
-            epoch: carrying.epoch,
+        let request = DelegateResults {
+            epoch: session.epoch,
             carrier: node.peer_address,
             results,
         };
-        if !send(&node, &carrying, &request).await {
-            carrying.is_over.store(true, Ordering::Relaxed);
+        if !deliver(&node, &session, &request).await {
+            session.is_over.store(true, Ordering::Relaxed);
         }
     }
-    info!(event = "carried", epoch = carrying.epoch, owner:% = carrying.owner; "");
+    info!(event = "carried", epoch = session.epoch, owner:% = session.owner; "");
 }
 
 /// Sends results; tells whether the owner may still be there.
-async fn send(node: &Node, carrying: &Carrying, request: &CarriedRequest) -> bool {
-    let client = node.peers.get(carrying.owner);
-    let limit = Duration::from_millis(RESULTS_MS);
-    for _ in 0..RESULTS_TRIES {
-        let answer = client.exchange_compact(CARRIED_PATH, request, limit).await;
+async fn deliver(node: &Node, session: &DelegateSession, request: &DelegateResults) -> bool {
+    let client = node.peers.get(session.owner);
+    let limit = Duration::from_millis(RESULTS_TIMEOUT_MS);
+    for _ in 0..MAX_RESULTS_ATTEMPTS {
+        let answer = client
+            .exchange_compact(DELEGATE_RESULTS_PATH, request, limit)
+            .await;
         match answer {
-            Ok(CarryAnswer::Taken) => return true,
-            Ok(CarryAnswer::NotTaken) => return false,
+            Ok(DelegateReply::Taken) => return true,
+            Ok(DelegateReply::NotTaken) => return false,
             Err(error) => {
                 info!(
-                    event = "results_lost", epoch = carrying.epoch, peer:% = carrying.owner,
+                    event = "results_lost", epoch = session.epoch, peer:% = session.owner,
                     results = request.results.len(), reason = error.reason.as_str();
                     ""
                 );
-                sleep(Duration::from_millis(RETRY_MS)).await;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
         }
     }
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -4,7 +4,7 @@
 use {
     crate::{
         calls::EndpointCall,
-        carriers::Carriers,
+        delegate_pool::DelegatePool,
         owner::{Owner, OwnerMessage},
     },
     compact_str::CompactString,
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Nodes that call endpoints for this owner.
-    pub(crate) carriers: Carriers,
+    pub(crate) delegates: DelegatePool,
     calls: Calls,
 }
 
@@ -43,8 +43,8 @@
 impl Dispatcher {
     /// Creates the calls of an owner.
     #[must_use]
-    pub fn new(carriers: Carriers, calls: Calls) -> Self {
-        Self { carriers, calls }
+    pub fn new(delegates: DelegatePool, calls: Calls) -> Self {
+        Self { delegates, calls }
     }
 
     /// Carries an effect out, without waiting for it.
@@ -86,8 +86,8 @@
             id: endpoint.id.clone(),
             address: endpoint.address(),
         };
-        let carriers = &mut self.carriers;
-        if let Some((to, call)) = carriers.carry(key, &endpoint.zone, to, call, now.steady_ms) {
+        let delegates = &mut self.delegates;
+        if let Some((to, call)) = delegates.delegate(key, &endpoint.zone, to, call, now.steady_ms) {
             self.call_here(key, to, call);
         }
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -21,12 +21,12 @@
 
 mod access;
 mod calls;
-mod carried;
-mod carrier;
-mod carriers;
 mod clock;
 mod commit;
 mod config_sync;
+mod delegate_messages;
+mod delegate_pool;
+mod delegate_worker;
 mod dispatch;
 mod feeds;
 mod in_flight;
--- a/crates/controller/src/load.rs
+++ b/crates/controller/src/load.rs
@@ -41,7 +41,7 @@
     /// Writes a line when one is due, and keeps the wait as a gauge; tells whether it was due.
     ///
     /// `carried` is the number of endpoints that other nodes call, and of these nodes.
-    pub fn log(&mut self, epoch: u64, carried: (usize, usize), now_ms: u64) -> bool {
+    pub fn log(&mut self, epoch: u64, delegated_counts: (usize, usize), now_ms: u64) -> bool {
         if now_ms < self.since_ms + LINE_EVERY_MS {
             return false;
         }
@@ -50,8 +50,8 @@
         gauge!("lynxwheel_owner_behind_ms").set(f64::from(behind));
         info!(
             event = "owner_load", epoch = epoch, messages = self.messages, batches = self.batches,
-            stored_bytes = self.stored_bytes, busy_us = busy_us, behind_ms = self.most_behind_ms, carried_endpoints = carried.0,
-            carriers = carried.1;
+            stored_bytes = self.stored_bytes, busy_us = busy_us, behind_ms = self.most_behind_ms, carried_endpoints = delegated_counts.0,
+            carriers = delegated_counts.1;
             ""
         );
         *self = Self {
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -2,8 +2,9 @@
 
 use {
     crate::{
-        carrier::CarrierDuty,
-        clock, feeds, ingress,
+        clock,
+        delegate_worker::DelegateWorker,
+        feeds, ingress,
         members::{Member, Members},
         owner::{OwnerHandle, OwnerMessage},
         ownership::{OwnerId, OwnershipKind, OwnershipRecord, OwnershipView},
@@ -128,7 +129,7 @@
     /// Payloads of jobs that came in here, or that were fetched for calls.
     pub payloads: Payloads,
     /// Calls made here for owners on other nodes.
-    pub carrier: CarrierDuty,
+    pub delegate_worker: DelegateWorker,
     /// Given when nothing listens at the owner's address.
     pub owner_refused: Notify,
     /// Given when the owner did not answer a request as its owner would.
@@ -175,7 +176,7 @@
             owner: ArcSwapOption::empty(),
             members: Mutex::default(),
             payloads: Payloads::default(),
-            carrier: CarrierDuty::default(),
+            delegate_worker: DelegateWorker::default(),
             owner_refused: Notify::new(),
             owner_doubted: Notify::new(),
             metrics,
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -6,9 +6,9 @@
 use {
     crate::{
         calls::{CallResult, EndpointCall},
-        carried::{CallNumber, CarriedCall},
         clock,
         commit::{Commit, Writer},
+        delegate_messages::{CallNumber, DelegatedCall},
         dispatch::Dispatcher,
         in_flight::InFlight,
         load::OwnerLoad,
@@ -46,11 +46,11 @@
     /// A caller's request.
     Ask(Ask, oneshot::Sender<OwnerAnswer>),
     /// What came of calls that another node made for this owner.
-    Carried(SocketAddr, Vec<(CallNumber, CallResult)>),
+    DelegateResults(SocketAddr, Vec<(CallNumber, CallResult)>),
     /// Another node took none of these calls.
-    NotCarried(SocketAddr, Vec<CarriedCall>),
+    CallsRefused(SocketAddr, Vec<DelegatedCall>),
     /// Another node that makes calls for this owner does not answer.
-    CarrierLost(SocketAddr),
+    DelegateLost(SocketAddr),
     /// The batch under way with this number is stored.
     Stored(u64),
     /// A newer owner writes or gives orders.
@@ -180,15 +180,15 @@
                 // Only while nobody else can believe to be the owner.
                 self.engine.allow_vm_orders(self.is_fresh(now));
                 self.engine.handle(Event::Tick, now);
-                self.tick_carriers(now);
+                self.tick_delegates(now);
             }
-            OwnerMessage::Carried(address, results) => {
-                let events = self.dispatcher.carriers.take_results(address, results);
+            OwnerMessage::DelegateResults(address, results) => {
+                let events = self.dispatcher.delegates.take_results(address, results);
                 self.handle_all(events, now);
             }
-            OwnerMessage::NotCarried(address, calls) => self.call_here(address, calls, now),
-            OwnerMessage::CarrierLost(address) => {
-                let events = self.dispatcher.carriers.lose(address, now.steady_ms);
+            OwnerMessage::CallsRefused(address, calls) => self.call_here(address, calls, now),
+            OwnerMessage::DelegateLost(address) => {
+                let events = self.dispatcher.delegates.mark_lost(address, now.steady_ms);
                 self.handle_all(events, now);
             }
             OwnerMessage::Ask(ask, reply) => self.ask(ask, reply, now),
@@ -277,10 +277,10 @@
     }
 
     /// Makes calls from here that another node did not take.
-    fn call_here(&mut self, address: SocketAddr, calls: Vec<CarriedCall>, now: Now) {
-        let carriers = &mut self.dispatcher.carriers;
-        let (own, events) = carriers.not_taken(address, calls, now.steady_ms);
-        for (key, CarriedCall { to, mut call, .. }) in own {
+    fn call_here(&mut self, address: SocketAddr, calls: Vec<DelegatedCall>, now: Now) {
+        let delegates = &mut self.dispatcher.delegates;
+        let (own, events) = delegates.handle_refusal(address, calls, now.steady_ms);
+        for (key, DelegatedCall { to, mut call, .. }) in own {
             if self.add_payload(&mut call) {
                 self.dispatcher.call_here(key, to, call);
             } else if let Some(event) = call.subject().unknown(key) {
@@ -304,15 +304,15 @@
     }
 
     /// Looks after the nodes that make calls for this owner.
-    fn tick_carriers(&mut self, now: Now) {
+    fn tick_delegates(&mut self, now: Now) {
         let members = self.node.present_members(now.steady_ms);
         let endpoints = self.engine.endpoints();
         let is_called = |key| !endpoints.get(key).is_over;
-        let carriers = &mut self.dispatcher.carriers;
-        let events = carriers.tick(&members, is_called, now.steady_ms);
+        let delegates = &mut self.dispatcher.delegates;
+        let events = delegates.tick(&members, is_called, now.steady_ms);
         self.handle_all(events, now);
-        let carried = self.dispatcher.carriers.carried();
-        if self.load.log(self.epoch, carried, now.steady_ms) {
+        let delegated_counts = self.dispatcher.delegates.delegated_counts();
+        if self.load.log(self.epoch, delegated_counts, now.steady_ms) {
             self.dispatcher.prune();
         }
     }
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -2,8 +2,11 @@
 
 use {
     crate::{
-        carried::{CARRIED_PATH, CARRY_PATH, CarriedRequest, CarryAnswer, PAYLOAD_PATH},
         clock, config_sync,
+        delegate_messages::{
+            DELEGATE_CALLS_PATH, DELEGATE_RESULTS_PATH, DelegateReply, DelegateResults,
+            PAYLOAD_PATH,
+        },
         node::Node,
         owner::{OwnerHandle, OwnerMessage, ask_owner},
         ownership::SUSPECT_MS,
@@ -65,12 +68,12 @@
             Ok(request) => message_answer(&ask_ownership(node, &request)),
             Err(answer) => answer,
         },
-        CARRY_PATH => match read(request).await {
-            Ok(request) => message_answer(&node.carrier.take(node, request)),
+        DELEGATE_CALLS_PATH => match read(request).await {
+            Ok(request) => message_answer(&node.delegate_worker.accept(node, request)),
             Err(answer) => answer,
         },
-        CARRIED_PATH => match read(request).await {
-            Ok(request) => message_answer(&take_results(node, request).await),
+        DELEGATE_RESULTS_PATH => match read(request).await {
+            Ok(request) => message_answer(&accept_delegate_results(node, request).await),
             Err(answer) => answer,
         },
         path => match path.strip_prefix(PAYLOAD_PATH) {
@@ -134,14 +137,14 @@
 }
 
 /// Takes what came of calls that another node made for this node's owner duties.
-async fn take_results(node: &Node, request: CarriedRequest) -> CarryAnswer {
+async fn accept_delegate_results(node: &Node, request: DelegateResults) -> DelegateReply {
     match owner_here(node, request.epoch) {
         Some(owner) if owner.epoch == request.epoch => {
-            let message = OwnerMessage::Carried(request.carrier, request.results);
+            let message = OwnerMessage::DelegateResults(request.carrier, request.results);
             owner.send(message).await;
-            CarryAnswer::Taken
+            DelegateReply::Taken
         }
-        _ => CarryAnswer::NotTaken,
+        _ => DelegateReply::NotTaken,
     }
 }
 
--- a/crates/controller/src/pending.rs
+++ b/crates/controller/src/pending.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         calls::{CallResult, CallSubject},
-        carried::CallNumber,
+        delegate_messages::CallNumber,
     },
     lynxwheel_engine::{EndpointKey, Event},
 };
--- a/crates/controller/src/shares.rs
+++ b/crates/controller/src/shares.rs
@@ -28,7 +28,7 @@
 
 /// A node that may call endpoints for the owner.
 #[derive(Clone, Debug)]
-struct Carrier {
+struct Delegate {
     member: Member,
     capacity: usize,
     endpoints: usize,
@@ -48,7 +48,7 @@
     own_capacity: usize,
     own_endpoints: usize,
     /// Sorted by address.
-    carriers: Vec<Carrier>,
+    delegates: Vec<Delegate>,
     /// Endpoints with the node that calls them, or none for the owner itself; sorted by key.
     rows: Vec<(EndpointKey, Option<SocketAddr>)>,
 }
@@ -64,16 +64,16 @@
                 (OWN_ENDPOINTS_PER_CORE, OWN_ENDPOINTS_PER_MBPS),
             ),
             own_endpoints: 0,
-            carriers: Vec::new(),
+            delegates: Vec::new(),
             rows: Vec::new(),
         }
     }
 
     /// Takes in which nodes are there; what those that are gone called is shared out again.
     pub fn set_members(&mut self, members: &[Member]) {
-        let mut carriers: Vec<Carrier> = members
+        let mut delegates: Vec<Delegate> = members
             .iter()
-            .map(|member| Carrier {
+            .map(|member| Delegate {
                 capacity: capacity(
                     member.cpu_millis,
                     member.link_mbps,
@@ -84,13 +84,13 @@
                 lost_until_ms: 0,
             })
             .collect();
-        carriers.sort_unstable_by_key(|carrier| carrier.member.address);
-        for carrier in &mut carriers {
-            if let Ok(place) = self.carrier_place(carrier.member.address) {
-                carrier.lost_until_ms = self.carriers[place].lost_until_ms;
+        delegates.sort_unstable_by_key(|delegate| delegate.member.address);
+        for delegate in &mut delegates {
+            if let Ok(index) = self.delegate_index(delegate.member.address) {
+                delegate.lost_until_ms = self.delegates[index].lost_until_ms;
             }
         }
-        self.carriers = carriers;
+        self.delegates = delegates;
         let mut kept = Vec::with_capacity(self.rows.len());
         for (key, address) in std::mem::take(&mut self.rows) {
             let Some(address) = address else {
@@ -98,10 +98,10 @@
                 continue;
             };
             // A node that has turned slow gives up what goes beyond what it carries now.
-            if let Ok(place) = self.carrier_place(address)
-                && self.carriers[place].endpoints < self.carriers[place].capacity
+            if let Ok(index) = self.delegate_index(address)
+                && self.delegates[index].endpoints < self.delegates[index].capacity
             {
-                self.carriers[place].endpoints += 1;
+                self.delegates[index].endpoints += 1;
                 kept.push((key, Some(address)));
             }
         }
@@ -109,10 +109,10 @@
     }
 
     /// Takes in that a node did not call for the owner; what it called is shared out again.
-    pub fn lose(&mut self, address: SocketAddr, now_ms: u64) {
-        if let Ok(place) = self.carrier_place(address) {
-            self.carriers[place].lost_until_ms = now_ms + LOST_MS;
-            self.carriers[place].endpoints = 0;
+    pub fn mark_lost(&mut self, address: SocketAddr, now_ms: u64) {
+        if let Ok(index) = self.delegate_index(address) {
+            self.delegates[index].lost_until_ms = now_ms + LOST_MS;
+            self.delegates[index].endpoints = 0;
         }
         self.rows.retain(|(_, known)| *known != Some(address));
     }
@@ -134,48 +134,55 @@
         match address {
             None => self.own_endpoints -= 1,
             Some(address) => {
-                if let Ok(place) = self.carrier_place(address) {
-                    self.carriers[place].endpoints -= 1;
+                if let Ok(index) = self.delegate_index(address) {
+                    self.delegates[index].endpoints -= 1;
                 }
             }
         }
     }
 
-    fn carrier_place(&self, address: SocketAddr) -> Result<usize, usize> {
-        self.carriers
-            .binary_search_by_key(&address, |carrier| carrier.member.address)
+    fn delegate_index(&self, address: SocketAddr) -> Result<usize, usize> {
+        self.delegates
+            .binary_search_by_key(&address, |delegate| delegate.member.address)
     }
 
     /// Returns the node that calls an endpoint; none for the owner itself.
     pub fn node_for(&mut self, key: EndpointKey, zone: &str, now_ms: u64) -> Option<SocketAddr> {
-        let place = match self.rows.binary_search_by_key(&key, |(known, _)| *known) {
-            Ok(place) => return self.rows[place].1,
-            Err(place) => place,
+        let index = match self.rows.binary_search_by_key(&key, |(known, _)| *known) {
+            Ok(index) => return self.rows[index].1,
+            Err(index) => index,
         };
         if self.own_endpoints < self.own_capacity {
             self.own_endpoints += 1;
-            self.rows.insert(place, (key, None));
+            self.rows.insert(index, (key, None));
             return None;
         }
-        let carrier = self.carriers.iter_mut().filter(|carrier| {
-            carrier.endpoints < carrier.capacity && now_ms >= carrier.lost_until_ms
+        let delegate = self.delegates.iter_mut().filter(|candidate| {
+            candidate.endpoints < candidate.capacity && now_ms >= candidate.lost_until_ms
         });
         // Few nodes with many endpoints each: what goes to one node goes there in one message.
-        let best = carrier.max_by_key(|carrier| {
-            let is_near = carrier.member.zone == zone;
-            (is_near, carrier.capacity, carrier.endpoints)
+        let best = delegate.max_by_key(|delegate| {
+            let is_near = delegate.member.zone == zone;
+            (is_near, delegate.capacity, delegate.endpoints)
         })?;
         best.endpoints += 1;
         let address = best.member.address;
-        self.rows.insert(place, (key, Some(address)));
+        self.rows.insert(index, (key, Some(address)));
         Some(address)
     }
 
     /// Returns how many endpoints other nodes call, and how many nodes do.
     #[must_use]
-    pub fn carried(&self) -> (usize, usize) {
-        let busy = self.carriers.iter().filter(|carrier| carrier.endpoints > 0);
-        let endpoints = self.carriers.iter().map(|carrier| carrier.endpoints).sum();
+    pub fn delegated_counts(&self) -> (usize, usize) {
+        let busy = self
+            .delegates
+            .iter()
+            .filter(|delegate| delegate.endpoints > 0);
+        let endpoints = self
+            .delegates
+            .iter()
+            .map(|delegate| delegate.endpoints)
+            .sum();
         (endpoints, busy.count())
     }
 }
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        carriers::Carriers,
         clock,
         commit::{STATE_TOPIC, Writer},
+        delegate_pool::DelegatePool,
         dispatch::{Calls, Dispatcher},
         feeds,
         node::Node,
@@ -124,7 +124,7 @@
         .vm_service
         .map(|address| VmCalls::new(address, node.settings.node_name.as_str(), epoch));
     let shares = Shares::new(node.settings.cpu_millis, node.settings.link_mbps);
-    let carriers = Carriers::new(
+    let delegates = DelegatePool::new(
         epoch,
         node.peer_address,
         actor.clone(),
@@ -138,7 +138,7 @@
         node.settings.advice_service.map(AdviceCalls::new),
         node.store.clone(),
     );
-    let dispatcher = Dispatcher::new(carriers, calls);
+    let dispatcher = Dispatcher::new(delegates, calls);
     let owner = Owner::new(Arc::clone(node), epoch, engine, writer, dispatcher);
     let handle = Arc::new(OwnerHandle::new(epoch, actor, renewed_ms));
     node.taken_epoch.store(epoch, Ordering::Relaxed);
--- a/crates/controller/tests/shares.rs
+++ b/crates/controller/tests/shares.rs
@@ -83,7 +83,7 @@
 fn share_of_a_lost_node_goes_to_others() {
     let mut shares = large_shares();
     let lost = shares.node_for(200, "a", 0).expect("a node");
-    shares.lose(lost, 0);
+    shares.mark_lost(lost, 0);
     let next = shares.node_for(200, "a", 0).expect("a node");
     assert_ne!(next, lost);
 }
@@ -92,7 +92,7 @@
 fn lost_node_is_asked_again_later() {
     let mut shares = Shares::new(0, 0);
     shares.set_members(&[member(1, "a", LARGE)]);
-    shares.lose(address(1), 0);
+    shares.mark_lost(address(1), 0);
     assert_eq!(shares.node_for(1, "a", 2_900), None);
     assert_eq!(shares.node_for(1, "a", 3_000), Some(address(1)));
 }
@@ -113,16 +113,16 @@
 #[test]
 fn node_that_turns_slow_gives_up_what_it_cannot_carry() {
     let mut shares = large_shares();
-    assert_eq!(shares.carried(), (180, 1));
+    assert_eq!(shares.delegated_counts(), (180, 1));
     shares.set_members(&[member(1, "a", (50, 200)), member(2, "a", (50, 200))]);
-    assert_eq!(shares.carried(), (20, 1));
+    assert_eq!(shares.delegated_counts(), (20, 1));
 }
 
 #[test]
 fn endpoints_that_are_gone_make_room() {
     let mut shares = large_shares();
     shares.retain(|key| key >= 200);
-    assert_eq!(shares.carried(), (100, 1));
+    assert_eq!(shares.delegated_counts(), (100, 1));
     assert_eq!(shares.node_for(1_000, "a", 0), None, "the owner has room");
 }
 
