--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -5,8 +5,8 @@
         access::{Access, Credentials, Denial, authorize},
         config_sync,
         node::Node,
-        peer::{Ask, OWNER_PATH, OwnerAnswer, OwnerRequest},
-        peer_server::ask_here,
+        peer::{CallerRequest, OWNER_PATH, OwnerRequest, OwnerResponse},
+        peer_server::handle_locally,
     },
     http::{HeaderValue, Method, Request, Response, StatusCode, header},
     hyper::body::Incoming,
@@ -20,28 +20,28 @@
 };
 
 /// Time for the owner's answer when the caller does not say how long it waits, in milliseconds.
-const DEFAULT_DEADLINE_MS: u64 = 3_000;
+const DEFAULT_TIMEOUT_MS: u64 = 3_000;
 
 /// Time kept of the caller's own for the way back, in milliseconds.
-const WAY_BACK_MS: u64 = 100;
+const RESPONSE_MARGIN_MS: u64 = 100;
 
 /// Longest time for one ask, in milliseconds: a store slowed to a hundredth still lets the owner
 /// answer, and a connection that fell silent is given up in time for another.
-const ATTEMPT_MS: u64 = 1_000;
+const ATTEMPT_TIMEOUT_MS: u64 = 1_000;
 
 /// Pause before the owner is asked again, in milliseconds.
-const ASK_PAUSE_MS: u64 = 80;
+const RETRY_DELAY_MS: u64 = 80;
 
 /// Time for which a caller is kept for a new owner, in milliseconds: a little less than the silence
 /// after which one comes, so that most are served and the others come back when there is one.
-const TAKE_OVER_MS: u64 = 1_300;
+const TAKEOVER_WAIT_MS: u64 = 1_300;
 
 /// When a refused caller may come back, in seconds: an owner's loss is made good within about two,
 /// and whole seconds are all that the header can say.
 const RETRY_AFTER_S: &str = "1";
 
 /// Bytes of a refused request's path that are logged at most.
-const LOGGED_PATH_BYTES: usize = 80;
+const MAX_LOGGED_PATH_BYTES: usize = 80;
 
 /// Binds the callers' address.
 ///
@@ -55,46 +55,46 @@
 /// Answers callers until the node closes.
 pub async fn serve(node: Arc<Node>, server: Server) {
     let shutdown = node.closing.clone();
-    let handler = |node: Arc<Node>, request| async move { answer(&node, request).await };
+    let handler = |node: Arc<Node>, request| async move { handle_request(&node, request).await };
     server.serve_with(shutdown, node, handler).await;
 }
 
-async fn answer(node: &Node, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(node: &Node, request: Request<Incoming>) -> Response<Body> {
     let credentials = credentials(&request);
     let access = match authorize_request(node, &credentials).await {
         Ok(access) => access,
         Err(denial) => return denial_response(denial, &credentials),
     };
-    let caller = Caller {
+    let authorized = AuthorizedRequest {
         credentials,
         access,
-        limit: deadline(&request),
+        timeout: response_timeout(&request),
     };
-    let Some(job) = caller.access.job else {
+    let Some(job) = authorized.access.job else {
         return match *request.method() {
-            Method::GET => count(node, caller).await,
-            _ => not_allowed("GET"),
+            Method::GET => count_pending(node, authorized).await,
+            _ => method_not_allowed("GET"),
         };
     };
     match *request.method() {
-        Method::POST => submit(node, job, caller, request).await,
-        Method::GET => state(node, job, caller).await,
-        Method::DELETE => cancel(node, job, caller).await,
-        _ => not_allowed("GET, POST, DELETE"),
+        Method::POST => submit(node, job, authorized, request).await,
+        Method::GET => state(node, job, authorized).await,
+        Method::DELETE => cancel(node, job, authorized).await,
+        _ => method_not_allowed("GET, POST, DELETE"),
     }
 }
 
 /// A request that may be made.
-struct Caller {
+struct AuthorizedRequest {
     credentials: Credentials,
     access: Access,
     /// Time that the caller waits.
-    limit: Duration,
+    timeout: Duration,
 }
 
 fn credentials(request: &Request<Incoming>) -> Credentials {
     Credentials {
-        host: host_of(request),
+        host: request_host(request),
         path: request.uri().path().to_string(),
         key: caller_key(request.headers()),
     }
@@ -126,7 +126,7 @@
     if status == StatusCode::UNAUTHORIZED {
         counter!("lynxwheel_unauthorized_total").increment(1);
         info!(
-            event = "unauthorized", path = shortened(&credentials.path), reason = reason.as_str(),
+            event = "unauthorized", path = truncated(&credentials.path), reason = reason.as_str(),
             key:? = credentials.key.ok();
             ""
         );
@@ -134,7 +134,7 @@
     error_answer(status, &reason)
 }
 
-fn host_of(request: &Request<Incoming>) -> String {
+fn request_host(request: &Request<Incoming>) -> String {
     let host = request
         .headers()
         .get(header::HOST)
@@ -145,15 +145,15 @@
     name.to_ascii_lowercase()
 }
 
-fn deadline(request: &Request<Incoming>) -> Duration {
-    let deadline_ms = caller_deadline_ms(request.headers()).unwrap_or(DEFAULT_DEADLINE_MS);
-    Duration::from_millis(deadline_ms.saturating_sub(WAY_BACK_MS))
+fn response_timeout(request: &Request<Incoming>) -> Duration {
+    let deadline_ms = caller_deadline_ms(request.headers()).unwrap_or(DEFAULT_TIMEOUT_MS);
+    Duration::from_millis(deadline_ms.saturating_sub(RESPONSE_MARGIN_MS))
 }
 
 async fn submit(
     node: &Node,
     job: JobId,
-    caller: Caller,
+    authorized: AuthorizedRequest,
     request: Request<Incoming>,
 ) -> Response<Body> {
     let max_body_bytes = node.config.load().limits.max_body_bytes;
@@ -167,24 +167,24 @@
     };
     // Before the owner is asked: the first start may follow before its answer.
     node.payloads.keep(job, &spec.payload);
-    let ask = |access: &Access| Ask::Submit {
+    let build_request = |access: &Access| CallerRequest::Submit {
         job: job.to_string(),
         queue: access.queue.clone(),
         spec: spec.clone(),
         account: access.account.clone(),
         origin: Some(node.peer_address),
     };
-    let answer = ask_owner(node, "submit", caller, ask).await;
+    let answer = request_owner(node, "submit", authorized, build_request).await;
     match answer {
-        Ok(OwnerAnswer::Accepted) => error_answer(StatusCode::OK, ""),
-        Ok(OwnerAnswer::Refused | OwnerAnswer::NotOwner) => {
+        Ok(OwnerResponse::Accepted) => error_answer(StatusCode::OK, ""),
+        Ok(OwnerResponse::Refused | OwnerResponse::NotOwner) => {
             unavailable("not accepted; it never runs")
         }
-        Ok(OwnerAnswer::OverQuota) => error_answer(
+        Ok(OwnerResponse::OverQuota) => error_answer(
             StatusCode::TOO_MANY_REQUESTS,
             "not accepted; it never runs: a task or gang takes more than the account may have running",
         ),
-        Ok(OwnerAnswer::OtherAccount) => other_account(),
+        Ok(OwnerResponse::OtherAccount) => other_account_response(),
         Ok(_) => error_answer(
             StatusCode::GATEWAY_TIMEOUT,
             "whether it was accepted is not known",
@@ -193,30 +193,30 @@
     }
 }
 
-async fn state(node: &Node, job: JobId, caller: Caller) -> Response<Body> {
-    let ask = |access: &Access| Ask::State {
+async fn state(node: &Node, job: JobId, authorized: AuthorizedRequest) -> Response<Body> {
+    let build_request = |access: &Access| CallerRequest::State {
         job: job.to_string(),
         account: access.account.clone(),
     };
-    match ask_owner(node, "state", caller, ask).await {
-        Ok(OwnerAnswer::State(state)) => json(state_body(state)),
-        Ok(OwnerAnswer::Unknown) => error_answer(StatusCode::GONE, "no such job"),
-        Ok(OwnerAnswer::OtherAccount) => other_account(),
+    match request_owner(node, "state", authorized, build_request).await {
+        Ok(OwnerResponse::State(state)) => json_response(state_body(state)),
+        Ok(OwnerResponse::Unknown) => error_answer(StatusCode::GONE, "no such job"),
+        Ok(OwnerResponse::OtherAccount) => other_account_response(),
         Ok(_) => unavailable("no owner to ask"),
         Err(denied) => denied,
     }
 }
 
-async fn cancel(node: &Node, job: JobId, caller: Caller) -> Response<Body> {
-    let ask = |access: &Access| Ask::Cancel {
+async fn cancel(node: &Node, job: JobId, authorized: AuthorizedRequest) -> Response<Body> {
+    let build_request = |access: &Access| CallerRequest::Cancel {
         job: job.to_string(),
         account: access.account.clone(),
     };
-    match ask_owner(node, "cancel", caller, ask).await {
-        Ok(OwnerAnswer::Cancelled) => error_answer(StatusCode::OK, ""),
-        Ok(OwnerAnswer::Unknown) => error_answer(StatusCode::GONE, "no such job"),
-        Ok(OwnerAnswer::OtherAccount) => other_account(),
-        Ok(OwnerAnswer::Refused | OwnerAnswer::NotOwner) => unavailable("no owner to ask"),
+    match request_owner(node, "cancel", authorized, build_request).await {
+        Ok(OwnerResponse::Cancelled) => error_answer(StatusCode::OK, ""),
+        Ok(OwnerResponse::Unknown) => error_answer(StatusCode::GONE, "no such job"),
+        Ok(OwnerResponse::OtherAccount) => other_account_response(),
+        Ok(OwnerResponse::Refused | OwnerResponse::NotOwner) => unavailable("no owner to ask"),
         Ok(_) => error_answer(
             StatusCode::GATEWAY_TIMEOUT,
             "whether it was cancelled is not known",
@@ -225,18 +225,18 @@
     }
 }
 
-async fn count(node: &Node, caller: Caller) -> Response<Body> {
-    let ask = |access: &Access| Ask::Pending {
+async fn count_pending(node: &Node, authorized: AuthorizedRequest) -> Response<Body> {
+    let build_request = |access: &Access| CallerRequest::Pending {
         queue: access.queue.clone(),
     };
-    match ask_owner(node, "count", caller, ask).await {
-        Ok(OwnerAnswer::Pending(count)) => json(pending_body(count)),
+    match request_owner(node, "count", authorized, build_request).await {
+        Ok(OwnerResponse::Pending(count)) => json_response(pending_body(count)),
         Ok(_) => unavailable("no owner to ask"),
         Err(denied) => denied,
     }
 }
 
-fn other_account() -> Response<Body> {
+fn other_account_response() -> Response<Body> {
     error_answer(
         StatusCode::FORBIDDEN,
         "the job belongs to another account; nothing was done",
@@ -248,22 +248,22 @@
 /// # Errors
 ///
 /// Returns the answer to a caller who may not call by a newer configuration.
-async fn ask_owner(
+async fn request_owner(
     node: &Node,
     kind: &'static str,
-    caller: Caller,
-    ask: impl Fn(&Access) -> Ask,
-) -> Result<OwnerAnswer, Response<Body>> {
-    let begun = Instant::now();
-    let key = caller.credentials.key;
-    let asked = ask_until_clear(node, &caller, ask).await;
-    let Asked { answer, access } = match asked {
-        Ok(asked) => asked,
-        Err(denial) => return Err(denial_response(denial, &caller.credentials)),
+    authorized: AuthorizedRequest,
+    build_request: impl Fn(&Access) -> CallerRequest,
+) -> Result<OwnerResponse, Response<Body>> {
+    let started = Instant::now();
+    let key = authorized.credentials.key;
+    let reply = request_until_resolved(node, &authorized, build_request).await;
+    let OwnerReply { answer, access } = match reply {
+        Ok(reply) => reply,
+        Err(denial) => return Err(denial_response(denial, &authorized.credentials)),
     };
-    count_request(kind, answer, begun);
+    record_request_metrics(kind, answer, started);
     // States are asked for all the time.
-    if kind != "state" || !matches!(answer, OwnerAnswer::State(_)) {
+    if kind != "state" || !matches!(answer, OwnerResponse::State(_)) {
         info!(
             event = kind, job:? = access.job.as_ref().map(JobId::as_str), pool = access.queue.pool.as_str(),
             account = access.account.as_str(), key:? = key.ok(), outcome:? = answer,
@@ -275,8 +275,8 @@
 }
 
 /// Returns the beginning of a path, for the log.
-fn shortened(path: &str) -> &str {
-    let mut end = path.len().min(LOGGED_PATH_BYTES);
+fn truncated(path: &str) -> &str {
+    let mut end = path.len().min(MAX_LOGGED_PATH_BYTES);
     while !path.is_char_boundary(end) {
         end -= 1;
     }
@@ -284,8 +284,8 @@
 }
 
 /// The owner's answer, and by what the request was judged.
-struct Asked {
-    answer: OwnerAnswer,
+struct OwnerReply {
+    answer: OwnerResponse,
     access: Access,
 }
 
@@ -297,28 +297,30 @@
 /// long as a take-over lasts, and then refused.
 ///
 /// Where the owner has a newer configuration, the request is judged again by that.
-async fn ask_until_clear(
+async fn request_until_resolved(
     node: &Node,
-    caller: &Caller,
-    ask: impl Fn(&Access) -> Ask,
-) -> Result<Asked, Denial> {
-    let begun = Instant::now();
-    let patience = caller.limit.min(Duration::from_millis(TAKE_OVER_MS));
-    let mut access = caller.access.clone();
-    let mut is_unclear = false;
+    authorized: &AuthorizedRequest,
+    build_request: impl Fn(&Access) -> CallerRequest,
+) -> Result<OwnerReply, Denial> {
+    let started = Instant::now();
+    let takeover_limit = authorized
+        .timeout
+        .min(Duration::from_millis(TAKEOVER_WAIT_MS));
+    let mut access = authorized.access.clone();
+    let mut may_have_been_applied = false;
     loop {
-        let left = caller.limit.saturating_sub(begun.elapsed());
-        let attempt = left.min(Duration::from_millis(ATTEMPT_MS));
-        match ask_once(node, ask(&access), access.config_version, attempt).await {
-            OwnerAnswer::Unclear => is_unclear = true,
-            OwnerAnswer::NotOwner => {}
-            OwnerAnswer::NewerConfig => {
+        let left = authorized.timeout.saturating_sub(started.elapsed());
+        let attempt = left.min(Duration::from_millis(ATTEMPT_TIMEOUT_MS));
+        match try_owner(node, build_request(&access), access.config_version, attempt).await {
+            OwnerResponse::Unclear => may_have_been_applied = true,
+            OwnerResponse::NotOwner => {}
+            OwnerResponse::NewerConfig => {
                 let known = access.config_version;
                 config_sync::fetch_newer(node).await;
-                match authorize(&node.config.load(), &caller.credentials) {
+                match authorize(&node.config.load(), &authorized.credentials) {
                     Ok(newer) => access = newer,
                     // An earlier ask may have been accepted by the older one.
-                    Err(_) if is_unclear => break,
+                    Err(_) if may_have_been_applied => break,
                     Err(denial) => return Err(denial),
                 }
                 if access.config_version > known {
@@ -326,25 +328,34 @@
                 }
             }
             // An earlier ask may still arrive, and be accepted.
-            OwnerAnswer::Refused if is_unclear => {}
-            answer => return Ok(Asked { answer, access }),
+            OwnerResponse::Refused if may_have_been_applied => {}
+            answer => return Ok(OwnerReply { answer, access }),
         }
-        let end = if is_unclear { caller.limit } else { patience };
-        if begun.elapsed() + Duration::from_millis(ASK_PAUSE_MS) >= end {
+        let end = if may_have_been_applied {
+            authorized.timeout
+        } else {
+            takeover_limit
+        };
+        if started.elapsed() + Duration::from_millis(RETRY_DELAY_MS) >= end {
             break;
         }
-        sleep(Duration::from_millis(ASK_PAUSE_MS)).await;
+        sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
-    let answer = if is_unclear {
-        OwnerAnswer::Unclear
+    let answer = if may_have_been_applied {
+        OwnerResponse::Unclear
     } else {
-        OwnerAnswer::NotOwner
+        OwnerResponse::NotOwner
     };
-    Ok(Asked { answer, access })
+    Ok(OwnerReply { answer, access })
 }
 
 /// Asks the owner once, here or at another node.
-async fn ask_once(node: &Node, ask: Ask, config_version: u64, limit: Duration) -> OwnerAnswer {
+async fn try_owner(
+    node: &Node,
+    ask: CallerRequest,
+    config_version: u64,
+    limit: Duration,
+) -> OwnerResponse {
     let (epoch, owner) = node.known_owner();
     let mut request = OwnerRequest {
         epoch,
@@ -353,17 +364,17 @@
         sender: None,
     };
     if node.owner.load().is_some() {
-        let answer = timeout(limit, ask_here(node, request)).await;
-        return answer.unwrap_or(OwnerAnswer::Unclear);
+        let answer = timeout(limit, handle_locally(node, request)).await;
+        return answer.unwrap_or(OwnerResponse::Unclear);
     }
     let Some(owner) = owner else {
-        return OwnerAnswer::NotOwner;
+        return OwnerResponse::NotOwner;
     };
     request.sender = Some(node.member());
     let client = node.peers.get(owner.address);
     match client.exchange(OWNER_PATH, &request, limit).await {
         Ok(answer) => {
-            if answer == OwnerAnswer::NotOwner {
+            if answer == OwnerResponse::NotOwner {
                 node.owner_doubted.notify_one();
             } else {
                 node.record_owner_answer();
@@ -381,32 +392,32 @@
                 node.record_owner_refused(owner.epoch);
             }
             if error.may_have_run {
-                OwnerAnswer::Unclear
+                OwnerResponse::Unclear
             } else {
-                OwnerAnswer::NotOwner
+                OwnerResponse::NotOwner
             }
         }
     }
 }
 
 /// Counts a caller's request by its outcome, with the time that the answer took.
-fn count_request(kind: &'static str, answer: OwnerAnswer, begun: Instant) {
+fn record_request_metrics(kind: &'static str, answer: OwnerResponse, started: Instant) {
     let outcome = match answer {
-        OwnerAnswer::Accepted
-        | OwnerAnswer::Cancelled
-        | OwnerAnswer::State(_)
-        | OwnerAnswer::Pending(_) => "answered",
-        OwnerAnswer::Unknown => "no_such_job",
-        OwnerAnswer::Refused | OwnerAnswer::NotOwner | OwnerAnswer::NewerConfig => "refused",
-        OwnerAnswer::OverQuota => "over_quota",
-        OwnerAnswer::OtherAccount => "other_account",
-        OwnerAnswer::Unclear => "unclear",
+        OwnerResponse::Accepted
+        | OwnerResponse::Cancelled
+        | OwnerResponse::State(_)
+        | OwnerResponse::Pending(_) => "answered",
+        OwnerResponse::Unknown => "no_such_job",
+        OwnerResponse::Refused | OwnerResponse::NotOwner | OwnerResponse::NewerConfig => "refused",
+        OwnerResponse::OverQuota => "over_quota",
+        OwnerResponse::OtherAccount => "other_account",
+        OwnerResponse::Unclear => "unclear",
     };
     counter!("lynxwheel_requests_total", "kind" => kind, "outcome" => outcome).increment(1);
-    histogram!("lynxwheel_request_seconds", "kind" => kind).record(begun.elapsed());
+    histogram!("lynxwheel_request_seconds", "kind" => kind).record(started.elapsed());
 }
 
-fn json(body: Vec<u8>) -> Response<Body> {
+fn json_response(body: Vec<u8>) -> Response<Body> {
     let mut response = Response::new(full_body(body));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
@@ -423,7 +434,7 @@
     response
 }
 
-fn not_allowed(methods: &'static str) -> Response<Body> {
+fn method_not_allowed(methods: &'static str) -> Response<Body> {
     let mut response = error_answer(StatusCode::METHOD_NOT_ALLOWED, "no such method here");
     response
         .headers_mut()
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -15,7 +15,7 @@
         node::Node,
         notes,
         ownership::FRESH_MS,
-        peer::{Ask, OwnerAnswer},
+        peer::{CallerRequest, OwnerResponse},
         watcher,
     },
     kameo::{
@@ -44,7 +44,7 @@
     /// Time has passed; it was sent at this time on the steady clock, in milliseconds.
     Tick(u64),
     /// A caller's request.
-    Ask(Ask, oneshot::Sender<OwnerAnswer>),
+    CallerRequest(CallerRequest, oneshot::Sender<OwnerResponse>),
     /// What came of calls that another node made for this owner.
     DelegateResults(SocketAddr, Vec<(CallNumber, CallResult)>),
     /// Another node took none of these calls.
@@ -143,10 +143,12 @@
 }
 
 /// Asks the owner's duties of this node.
-pub async fn ask_owner(owner: &OwnerHandle, ask: Ask) -> OwnerAnswer {
+pub async fn request_owner(owner: &OwnerHandle, request: CallerRequest) -> OwnerResponse {
     let (sender, receiver) = oneshot::channel();
-    owner.send(OwnerMessage::Ask(ask, sender)).await;
-    receiver.await.unwrap_or(OwnerAnswer::Unclear)
+    owner
+        .send(OwnerMessage::CallerRequest(request, sender))
+        .await;
+    receiver.await.unwrap_or(OwnerResponse::Unclear)
 }
 
 /// The actor.
@@ -161,7 +163,7 @@
     load: OwnerLoad,
     is_store_away: bool,
     /// Callers that wait, sorted by token.
-    waiting: Vec<(ReplyToken, oneshot::Sender<OwnerAnswer>)>,
+    waiting: Vec<(ReplyToken, oneshot::Sender<OwnerResponse>)>,
     next_token: ReplyToken,
 }
 
@@ -191,7 +193,7 @@
                 let events = self.dispatcher.delegates.mark_lost(address, now.steady_ms);
                 self.handle_all(events, now);
             }
-            OwnerMessage::Ask(ask, reply) => self.ask(ask, reply, now),
+            OwnerMessage::CallerRequest(request, reply) => self.handle_request(request, reply, now),
             OwnerMessage::Stored(number) => {
                 for batch in self.in_flight.stored(number, now.steady_ms) {
                     let effects = self.engine.committed(batch, now);
@@ -317,9 +319,14 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask, reply: oneshot::Sender<OwnerAnswer>, now: Now) {
-        let answer = match ask {
-            Ask::Submit {
+    fn handle_request(
+        &mut self,
+        request: CallerRequest,
+        reply: oneshot::Sender<OwnerResponse>,
+        now: Now,
+    ) {
+        let answer = match request {
+            CallerRequest::Submit {
                 job,
                 queue,
                 spec,
@@ -327,7 +334,7 @@
                 origin,
             } => {
                 let Ok(job) = job.parse::<JobId>() else {
-                    return answer_now(reply, OwnerAnswer::Refused);
+                    return send_reply(reply, OwnerResponse::Refused);
                 };
                 let token = self.wait(reply);
                 let event = Event::Submit {
@@ -340,12 +347,12 @@
                 };
                 return self.engine.handle(event, now);
             }
-            Ask::Cancel { job, account } => {
+            CallerRequest::Cancel { job, account } => {
                 let Ok(job) = job.parse::<JobId>() else {
-                    return answer_now(reply, OwnerAnswer::Unknown);
+                    return send_reply(reply, OwnerResponse::Unknown);
                 };
                 if !self.may_deny(job, now) {
-                    return answer_now(reply, OwnerAnswer::Unclear);
+                    return send_reply(reply, OwnerResponse::Unclear);
                 }
                 let token = self.wait(reply);
                 let event = Event::Cancel {
@@ -355,27 +362,27 @@
                 };
                 return self.engine.handle(event, now);
             }
-            Ask::State { job, account } => self.state(&job, &account, now),
-            Ask::Pending { queue } => OwnerAnswer::Pending(self.engine.pending(&queue)),
+            CallerRequest::State { job, account } => self.state(&job, &account, now),
+            CallerRequest::Pending { queue } => OwnerResponse::Pending(self.engine.pending(&queue)),
         };
-        answer_now(reply, answer);
+        send_reply(reply, answer);
     }
 
     /// Tells a job's state.
-    fn state(&self, job: &str, account: &str, now: Now) -> OwnerAnswer {
+    fn state(&self, job: &str, account: &str, now: Now) -> OwnerResponse {
         let Ok(job) = job.parse::<JobId>() else {
-            return OwnerAnswer::Unknown;
+            return OwnerResponse::Unknown;
         };
         if !self.engine.is_open_to(job, account) {
-            return OwnerAnswer::OtherAccount;
+            return OwnerResponse::OtherAccount;
         }
         if let Some(state) = self.engine.shown(job) {
-            return OwnerAnswer::State(state);
+            return OwnerResponse::State(state);
         }
         if self.may_deny(job, now) && !self.engine.is_unstored(job) {
-            OwnerAnswer::Unknown
+            OwnerResponse::Unknown
         } else {
-            OwnerAnswer::Unclear
+            OwnerResponse::Unclear
         }
     }
 
@@ -395,7 +402,7 @@
             .is_some_and(|owner| owner.is_renewed_within(now.steady_ms, FRESH_MS))
     }
 
-    fn wait(&mut self, reply: oneshot::Sender<OwnerAnswer>) -> ReplyToken {
+    fn wait(&mut self, reply: oneshot::Sender<OwnerResponse>) -> ReplyToken {
         self.next_token += 1;
         self.waiting.push((self.next_token, reply));
         self.next_token
@@ -424,14 +431,14 @@
         if let Ok(place) = place {
             let (_, reply) = self.waiting.remove(place);
             let answer = match answer {
-                CallerAnswer::Accepted => OwnerAnswer::Accepted,
-                CallerAnswer::Cancelled => OwnerAnswer::Cancelled,
-                CallerAnswer::Unknown => OwnerAnswer::Unknown,
-                CallerAnswer::Refused => OwnerAnswer::Refused,
-                CallerAnswer::OverQuota => OwnerAnswer::OverQuota,
-                CallerAnswer::OtherAccount => OwnerAnswer::OtherAccount,
+                CallerAnswer::Accepted => OwnerResponse::Accepted,
+                CallerAnswer::Cancelled => OwnerResponse::Cancelled,
+                CallerAnswer::Unknown => OwnerResponse::Unknown,
+                CallerAnswer::Refused => OwnerResponse::Refused,
+                CallerAnswer::OverQuota => OwnerResponse::OverQuota,
+                CallerAnswer::OtherAccount => OwnerResponse::OtherAccount,
             };
-            answer_now(reply, answer);
+            send_reply(reply, answer);
         }
     }
 
@@ -485,7 +492,7 @@
     }
 }
 
-fn answer_now(reply: oneshot::Sender<OwnerAnswer>, answer: OwnerAnswer) {
+fn send_reply(reply: oneshot::Sender<OwnerResponse>, answer: OwnerResponse) {
     // The caller may have left.
     let _ = reply.send(answer);
 }
--- a/crates/controller/src/peer.rs
+++ b/crates/controller/src/peer.rs
@@ -29,7 +29,7 @@
     /// Version of the configuration by which the sender has judged the request.
     pub config_version: u64,
     /// What is asked for.
-    pub ask: Ask,
+    pub ask: CallerRequest,
     /// Node that passes the request on; nothing where it is the owner itself.
     #[serde(default)]
     pub sender: Option<Member>,
@@ -37,7 +37,7 @@
 
 /// What a caller asks for.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Ask {
+pub enum CallerRequest {
     /// Hand in a job.
     Submit {
         /// Id of the job.
@@ -75,7 +75,7 @@
 
 /// The owner's answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum OwnerAnswer {
+pub enum OwnerResponse {
     /// The job is accepted and stored.
     Accepted,
     /// The job is cancelled, or had ended before.
@@ -110,12 +110,12 @@
     /// Highest epoch that the sender has heard of.
     pub epoch: u64,
     /// What is asked for.
-    pub ask: OwnershipAsk,
+    pub ask: OwnershipAction,
 }
 
 /// What is asked of the owner itself.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum OwnershipAsk {
+pub enum OwnershipAction {
     /// Say whether it is there.
     Alive,
     /// Give ownership up, as the sender is much larger.
@@ -124,7 +124,7 @@
 
 /// The owner's answer about itself.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum OwnershipAnswer {
+pub enum OwnershipResponse {
     /// It is there.
     Alive,
     /// It is there, and has been unable to say so in the log.
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -8,11 +8,11 @@
             PAYLOAD_PATH,
         },
         node::Node,
-        owner::{OwnerHandle, OwnerMessage, ask_owner},
+        owner::{OwnerHandle, OwnerMessage, request_owner},
         ownership::SUSPECT_MS,
         peer::{
-            CONFIG_PATH, ConfigRequest, OWNER_PATH, OWNERSHIP_PATH, OwnerAnswer, OwnerRequest,
-            OwnershipAnswer, OwnershipAsk, OwnershipRequest,
+            CONFIG_PATH, ConfigRequest, OWNER_PATH, OWNERSHIP_PATH, OwnerRequest, OwnerResponse,
+            OwnershipAction, OwnershipRequest, OwnershipResponse,
         },
     },
     http::{Request, Response, StatusCode},
@@ -43,55 +43,57 @@
 /// Answers other nodes.
 pub async fn serve(node: Arc<Node>, server: Server) {
     let shutdown = node.closing.clone();
-    let handler = |node: Arc<Node>, request| async move { answer(&node, request).await };
+    let handler = |node: Arc<Node>, request| async move { handle_request(&node, request).await };
     server.serve_with(shutdown, node, handler).await;
 }
 
-async fn answer(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         METRICS_PATH => error_answer(StatusCode::OK, &node.metrics.render()),
-        OWNER_PATH => match read::<OwnerRequest>(request).await {
+        OWNER_PATH => match read_message::<OwnerRequest>(request).await {
             Ok(mut request) => {
                 if let Some(sender) = request.sender.take() {
-                    catch_up(node, &request, sender.address).await;
+                    fetch_newer_config(node, &request, sender.address).await;
                     node.record_member(sender);
                 }
-                message_answer(&ask_here(node, request).await)
+                message_answer(&handle_locally(node, request).await)
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        CONFIG_PATH => match read::<ConfigRequest>(request).await {
-            Ok(request) => message_answer(&newer_config(node, request.version)),
-            Err(answer) => answer,
+        CONFIG_PATH => match read_message::<ConfigRequest>(request).await {
+            Ok(request) => message_answer(&config_newer_than(node, request.version)),
+            Err(response) => response,
         },
-        OWNERSHIP_PATH => match read(request).await {
-            Ok(request) => message_answer(&ask_ownership(node, &request)),
-            Err(answer) => answer,
+        OWNERSHIP_PATH => match read_message(request).await {
+            Ok(request) => message_answer(&handle_ownership_request(node, &request)),
+            Err(response) => response,
         },
-        DELEGATE_CALLS_PATH => match read(request).await {
+        DELEGATE_CALLS_PATH => match read_message(request).await {
             Ok(request) => message_answer(&node.delegate_worker.accept(node, request)),
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        DELEGATE_RESULTS_PATH => match read(request).await {
+        DELEGATE_RESULTS_PATH => match read_message(request).await {
             Ok(request) => message_answer(&accept_delegate_results(node, request).await),
-            Err(answer) => answer,
+            Err(response) => response,
         },
         path => match path.strip_prefix(PAYLOAD_PATH) {
-            Some(job) => payload(node, job),
+            Some(job) => payload_response(node, job),
             None => error_answer(StatusCode::NOT_FOUND, "no such path"),
         },
     }
 }
 
 /// Reads a message; returns the answer to give when there is none.
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Result<T, Response<Body>> {
+async fn read_message<T: DeserializeOwned>(
+    request: Request<Incoming>,
+) -> Result<T, Response<Body>> {
     let bytes = collect_body(request.into_body(), MAX_MESSAGE_BYTES).await?;
     decode_message(&bytes)
         .map_err(|error| error_answer(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
 /// Returns this node's owner duties, unless the sender has heard of a later epoch.
-fn owner_here(node: &Node, epoch: u64) -> Option<Arc<OwnerHandle>> {
+fn local_owner(node: &Node, epoch: u64) -> Option<Arc<OwnerHandle>> {
     let owner = node.owner.load_full()?;
     if epoch > owner.epoch {
         // Another node has seen a later claim: this one is over, even if the store is out of reach.
@@ -103,18 +105,18 @@
 
 /// Asks this node's owner duties, if it has them, unless the request was judged by an older
 /// configuration than the active one.
-pub async fn ask_here(node: &Node, request: OwnerRequest) -> OwnerAnswer {
+pub async fn handle_locally(node: &Node, request: OwnerRequest) -> OwnerResponse {
     if request.config_version < node.config.load().version {
-        return OwnerAnswer::NewerConfig;
+        return OwnerResponse::NewerConfig;
     }
-    match owner_here(node, request.epoch) {
-        Some(owner) => ask_owner(&owner, request.ask).await,
-        None => OwnerAnswer::NotOwner,
+    match local_owner(node, request.epoch) {
+        Some(owner) => request_owner(&owner, request.ask).await,
+        None => OwnerResponse::NotOwner,
     }
 }
 
 /// Takes over the configuration by which another node has judged a request, if that is newer.
-async fn catch_up(node: &Node, request: &OwnerRequest, sender: SocketAddr) {
+async fn fetch_newer_config(node: &Node, request: &OwnerRequest, sender: SocketAddr) {
     let version = request.config_version;
     if node.owner.load().is_some() && version > node.config.load().version {
         config_sync::fetch_from(node, sender, version).await;
@@ -122,13 +124,13 @@
 }
 
 /// Returns this node's configuration if it is newer than a version.
-fn newer_config(node: &Node, version: u64) -> Option<FleetConfig> {
+fn config_newer_than(node: &Node, version: u64) -> Option<FleetConfig> {
     let config = node.config.load();
     (config.version > version).then(|| FleetConfig::clone(&config))
 }
 
 /// Returns the payload of a job that came in here a while ago.
-fn payload(node: &Node, job: &str) -> Response<Body> {
+fn payload_response(node: &Node, job: &str) -> Response<Body> {
     let payload = job.parse().ok().and_then(|job| node.payloads.get(job));
     match payload {
         Some(payload) => Response::new(full_body(payload.to_string())),
@@ -138,7 +140,7 @@
 
 /// Takes what came of calls that another node made for this node's owner duties.
 async fn accept_delegate_results(node: &Node, request: DelegateResults) -> DelegateReply {
-    match owner_here(node, request.epoch) {
+    match local_owner(node, request.epoch) {
         Some(owner) if owner.epoch == request.epoch => {
             let message = OwnerMessage::DelegateResults(request.carrier, request.results);
             owner.send(message).await;
@@ -148,31 +150,31 @@
     }
 }
 
-fn ask_ownership(node: &Node, request: &OwnershipRequest) -> OwnershipAnswer {
-    let Some(owner) = owner_here(node, request.epoch) else {
+fn handle_ownership_request(node: &Node, request: &OwnershipRequest) -> OwnershipResponse {
+    let Some(owner) = local_owner(node, request.epoch) else {
         // Reading what is stored of a large fleet takes a while. Taken for one that is gone meanwhile, a
         // new owner was succeeded by the next before it had begun, and that one in the same way.
-        let is_taking_over = request.ask == OwnershipAsk::Alive
+        let is_taking_over = request.ask == OwnershipAction::Alive
             && node.taking_over.load(Ordering::Relaxed) == request.epoch;
         return if is_taking_over {
-            OwnershipAnswer::Alive
+            OwnershipResponse::Alive
         } else {
-            OwnershipAnswer::NotOwner
+            OwnershipResponse::NotOwner
         };
     };
     match request.ask {
-        OwnershipAsk::Yield => {
+        OwnershipAction::Yield => {
             owner.offer(OwnerMessage::Release);
-            OwnershipAnswer::Yielded
+            OwnershipResponse::Yielded
         }
-        OwnershipAsk::Alive => {
+        OwnershipAction::Alive => {
             let now_ms = clock::steady_ms();
             // Renewals whose answers are lost say nothing: reads get through, and a successor would
             // fare no better. Taken for a cut, they made owners follow each other every second.
             if owner.is_renewed_within(now_ms, SUSPECT_MS) || node.is_in_contact(now_ms) {
-                OwnershipAnswer::Alive
+                OwnershipResponse::Alive
             } else {
-                OwnershipAnswer::Unheard
+                OwnershipResponse::Unheard
             }
         }
     }
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -8,7 +8,7 @@
         ownership::{
             OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS, RENEW_EVERY_MS, SUSPECT_MS,
         },
-        peer::{OWNERSHIP_PATH, OwnershipAnswer, OwnershipAsk, OwnershipRequest},
+        peer::{OWNERSHIP_PATH, OwnershipAction, OwnershipRequest, OwnershipResponse},
         take_over,
     },
     log::{info, warn},
@@ -228,11 +228,11 @@
     };
     // On a connection of its own: one in use may have fallen silent by itself.
     let client = Client::new(owner.address, 1);
-    let answer = ask_ownership(&client, epoch, OwnershipAsk::Alive, ALIVE_MS).await;
+    let answer = send_ownership_request(&client, epoch, OwnershipAction::Alive, ALIVE_MS).await;
     let is_alive = match answer {
-        Ok(OwnershipAnswer::Alive) => true,
+        Ok(OwnershipResponse::Alive) => true,
         // Cut off from the store, unless the store is slow for everybody.
-        Ok(OwnershipAnswer::Unheard) => !is_store_prompt(node).await,
+        Ok(OwnershipResponse::Unheard) => !is_store_prompt(node).await,
         _ => false,
     };
     if is_alive {
@@ -249,12 +249,12 @@
     false
 }
 
-async fn ask_ownership(
+async fn send_ownership_request(
     client: &Client,
     epoch: u64,
-    ask: OwnershipAsk,
+    ask: OwnershipAction,
     limit_ms: u64,
-) -> Result<OwnershipAnswer, TransportError> {
+) -> Result<OwnershipResponse, TransportError> {
     let request = OwnershipRequest { epoch, ask };
     let limit = Duration::from_millis(limit_ms);
     client.exchange(OWNERSHIP_PATH, &request, limit).await
@@ -280,7 +280,7 @@
         return;
     };
     let client = node.peers.get(owner.address);
-    let answer = ask_ownership(&client, epoch, OwnershipAsk::Yield, WAIT_MS).await;
+    let answer = send_ownership_request(&client, epoch, OwnershipAction::Yield, WAIT_MS).await;
     info!(
         event = "yield_asked", epoch = epoch, peer:% = owner.address,
         owner_cpu_millis = owner.cpu_millis, outcome:? = answer.as_ref().ok();
