--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -2,6 +2,7 @@
 
 use {
     crate::{
+        assignments::EndpointAssignments,
         calls::{CallResult, EndpointCall},
         delegate_messages::{
             CallNumber, DELEGATE_CALLS_PATH, DelegateReply, DelegateRequest, DelegatedCall,
@@ -9,7 +10,6 @@
         members::Member,
         owner::{Owner, OwnerMessage},
         pending::PendingCalls,
-        shares::Shares,
     },
     compact_str::CompactString,
     kameo::actor::ActorRef,
@@ -67,7 +67,7 @@
     own_address: SocketAddr,
     actor: ActorRef<Owner>,
     clients: Arc<Clients>,
-    shares: Shares,
+    assignments: EndpointAssignments,
     /// Sorted by address.
     delegates: Vec<Delegate>,
     next_number: CallNumber,
@@ -82,14 +82,14 @@
         own_address: SocketAddr,
         actor: ActorRef<Owner>,
         clients: Arc<Clients>,
-        shares: Shares,
+        assignments: EndpointAssignments,
     ) -> Self {
         Self {
             epoch,
             own_address,
             actor,
             clients,
-            shares,
+            assignments,
             delegates: Vec::new(),
             next_number: 0,
             senders: JoinSet::new(),
@@ -105,7 +105,7 @@
         mut call: EndpointCall,
         now_ms: u64,
     ) -> Option<(EndpointAddress, EndpointCall)> {
-        let Some(address) = self.shares.node_for(endpoint, zone, now_ms) else {
+        let Some(address) = self.assignments.assign(endpoint, zone, now_ms) else {
             return Some((to, call));
         };
         if let EndpointCall::Start(order) = &mut call
@@ -187,7 +187,7 @@
 
     /// Takes in that a node is not to be relied on: nobody knows what came of the calls that it took.
     pub fn mark_lost(&mut self, address: SocketAddr, now_ms: u64) -> Vec<Event> {
-        self.shares.mark_lost(address, now_ms);
+        self.assignments.mark_lost(address, now_ms);
         let epoch = self.epoch;
         let Some(delegate) = self.known_delegate(address) else {
             return Vec::new();
@@ -205,8 +205,8 @@
         is_called: impl Fn(EndpointKey) -> bool,
         now_ms: u64,
     ) -> Vec<Event> {
-        self.shares.retain(is_called);
-        self.shares.set_members(members);
+        self.assignments.retain(is_called);
+        self.assignments.set_members(members);
         let overdue: Vec<SocketAddr> = self
             .delegates
             .iter()
@@ -223,7 +223,7 @@
     /// Returns how many endpoints other nodes call, and how many nodes do.
     #[must_use]
     pub fn delegated_counts(&self) -> (usize, usize) {
-        self.shares.delegated_counts()
+        self.assignments.delegated_counts()
     }
 }
 
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -20,6 +20,7 @@
 //! ```
 
 mod access;
+mod assignments;
 mod calls;
 mod clock;
 mod commit;
@@ -42,13 +43,13 @@
 mod peer_server;
 mod pending;
 mod ready;
-mod shares;
 mod speed;
 mod take_over;
 mod watcher;
 
 pub use {
     access::{Access, Credentials, Denial, authorize},
+    assignments::EndpointAssignments,
     calls::{CallResult, CallSubject, EndpointCall},
     in_flight::{FOLLOW_MS, InFlight, MOST_UNDER_WAY, STORE_AWAY_MS},
     members::{HEARD_MS, Member, Members},
@@ -59,6 +60,5 @@
     },
     payloads::Payloads,
     pending::PendingCalls,
-    shares::Shares,
     speed::Speed,
 };
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -2,6 +2,7 @@
 
 use {
     crate::{
+        assignments::EndpointAssignments,
         clock,
         commit::{STATE_TOPIC, Writer},
         delegate_pool::DelegatePool,
@@ -9,7 +10,6 @@
         feeds,
         node::Node,
         owner::{Owner, OwnerHandle, OwnerMessage},
-        shares::Shares,
         watcher,
     },
     kameo::{actor::Spawn, mailbox},
@@ -123,13 +123,13 @@
         .settings
         .vm_service
         .map(|address| VmCalls::new(address, node.settings.node_name.as_str(), epoch));
-    let shares = Shares::new(node.settings.cpu_millis, node.settings.link_mbps);
+    let assignments = EndpointAssignments::new(node.settings.cpu_millis, node.settings.link_mbps);
     let delegates = DelegatePool::new(
         epoch,
         node.peer_address,
         actor.clone(),
         Arc::clone(&node.peers),
-        shares,
+        assignments,
     );
     let calls = Calls::new(
         actor.clone(),
--- a/crates/controller/tests/shares.rs
+++ b/crates/controller/tests/assignments.rs
@@ -1,7 +1,7 @@
 //! Which node calls which endpoint for an owner.
 
 use {
-    lynxwheel_controller::{HEARD_MS, Member, Members, Shares},
+    lynxwheel_controller::{EndpointAssignments, HEARD_MS, Member, Members},
     std::net::SocketAddr,
 };
 
@@ -25,10 +25,10 @@
 }
 
 /// Shares `endpoints` in zone `a` out, and returns how many each node gets, the owner first.
-fn shared_out(shares: &mut Shares, endpoints: u32, nodes: u8) -> Vec<usize> {
+fn assign_all(assignments: &mut EndpointAssignments, endpoints: u32, nodes: u8) -> Vec<usize> {
     let mut counts = vec![0; usize::from(nodes) + 1];
     for key in 0..endpoints {
-        let node = shares.node_for(key, "a", 0);
+        let node = assignments.assign(key, "a", 0);
         let place = (1..=nodes).find(|&number| node == Some(address(number)));
         counts[place.map_or(0, usize::from)] += 1;
     }
@@ -40,10 +40,10 @@
         $($(#[$story])* #[test] fn $name() {
             let (cpu_millis, link_mbps) = $owner;
             let members: Vec<Member> = $members;
-            let mut shares = Shares::new(cpu_millis, link_mbps);
-            shares.set_members(&members);
+            let mut assignments = EndpointAssignments::new(cpu_millis, link_mbps);
+            assignments.set_members(&members);
             let nodes = u8::try_from(members.len()).expect("few nodes");
-            assert_eq!(shared_out(&mut shares, $endpoints, nodes), $counts);
+            assert_eq!(assign_all(&mut assignments, $endpoints, nodes), $counts);
         })*
     };
 }
@@ -71,59 +71,67 @@
     owner_that_knows_of_nobody_calls_everything: LARGE, Vec::new(), 400 => [400];
 }
 
-fn large_shares() -> Shares {
-    let mut shares = Shares::new(LARGE.0, LARGE.1);
-    shares.set_members(&[member(1, "a", LARGE), member(2, "a", LARGE)]);
-    shared_out(&mut shares, 300, 2);
-    shares
+fn large_fleet_assignments() -> EndpointAssignments {
+    let mut assignments = EndpointAssignments::new(LARGE.0, LARGE.1);
+    assignments.set_members(&[member(1, "a", LARGE), member(2, "a", LARGE)]);
+    assign_all(&mut assignments, 300, 2);
+    assignments
 }
 
 /// A node that calls endpoints loses power; its share must go on at once, and not come back to it.
 #[test]
 fn share_of_a_lost_node_goes_to_others() {
-    let mut shares = large_shares();
-    let lost = shares.node_for(200, "a", 0).expect("a node");
-    shares.mark_lost(lost, 0);
-    let next = shares.node_for(200, "a", 0).expect("a node");
+    let mut assignments = large_fleet_assignments();
+    let lost = assignments.assign(200, "a", 0).expect("a node");
+    assignments.mark_lost(lost, 0);
+    let next = assignments.assign(200, "a", 0).expect("a node");
     assert_ne!(next, lost);
 }
 
 #[test]
 fn lost_node_is_asked_again_later() {
-    let mut shares = Shares::new(0, 0);
-    shares.set_members(&[member(1, "a", LARGE)]);
-    shares.mark_lost(address(1), 0);
-    assert_eq!(shares.node_for(1, "a", 2_900), None);
-    assert_eq!(shares.node_for(1, "a", 3_000), Some(address(1)));
+    let mut assignments = EndpointAssignments::new(0, 0);
+    assignments.set_members(&[member(1, "a", LARGE)]);
+    assignments.mark_lost(address(1), 0);
+    assert_eq!(assignments.assign(1, "a", 2_900), None);
+    assert_eq!(assignments.assign(1, "a", 3_000), Some(address(1)));
 }
 
 #[test]
 fn endpoint_stays_with_its_node() {
-    let mut shares = large_shares();
-    let nodes: Vec<_> = (0..300).map(|key| shares.node_for(key, "a", 0)).collect();
-    shares.set_members(&[
+    let mut assignments = large_fleet_assignments();
+    let nodes: Vec<_> = (0..300)
+        .map(|key| assignments.assign(key, "a", 0))
+        .collect();
+    assignments.set_members(&[
         member(1, "a", LARGE),
         member(2, "a", LARGE),
         member(3, "a", LARGE),
     ]);
-    let later: Vec<_> = (0..300).map(|key| shares.node_for(key, "a", 0)).collect();
+    let later: Vec<_> = (0..300)
+        .map(|key| assignments.assign(key, "a", 0))
+        .collect();
     assert_eq!(nodes, later);
 }
 
 #[test]
 fn node_that_turns_slow_gives_up_what_it_cannot_carry() {
-    let mut shares = large_shares();
-    assert_eq!(shares.delegated_counts(), (180, 1));
-    shares.set_members(&[member(1, "a", (50, 200)), member(2, "a", (50, 200))]);
-    assert_eq!(shares.delegated_counts(), (20, 1));
+    let mut assignments = large_fleet_assignments();
+    assert_eq!(assignments.delegated_counts(), (180, 1));
+    assignments.set_members(&[member(1, "a", (50, 200)), member(2, "a", (50, 200))]);
+    assert_eq!(assignments.delegated_counts(), (20, 1));
 }
 
 #[test]
 fn endpoints_that_are_gone_make_room() {
-    let mut shares = large_shares();
-    shares.retain(|key| key >= 200);
-    assert_eq!(shares.delegated_counts(), (100, 1));
-    assert_eq!(shares.node_for(1_000, "a", 0), None, "the owner has room");
+    let mut assignments = large_fleet_assignments();
+    assignments.retain(|key| key >= 200);
+    assert_eq!(assignments.delegated_counts(), (100, 1));
+    assert_eq!(
+        assignments.assign(1_000, "a", 0),
+        None,
+        "the owner has room"
+    );
 }
 
 #[test]
