--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -210,7 +210,7 @@
         return Err(format!("status {}", answer.status.as_u16()));
     }
     let payload = CompactString::from_utf8(&answer.body).map_err(|error| error.to_string())?;
-    node.payloads.note_fetched(&payload);
+    node.payloads.record_fetched(&payload);
     Ok(payload)
 }
 
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -166,7 +166,7 @@
         Err(mistake) => return error_answer(StatusCode::BAD_REQUEST, &mistake),
     };
     // Before the owner is asked: the first start may follow before its answer.
-    node.payloads.keep(job, &spec.payload);
+    node.payloads.insert(job, &spec.payload);
     let build_request = |access: &Access| CallerRequest::Submit {
         job: job.to_string(),
         queue: access.queue.clone(),
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -58,7 +58,7 @@
         FRESH_MS, OwnerId, OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS,
         RENEW_EVERY_MS, SILENCE_MS, SMALL_NODE_DELAY_MS, SUSPECT_MS,
     },
-    payloads::Payloads,
+    payloads::PayloadCache,
     pending::PendingCalls,
     speed::Speed,
 };
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -8,7 +8,7 @@
         members::{Member, Members},
         owner::{OwnerHandle, OwnerMessage},
         ownership::{OwnerId, OwnershipKind, OwnershipRecord, OwnershipView},
-        payloads::Payloads,
+        payloads::PayloadCache,
         peer_server, ready,
         speed::{self, Speed},
         watcher,
@@ -127,7 +127,7 @@
     /// Nodes that passed requests on to this one lately.
     pub members: Mutex<Members>,
     /// Payloads of jobs that came in here, or that were fetched for calls.
-    pub payloads: Payloads,
+    pub payloads: PayloadCache,
     /// Calls made here for owners on other nodes.
     pub delegate_worker: DelegateWorker,
     /// Given when nothing listens at the owner's address.
@@ -175,7 +175,7 @@
             view: tokio::sync::watch::Sender::default(),
             owner: ArcSwapOption::empty(),
             members: Mutex::default(),
-            payloads: Payloads::default(),
+            payloads: PayloadCache::default(),
             delegate_worker: DelegateWorker::default(),
             owner_refused: Notify::new(),
             owner_doubted: Notify::new(),
--- a/crates/controller/src/payloads.rs
+++ b/crates/controller/src/payloads.rs
@@ -16,46 +16,46 @@
 
 /// Payloads kept at most, in bytes: some seconds of a busy node's share, and little of a small node's
 /// memory.
-const MOST_BYTES: usize = 2 * 1024 * 1024;
+const MAX_BYTES: usize = 2 * 1024 * 1024;
 
 /// Payloads kept at most.
-const MOST_PAYLOADS: usize = 4_096;
+const MAX_PAYLOADS: usize = 4_096;
 
 /// A payload that is here, or on its way.
 pub type PayloadCell = Arc<OnceCell<CompactString>>;
 
 #[derive(Debug, Default)]
-struct Rows {
+struct Entries {
     /// Sorted by job.
     cells: Vec<(JobId, PayloadCell)>,
     /// Jobs in the order in which they came.
-    order: VecDeque<JobId>,
+    insertion_order: VecDeque<JobId>,
     bytes: usize,
 }
 
-impl Rows {
+impl Entries {
     fn cell(&mut self, job: JobId) -> PayloadCell {
-        match self.cells.binary_search_by_key(&job, |(known, _)| *known) {
-            Ok(place) => Arc::clone(&self.cells[place].1),
-            Err(place) => {
+        match self.cells.binary_search_by_key(&job, |(cached, _)| *cached) {
+            Ok(index) => Arc::clone(&self.cells[index].1),
+            Err(index) => {
                 let cell = PayloadCell::default();
-                self.cells.insert(place, (job, Arc::clone(&cell)));
-                self.order.push_back(job);
+                self.cells.insert(index, (job, Arc::clone(&cell)));
+                self.insertion_order.push_back(job);
                 cell
             }
         }
     }
 
-    fn forget_oldest(&mut self) {
-        while self.bytes > MOST_BYTES || self.order.len() > MOST_PAYLOADS {
-            let Some(oldest) = self.order.pop_front() else {
+    fn evict_oldest(&mut self) {
+        while self.bytes > MAX_BYTES || self.insertion_order.len() > MAX_PAYLOADS {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
-            if let Ok(place) = self
+            if let Ok(index) = self
                 .cells
-                .binary_search_by_key(&oldest, |(known, _)| *known)
+                .binary_search_by_key(&oldest, |(cached, _)| *cached)
             {
-                let (_, cell) = self.cells.remove(place);
+                let (_, cell) = self.cells.remove(index);
                 self.bytes -= cell.get().map_or(0, CompactString::len);
             }
         }
@@ -64,44 +64,46 @@
 
 /// Payloads by job, the oldest of which are forgotten first.
 #[derive(Debug, Default)]
-pub struct Payloads {
-    rows: Mutex<Rows>,
+pub struct PayloadCache {
+    entries: Mutex<Entries>,
 }
 
-impl Payloads {
+impl PayloadCache {
     /// Keeps a payload.
-    pub fn keep(&self, job: JobId, payload: &CompactString) {
-        let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        let cell = rows.cell(job);
+    pub fn insert(&self, job: JobId, payload: &CompactString) {
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let cell = entries.cell(job);
         if cell.set(payload.clone()).is_ok() {
-            rows.bytes += payload.len();
-            rows.forget_oldest();
+            entries.bytes += payload.len();
+            entries.evict_oldest();
         }
     }
 
     /// Returns a payload that is here.
     #[must_use]
     pub fn get(&self, job: JobId) -> Option<CompactString> {
-        let rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = rows.cells.binary_search_by_key(&job, |(known, _)| *known);
-        place
+        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let index = entries
+            .cells
+            .binary_search_by_key(&job, |(cached, _)| *cached);
+        index
             .ok()
-            .and_then(|place| rows.cells[place].1.get().cloned())
+            .and_then(|index| entries.cells[index].1.get().cloned())
     }
 
     /// Returns the place of a payload that may have to be fetched: whoever comes first does, and the
     /// others wait for it.
     pub fn cell(&self, job: JobId) -> PayloadCell {
-        let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        let cell = rows.cell(job);
-        rows.forget_oldest();
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let cell = entries.cell(job);
+        entries.evict_oldest();
         cell
     }
 
     /// Counts a payload that was fetched.
-    pub fn note_fetched(&self, payload: &CompactString) {
-        let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        rows.bytes += payload.len();
-        rows.forget_oldest();
+    pub fn record_fetched(&self, payload: &CompactString) {
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        entries.bytes += payload.len();
+        entries.evict_oldest();
     }
 }
--- a/crates/controller/tests/payloads.rs
+++ b/crates/controller/tests/payloads.rs
@@ -2,7 +2,7 @@
 
 use {
     compact_str::CompactString,
-    lynxwheel_controller::Payloads,
+    lynxwheel_controller::PayloadCache,
     lynxwheel_engine::JobId,
     std::sync::{
         Arc,
@@ -21,8 +21,8 @@
 
 #[test]
 fn payload_that_came_in_is_kept() {
-    let payloads = Payloads::default();
-    payloads.keep(job(1), &payload(1_200));
+    let payloads = PayloadCache::default();
+    payloads.insert(job(1), &payload(1_200));
     assert_eq!(payloads.get(job(1)), Some(payload(1_200)));
     assert_eq!(payloads.get(job(2)), None);
 }
@@ -30,9 +30,9 @@
 /// A small node takes hundreds of jobs a second for hours; what it keeps must not grow with them.
 #[test]
 fn oldest_payloads_are_forgotten() {
-    let payloads = Payloads::default();
+    let payloads = PayloadCache::default();
     for number in 0..5_000 {
-        payloads.keep(job(number), &payload(1_000));
+        payloads.insert(job(number), &payload(1_000));
     }
     let kept = (0..5_000).filter(|&number| payloads.get(job(number)).is_some());
     assert!(kept.count() <= 2_098);
@@ -41,11 +41,11 @@
 
 #[test]
 fn payload_handed_in_twice_is_kept_once() {
-    let payloads = Payloads::default();
+    let payloads = PayloadCache::default();
     for _ in 0..10 {
-        payloads.keep(job(1), &payload(1_000_000));
+        payloads.insert(job(1), &payload(1_000_000));
     }
-    payloads.keep(job(2), &payload(1_000_000));
+    payloads.insert(job(2), &payload(1_000_000));
     assert!(payloads.get(job(1)).is_some());
 }
 
@@ -53,7 +53,7 @@
 /// fetched the payload by itself.
 #[test]
 fn payload_is_fetched_once_for_starts_at_once() {
-    let payloads = Payloads::default();
+    let payloads = PayloadCache::default();
     let fetched = Arc::new(AtomicU32::new(0));
     let runtime = Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
