--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -55,8 +55,9 @@
     members::{HEARD_MS, Member, Members},
     node::{MetricsHandle, run},
     ownership::{
-        FRESH_MS, OwnerId, OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS,
-        RENEW_EVERY_MS, SILENCE_MS, SMALL_NODE_DELAY_MS, SUSPECT_MS,
+        FRESH_RENEWAL_MS, OWNER_TIMEOUT_MS, OwnerInfo, OwnershipKind, OwnershipRecord,
+        OwnershipView, REFUSED_CONNECTIONS_MS, RENEWAL_INTERVAL_MS, SMALL_NODE_CLAIM_DELAY_MS,
+        SUSPICION_TIMEOUT_MS,
     },
     payloads::PayloadCache,
     pending::PendingCalls,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -7,7 +7,7 @@
         feeds, ingress,
         members::{Member, Members},
         owner::{OwnerHandle, OwnerMessage},
-        ownership::{OwnerId, OwnershipKind, OwnershipRecord, OwnershipView},
+        ownership::{OwnerInfo, OwnershipKind, OwnershipRecord, OwnershipView},
         payloads::PayloadCache,
         peer_server, ready,
         speed::{self, Speed},
@@ -225,7 +225,7 @@
 
     /// Returns the highest epoch heard of, and the owner if there is one.
     #[must_use]
-    pub fn known_owner(&self) -> (u64, Option<OwnerId>) {
+    pub fn known_owner(&self) -> (u64, Option<OwnerInfo>) {
         let view = self.view.borrow();
         (view.epoch, view.owner)
     }
@@ -309,7 +309,7 @@
     pub fn record_owner_refused(&self, epoch: u64) {
         let now_ms = clock::steady_ms();
         self.view
-            .send_modify(|view| view.note_refused(epoch, now_ms));
+            .send_modify(|view| view.record_refused_connection(epoch, now_ms));
         self.owner_refused.notify_one();
     }
 
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -14,7 +14,7 @@
         load::OwnerLoad,
         node::Node,
         notes,
-        ownership::FRESH_MS,
+        ownership::FRESH_RENEWAL_MS,
         peer::{CallerRequest, OwnerResponse},
         watcher,
     },
@@ -399,7 +399,7 @@
         let owner = self.node.owner.load();
         owner
             .as_ref()
-            .is_some_and(|owner| owner.is_renewed_within(now.steady_ms, FRESH_MS))
+            .is_some_and(|owner| owner.is_renewed_within(now.steady_ms, FRESH_RENEWAL_MS))
     }
 
     fn wait(&mut self, reply: oneshot::Sender<OwnerResponse>) -> ReplyToken {
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -9,7 +9,7 @@
         },
         node::Node,
         owner::{OwnerHandle, OwnerMessage, request_owner},
-        ownership::SUSPECT_MS,
+        ownership::SUSPICION_TIMEOUT_MS,
         peer::{
             CONFIG_PATH, ConfigRequest, OWNER_PATH, OWNERSHIP_PATH, OwnerRequest, OwnerResponse,
             OwnershipAction, OwnershipRequest, OwnershipResponse,
@@ -171,7 +171,7 @@
             let now_ms = clock::steady_ms();
             // Renewals whose answers are lost say nothing: reads get through, and a successor would
             // fare no better. Taken for a cut, they made owners follow each other every second.
-            if owner.is_renewed_within(now_ms, SUSPECT_MS) || node.is_in_contact(now_ms) {
+            if owner.is_renewed_within(now_ms, SUSPICION_TIMEOUT_MS) || node.is_in_contact(now_ms) {
                 OwnershipResponse::Alive
             } else {
                 OwnershipResponse::Unheard
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -181,7 +181,7 @@
             engine.bound_vm_rest(&record.key, by_ms + holder_ms);
         }
     }
-    if let Some(epoch) = view.ended_epoch() {
+    if let Some(epoch) = view.ended_predecessor_epoch() {
         engine.end_vm_rests(epoch, node.begun_ms + VM_ORDER_MS);
     }
 }
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -6,7 +6,8 @@
         node::Node,
         owner::OwnerMessage,
         ownership::{
-            OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS, RENEW_EVERY_MS, SUSPECT_MS,
+            OwnershipKind, OwnershipRecord, OwnershipView, REFUSED_CONNECTIONS_MS,
+            RENEWAL_INTERVAL_MS, SUSPICION_TIMEOUT_MS,
         },
         peer::{OWNERSHIP_PATH, OwnershipAction, OwnershipRequest, OwnershipResponse},
         take_over,
@@ -110,12 +111,13 @@
 
 fn is_vacant(node: &Node) -> bool {
     let view = node.view.borrow();
-    view.needs_owner(clock::steady_ms()) || view.is_predecessor(node.incarnation, node.peer_address)
+    view.needs_owner(clock::steady_ms())
+        || view.is_owner_restarted_at(node.incarnation, node.peer_address)
 }
 
 /// Reads what was written since; tells whether that worked.
 async fn read_on(node: &Node, wait_ms: u64) -> bool {
-    let from = node.view.borrow().read_to;
+    let from = node.view.borrow().next_offset;
     let read = node.store.read(OWNERSHIP_TOPIC, from, wait_ms).await;
     let now_ms = clock::steady_ms();
     let mut is_missing = false;
@@ -123,7 +125,7 @@
         Ok(Read::Records { records, .. }) => {
             node.view.send_modify(|view| {
                 // The renewal of this node's own duties may have moved on meanwhile.
-                view.note_read(now_ms);
+                view.record_read(now_ms);
                 for record in &records {
                     view.apply(OwnershipRecord::decode(record).as_ref(), now_ms);
                 }
@@ -135,12 +137,12 @@
             true
         }
         Ok(Read::Missing) => {
-            node.view.send_modify(|view| view.note_read(now_ms));
+            node.view.send_modify(|view| view.record_read(now_ms));
             is_missing = true;
             true
         }
         Err(_) => {
-            node.view.send_modify(OwnershipView::note_failure);
+            node.view.send_modify(OwnershipView::record_read_failure);
             false
         }
     };
@@ -179,7 +181,7 @@
 /// Waits until the owner's process is known to be over.
 async fn owner_ended(node: &Node) {
     node.owner_refused.notified().await;
-    sleep(Duration::from_millis(REFUSING_MS)).await;
+    sleep(Duration::from_millis(REFUSED_CONNECTIONS_MS)).await;
 }
 
 /// Waits until the owner is silent in the log and does not answer when it is asked.
@@ -188,14 +190,14 @@
 /// for as long. While the store is slow, a sound owner is silent too, but answers.
 async fn owner_unresponsive(node: &Node) {
     loop {
-        let unsuspected_ms = node.view.borrow().unsuspected_ms(clock::steady_ms());
-        match unsuspected_ms {
+        let until_suspected_ms = node.view.borrow().until_suspected_ms(clock::steady_ms());
+        match until_suspected_ms {
             Some(0) if !node.stopping.has_begun() && node.owner.load().is_none() => {
                 if is_heard_of(node) {
                     sleep(Duration::from_millis(RETRY_MS)).await;
                     continue;
                 }
-                let spread_ms = node.view.borrow().ask_spread_ms(node.settings.cpu_millis);
+                let spread_ms = node.view.borrow().probe_jitter_ms(node.settings.cpu_millis);
                 sleep(Duration::from_millis(rand::random_range(0..spread_ms))).await;
                 if is_suspected(node) && !is_owner_alive(node).await {
                     return;
@@ -209,7 +211,7 @@
 }
 
 fn is_suspected(node: &Node) -> bool {
-    node.view.borrow().unsuspected_ms(clock::steady_ms()) == Some(0)
+    node.view.borrow().until_suspected_ms(clock::steady_ms()) == Some(0)
 }
 
 /// Tells whether a small node need not ask, as the owner has just answered some request of it.
@@ -217,7 +219,7 @@
 /// Larger nodes ask all the same: an owner that is cut off from the store goes on answering.
 fn is_heard_of(node: &Node) -> bool {
     let is_small = node.view.borrow().is_small(node.settings.cpu_millis);
-    is_small && node.has_owner_answered_within(clock::steady_ms(), SUSPECT_MS)
+    is_small && node.has_owner_answered_within(clock::steady_ms(), SUSPICION_TIMEOUT_MS)
 }
 
 /// Asks the owner whether it is there, and notes when it does not answer.
@@ -245,7 +247,7 @@
     );
     let now_ms = clock::steady_ms();
     node.view
-        .send_modify(|view| view.note_unresponsive(epoch, now_ms));
+        .send_modify(|view| view.record_unresponsive(epoch, now_ms));
     false
 }
 
@@ -262,7 +264,7 @@
 
 /// Tells whether the store answers this node as promptly as on a calm day.
 async fn is_store_prompt(node: &Node) -> bool {
-    let from = node.view.borrow().read_to;
+    let from = node.view.borrow().next_offset;
     let begun = Instant::now();
     // What it reads is read again by the watch itself, which keeps the order of records.
     let read = node.store.read(OWNERSHIP_TOPIC, from, 0).await;
@@ -289,11 +291,11 @@
 }
 
 async fn claim(node: &Node) {
-    let lived_ms = clock::steady_ms().saturating_sub(node.begun_ms);
+    let uptime_ms = clock::steady_ms().saturating_sub(node.begun_ms);
     let size_ms = node
         .view
         .borrow()
-        .claim_delay_ms(node.cpu_millis(), lived_ms);
+        .claim_delay_ms(node.cpu_millis(), uptime_ms);
     let pause_ms = size_ms + rand::random_range(0..CLAIM_SPREAD_MS);
     // Another's claim ends the wait. A slow store's answer is not waited for, as the claim is made on
     // a condition.
@@ -303,7 +305,7 @@
         return;
     }
     let record = node.ownership_record(OwnershipKind::Claim, 0);
-    let at = node.view.borrow().read_to;
+    let at = node.view.borrow().next_offset;
     let outcome = node
         .store
         .append(OWNERSHIP_TOPIC, &[record.encode()], Some(at), None)
@@ -323,11 +325,11 @@
     stored_end: Arc<AtomicU64>,
 ) {
     let mut record = node.ownership_record(OwnershipKind::Renewal, epoch);
-    let mut at = node.view.borrow().read_to;
+    let mut at = node.view.borrow().next_offset;
     loop {
         record.stored_end = stored_end.load(Ordering::Relaxed);
         record.cpu_millis = node.cpu_millis();
-        at = at.max(node.view.borrow().read_to);
+        at = at.max(node.view.borrow().next_offset);
         let sent_ms = clock::steady_ms();
         let outcome = node
             .store
@@ -342,7 +344,7 @@
             AppendOutcome::Stored { end, .. } => {
                 at = end;
                 renewed_ms.store(sent_ms, Ordering::Relaxed);
-                RENEW_EVERY_MS
+                RENEWAL_INTERVAL_MS
             }
             // Somebody else has written, or an earlier renewal without answer: the watcher tells.
             _ => RETRY_MS,
--- a/crates/controller/tests/ownership.rs
+++ b/crates/controller/tests/ownership.rs
@@ -2,8 +2,8 @@
 
 use {
     lynxwheel_controller::{
-        OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS, SILENCE_MS,
-        SMALL_NODE_DELAY_MS, SUSPECT_MS,
+        OWNER_TIMEOUT_MS, OwnershipKind, OwnershipRecord, OwnershipView, REFUSED_CONNECTIONS_MS,
+        SMALL_NODE_CLAIM_DELAY_MS, SUSPICION_TIMEOUT_MS,
     },
     std::net::SocketAddr,
 };
@@ -26,7 +26,7 @@
 /// Returns a view with an owner of epoch 1 that was heard at 1,000 ms.
 fn owned() -> OwnershipView {
     let mut view = OwnershipView::default();
-    view.note_read(1_000);
+    view.record_read(1_000);
     view.apply(Some(&record(OwnershipKind::Claim, 0, 7)), 1_000);
     view
 }
@@ -40,19 +40,19 @@
 cases! {
     claim_gives_the_epoch_by_its_offset: assert_eq!(owned().owner.map(|owner| owner.epoch), Some(1));
 
-    sound_owner_is_left_alone: assert!(!owned().needs_owner(1_000 + SILENCE_MS));
+    sound_owner_is_left_alone: assert!(!owned().needs_owner(1_000 + OWNER_TIMEOUT_MS));
 
-    silent_owner_is_replaced: assert!(owned().needs_owner(1_001 + SILENCE_MS));
+    silent_owner_is_replaced: assert!(owned().needs_owner(1_001 + OWNER_TIMEOUT_MS));
 
     /// Every node claims when the store comes back. It was away for all; nobody heard the owner,
     /// which went on all the while.
     outage_of_the_store_says_nothing_about_the_owner: {
         let mut view = owned();
-        view.note_failure();
+        view.record_read_failure();
         assert!(!view.needs_owner(20_000));
-        view.note_read(20_000);
-        assert!(!view.needs_owner(20_000 + SILENCE_MS));
-        assert!(view.needs_owner(20_001 + SILENCE_MS));
+        view.record_read(20_000);
+        assert!(!view.needs_owner(20_000 + OWNER_TIMEOUT_MS));
+        assert!(view.needs_owner(20_001 + OWNER_TIMEOUT_MS));
     };
 
     /// Nobody accepts jobs for seconds more: the store was away when the nodes started, and each of them
@@ -70,8 +70,8 @@
         let mut claim = record(OwnershipKind::Claim, 0, 8);
         claim.cpu_millis = 500;
         view.apply(Some(&claim), 2_000);
-        assert!(view.ask_spread_ms(120) >= 10 * view.ask_spread_ms(500));
-        assert!(view.ask_spread_ms(120) > SMALL_NODE_DELAY_MS);
+        assert!(view.probe_jitter_ms(120) >= 10 * view.probe_jitter_ms(500));
+        assert!(view.probe_jitter_ms(120) > SMALL_NODE_CLAIM_DELAY_MS);
     };
 
     release_asks_for_another_owner_at_once: {
@@ -112,32 +112,32 @@
     /// as the nodes wait for an owner whose process is gone. The process that took its place at its
     /// address can know.
     successor_at_the_owners_address_need_not_wait: {
-        assert!(owned().is_predecessor(8, address(7_060)));
-        assert!(!owned().is_predecessor(7, address(7_060)));
-        assert!(!owned().is_predecessor(8, address(7_061)));
+        assert!(owned().is_owner_restarted_at(8, address(7_060)));
+        assert!(!owned().is_owner_restarted_at(7, address(7_060)));
+        assert!(!owned().is_owner_restarted_at(8, address(7_061)));
     };
 
     /// After the loss of all nodes every VM rests for the sake of the earlier owner's orders, though a
     /// later life at its address has the fleet, so that no such order can come any more.
     successor_at_the_owners_address_ends_its_epoch: {
         let mut view = owned();
-        assert_eq!(view.ended_epoch(), None);
+        assert_eq!(view.ended_predecessor_epoch(), None);
         view.apply(Some(&record(OwnershipKind::Claim, 0, 8)), 1_200);
-        assert_eq!(view.ended_epoch(), Some(1));
+        assert_eq!(view.ended_predecessor_epoch(), Some(1));
         let elsewhere = OwnershipRecord {
             address: address(7_061),
             ..record(OwnershipKind::Claim, 0, 9)
         };
         view.apply(Some(&elsewhere), 1_300);
-        assert_eq!(view.ended_epoch(), None);
+        assert_eq!(view.ended_predecessor_epoch(), None);
     };
 
     /// A node with an eighth of a core claims the fleet beside nodes with half a core, and jobs wait
     /// for seconds whenever many come at once.
     larger_node_claims_first: {
         let nobody = OwnershipView::default();
-        assert!(nobody.claim_delay_ms(500, 0) + SMALL_NODE_DELAY_MS < nobody.claim_delay_ms(120, 0));
-        assert_eq!(owned().claim_delay_ms(120, 60_000), SMALL_NODE_DELAY_MS);
+        assert!(nobody.claim_delay_ms(500, 0) + SMALL_NODE_CLAIM_DELAY_MS < nobody.claim_delay_ms(120, 0));
+        assert_eq!(owned().claim_delay_ms(120, 60_000), SMALL_NODE_CLAIM_DELAY_MS);
         assert_eq!(owned().claim_delay_ms(250, 0), 0);
     };
 
@@ -151,37 +151,37 @@
     /// refused, and came back a second later.
     owner_whose_address_refuses_is_followed_soon: {
         let mut view = owned();
-        view.note_refused(1, 1_100);
-        view.note_refused(1, 1_250);
-        assert!(!view.needs_owner(1_099 + REFUSING_MS));
-        assert!(view.needs_owner(1_100 + REFUSING_MS));
+        view.record_refused_connection(1, 1_100);
+        view.record_refused_connection(1, 1_250);
+        assert!(!view.needs_owner(1_099 + REFUSED_CONNECTIONS_MS));
+        assert!(view.needs_owner(1_100 + REFUSED_CONNECTIONS_MS));
     };
 
     /// The owner is cut off. Every caller waits for 1.3 s until it has been silent for long enough,
     /// though it does not answer when it is asked.
     silent_owner_that_does_not_answer_is_followed_soon: {
         let mut view = owned();
-        assert_eq!(view.unsuspected_ms(1_100), Some(SUSPECT_MS - 100));
-        view.note_unresponsive(1, 999 + SUSPECT_MS);
-        assert!(!view.needs_owner(999 + SUSPECT_MS));
-        view.note_unresponsive(1, 1_000 + SUSPECT_MS);
-        assert!(view.needs_owner(1_000 + SUSPECT_MS));
+        assert_eq!(view.until_suspected_ms(1_100), Some(SUSPICION_TIMEOUT_MS - 100));
+        view.record_unresponsive(1, 999 + SUSPICION_TIMEOUT_MS);
+        assert!(!view.needs_owner(999 + SUSPICION_TIMEOUT_MS));
+        view.record_unresponsive(1, 1_000 + SUSPICION_TIMEOUT_MS);
+        assert!(view.needs_owner(1_000 + SUSPICION_TIMEOUT_MS));
     };
 
     /// A node that was cut off from the owner alone hears its renewals all the while.
     renewal_that_is_read_clears_the_owner: {
         let mut view = owned();
-        view.note_unresponsive(1, 1_000 + SUSPECT_MS);
-        view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_010 + SUSPECT_MS);
-        assert!(!view.needs_owner(1_020 + SUSPECT_MS));
+        view.record_unresponsive(1, 1_000 + SUSPICION_TIMEOUT_MS);
+        view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_010 + SUSPICION_TIMEOUT_MS);
+        assert!(!view.needs_owner(1_020 + SUSPICION_TIMEOUT_MS));
     };
 
     /// A node asks an address from before the last claim, or the owner was only slow to listen.
     refusal_says_nothing_of_another_owner: {
         let mut view = owned();
-        view.note_refused(0, 1_100);
+        view.record_refused_connection(0, 1_100);
         assert!(!view.needs_owner(1_500));
-        view.note_refused(1, 1_100);
+        view.record_refused_connection(1, 1_100);
         view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_200);
         assert!(!view.needs_owner(1_500));
     };
@@ -206,7 +206,7 @@
         let mut view = owned();
         assert_eq!(OwnershipRecord::decode(b"\xc1noise"), None);
         view.apply(None, 1_100);
-        assert_eq!(view.read_to, 2);
+        assert_eq!(view.next_offset, 2);
         assert_eq!(view.owner.map(|owner| owner.epoch), Some(1));
     };
 }
