--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -61,5 +61,5 @@
     },
     payloads::PayloadCache,
     pending::PendingCalls,
-    speed::Speed,
+    speed::CpuSpeed,
 };
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -10,7 +10,7 @@
         ownership::{OwnerInfo, OwnershipKind, OwnershipRecord, OwnershipView},
         payloads::PayloadCache,
         peer_server, ready,
-        speed::{self, Speed},
+        speed::{self, CpuSpeed},
         watcher,
     },
     arc_swap::{ArcSwap, ArcSwapOption},
@@ -107,7 +107,7 @@
     /// Address at which it takes other nodes' requests.
     pub peer_address: SocketAddr,
     /// Speed of its processor.
-    pub speed: Mutex<Speed>,
+    pub cpu_speed: Mutex<CpuSpeed>,
     /// Store.
     pub store: StoreClient,
     /// Connections to other nodes.
@@ -163,7 +163,7 @@
         Self {
             incarnation: rand::random(),
             begun_ms: clock::steady_ms(),
-            speed: Mutex::default(),
+            cpu_speed: Mutex::default(),
             peer_address: SocketAddr::new(ip, settings.peer_ports.0),
             store: StoreClient::new(settings.store),
             peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
@@ -230,16 +230,22 @@
         (view.epoch, view.owner)
     }
 
-    fn note_speed(&self, took: Duration) {
-        let mut speed = self.speed.lock().unwrap_or_else(PoisonError::into_inner);
-        speed.note(took);
+    fn record_benchmark(&self, took: Duration) {
+        let mut speed = self
+            .cpu_speed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        speed.record(took);
     }
 
     /// Returns the processor that the node has at the moment, in thousandths of a core.
     #[must_use]
     pub fn cpu_millis(&self) -> u32 {
-        let speed = self.speed.lock().unwrap_or_else(PoisonError::into_inner);
-        speed.left_of(self.settings.cpu_millis)
+        let speed = self
+            .cpu_speed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        speed.effective_cpu_millis(self.settings.cpu_millis)
     }
 
     /// Returns what this node says of itself to others.
@@ -376,7 +382,7 @@
     tokio::spawn(feeds::follow_operator(Arc::clone(&node)));
     tokio::spawn(watcher::watch(Arc::clone(&node)));
     tokio::spawn(sum_up_metrics(node.metrics.clone()));
-    tokio::spawn(measure_speed(Arc::clone(&node)));
+    tokio::spawn(monitor_cpu_speed(Arc::clone(&node)));
     let callers = tokio::spawn(ingress::serve(Arc::clone(&node), callers));
     tokio::spawn(peer_server::serve(Arc::clone(&node), peers));
     tokio::spawn(ready::serve(Arc::clone(&node), ready));
@@ -393,19 +399,19 @@
 }
 
 /// Measures the processor's speed, and tells when the node turns slow or recovers.
-async fn measure_speed(node: Arc<Node>) {
+async fn monitor_cpu_speed(node: Arc<Node>) {
     let nominal_millis = node.settings.cpu_millis;
     let mut was_slowed = false;
     loop {
-        let took = speed::measure();
-        node.note_speed(took);
+        let took = speed::run_benchmark();
+        node.record_benchmark(took);
         let cpu_millis = node.cpu_millis();
         let is_slowed = cpu_millis < nominal_millis;
         if is_slowed != was_slowed {
             was_slowed = is_slowed;
             info!(event = "speed", cpu_millis = cpu_millis, nominal_millis = nominal_millis; "");
         }
-        tokio::time::sleep(Duration::from_millis(speed::MEASURE_EVERY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(speed::MEASUREMENT_INTERVAL_MS)).await;
     }
 }
 
--- a/crates/controller/tests/speed.rs
+++ b/crates/controller/tests/speed.rs
@@ -1,20 +1,20 @@
 //! When a node counts as slowed, and how much of its processor is left then.
 
-use {lynxwheel_controller::Speed, std::time::Duration};
+use {lynxwheel_controller::CpuSpeed, std::time::Duration};
 
 /// Returns what is left of half a core after the work took these times, in microseconds.
-fn left_after(times_us: &[u64]) -> u32 {
-    let mut speed = Speed::default();
-    for &took_us in times_us {
-        speed.note(Duration::from_micros(took_us));
+fn cpu_millis_after(times_us: &[u64]) -> u32 {
+    let mut speed = CpuSpeed::default();
+    for &sample_us in times_us {
+        speed.record(Duration::from_micros(sample_us));
     }
-    speed.left_of(500)
+    speed.effective_cpu_millis(500)
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $times_us:expr => $left:expr;)*) => {
+    ($($(#[$story:meta])* $name:ident: $times_us:expr => $expected:expr;)*) => {
         $($(#[$story])* #[test] fn $name() {
-            assert_eq!(left_after(&$times_us), $left);
+            assert_eq!(cpu_millis_after(&$times_us), $expected);
         })*
     };
 }
