--- a/crates/controller/src/in_flight.rs
+++ b/crates/controller/src/in_flight.rs
@@ -5,18 +5,18 @@
 /// Age of the newest batch under way from which on another is sent after it, in milliseconds. A calm
 /// store answers within 10 ms, and load makes batches larger then; a slow one kept what had happened
 /// meanwhile for up to two of its answers, some 0.9 s at a hundredth of its speed.
-pub const FOLLOW_MS: u64 = 80;
+pub const PIPELINE_DELAY_MS: u64 = 80;
 
 /// Time in which no batch under way is stored after which the store counts as away, in milliseconds.
-pub const STORE_AWAY_MS: u64 = 900;
+pub const STORE_UNAVAILABLE_MS: u64 = 900;
 
 /// Batches under way at most: the store knows its answers to the last five appends of a writer, and
 /// what is sent again has to be among them.
-pub const MOST_UNDER_WAY: usize = 4;
+pub const MAX_IN_FLIGHT_BATCHES: usize = 4;
 
 /// A batch that is being stored.
 #[derive(Debug)]
-struct Pending {
+struct InFlightBatch {
     number: u64,
     batch: Batch,
     sent_ms: u64,
@@ -25,24 +25,24 @@
 
 /// Batches that are being stored.
 #[derive(Debug, Default)]
-pub struct InFlight {
-    pending: VecDeque<Pending>,
+pub struct InFlightBatches {
+    batches: VecDeque<InFlightBatch>,
     last_number: u64,
     last_stored_ms: u64,
 }
 
-impl InFlight {
+impl InFlightBatches {
     /// Tells whether no batch is under way.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.pending.is_empty()
+        self.batches.is_empty()
     }
 
     /// Tells whether another batch may be sent after those under way.
     #[must_use]
-    pub fn takes_another(&self, now_ms: u64) -> bool {
-        let is_due = |newest: &Pending| now_ms >= newest.sent_ms + FOLLOW_MS;
-        self.pending.len() < MOST_UNDER_WAY && self.pending.back().is_none_or(is_due)
+    pub fn has_capacity(&self, now_ms: u64) -> bool {
+        let is_due = |newest: &InFlightBatch| now_ms >= newest.sent_ms + PIPELINE_DELAY_MS;
+        self.batches.len() < MAX_IN_FLIGHT_BATCHES && self.batches.back().is_none_or(is_due)
     }
 
     /// Tells whether the store is away: for so long it has stored nothing of what was sent.
@@ -50,18 +50,18 @@
     /// One slowed to a hundredth stores a batch each half a second, though each of several that are
     /// under way at once waits for longer.
     #[must_use]
-    pub fn is_store_away(&self, now_ms: u64) -> bool {
-        let is_late = |oldest: &Pending| {
+    pub fn is_store_unavailable(&self, now_ms: u64) -> bool {
+        let is_late = |oldest: &InFlightBatch| {
             let since_ms = oldest.sent_ms.max(self.last_stored_ms);
-            now_ms >= since_ms + STORE_AWAY_MS
+            now_ms >= since_ms + STORE_UNAVAILABLE_MS
         };
-        self.pending.front().is_some_and(is_late)
+        self.batches.front().is_some_and(is_late)
     }
 
     /// Adds a batch, and returns its number.
     pub fn add(&mut self, batch: Batch, now_ms: u64) -> u64 {
         self.last_number += 1;
-        self.pending.push_back(Pending {
+        self.batches.push_back(InFlightBatch {
             number: self.last_number,
             batch,
             sent_ms: now_ms,
@@ -71,8 +71,8 @@
     }
 
     /// Lets a batch without records wait for the newest one under way.
-    pub fn join(&mut self, batch: Batch) {
-        if let Some(newest) = self.pending.back_mut() {
+    pub fn append_to_newest(&mut self, batch: Batch) {
+        if let Some(newest) = self.batches.back_mut() {
             newest.batch.join(batch);
         }
     }
@@ -81,23 +81,23 @@
     ///
     /// An answer may overtake that to an earlier append. What a batch releases may rest on earlier
     /// ones, so it waits for them.
-    pub fn stored(&mut self, number: u64, now_ms: u64) -> Vec<Batch> {
+    pub fn mark_stored(&mut self, number: u64, now_ms: u64) -> Vec<Batch> {
         self.last_stored_ms = now_ms;
-        if let Some(pending) = self
-            .pending
+        if let Some(batches) = self
+            .batches
             .iter_mut()
-            .find(|pending| pending.number == number)
+            .find(|batches| batches.number == number)
         {
-            pending.is_stored = true;
+            batches.is_stored = true;
         }
         let count = self
-            .pending
+            .batches
             .iter()
-            .take_while(|pending| pending.is_stored)
+            .take_while(|batches| batches.is_stored)
             .count();
-        self.pending
+        self.batches
             .drain(..count)
-            .map(|pending| pending.batch)
+            .map(|batches| batches.batch)
             .collect()
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -51,7 +51,7 @@
     access::{Access, Credentials, Denial, authorize},
     assignments::EndpointAssignments,
     calls::{CallResult, CallSubject, EndpointCall},
-    in_flight::{FOLLOW_MS, InFlight, MOST_UNDER_WAY, STORE_AWAY_MS},
+    in_flight::{InFlightBatches, MAX_IN_FLIGHT_BATCHES, PIPELINE_DELAY_MS, STORE_UNAVAILABLE_MS},
     members::{HEARD_MS, Member, Members},
     node::{MetricsHandle, run},
     ownership::{
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -10,7 +10,7 @@
         commit::{Commit, Writer},
         delegate_messages::{CallNumber, DelegatedCall},
         dispatch::Dispatcher,
-        in_flight::InFlight,
+        in_flight::InFlightBatches,
         load::OwnerLoad,
         node::Node,
         notes,
@@ -159,9 +159,9 @@
     engine: Engine,
     writer: Writer,
     dispatcher: Dispatcher,
-    in_flight: InFlight,
+    in_flight: InFlightBatches,
     load: OwnerLoad,
-    is_store_away: bool,
+    is_store_unavailable: bool,
     /// Callers that wait, sorted by token.
     waiting: Vec<(ReplyToken, oneshot::Sender<OwnerResponse>)>,
     next_token: ReplyToken,
@@ -177,7 +177,7 @@
             OwnerMessage::Event(event) => self.engine.handle(*event, now),
             OwnerMessage::Tick(sent_ms) => {
                 self.load.note_wait(now.steady_ms.saturating_sub(sent_ms));
-                self.watch_store(now);
+                self.update_store_status(now);
                 self.take_config(now);
                 // Only while nobody else can believe to be the owner.
                 self.engine.allow_vm_orders(self.is_fresh(now));
@@ -195,7 +195,7 @@
             }
             OwnerMessage::CallerRequest(request, reply) => self.handle_request(request, reply, now),
             OwnerMessage::Stored(number) => {
-                for batch in self.in_flight.stored(number, now.steady_ms) {
+                for batch in self.in_flight.mark_stored(number, now.steady_ms) {
                     let effects = self.engine.committed(batch, now);
                     self.carry_out(effects, now, context);
                 }
@@ -245,9 +245,9 @@
             engine,
             writer,
             dispatcher,
-            in_flight: InFlight::default(),
+            in_flight: InFlightBatches::default(),
             load: OwnerLoad::default(),
-            is_store_away: false,
+            is_store_unavailable: false,
             waiting: Vec::new(),
             next_token: 0,
         }
@@ -262,14 +262,18 @@
     }
 
     /// Notices when the store goes away and when it is back.
-    fn watch_store(&mut self, now: Now) {
-        let is_away = self.in_flight.is_store_away(now.steady_ms);
-        if is_away != self.is_store_away {
-            self.is_store_away = is_away;
-            let event = if is_away { "store_away" } else { "store_back" };
+    fn update_store_status(&mut self, now: Now) {
+        let is_unavailable = self.in_flight.is_store_unavailable(now.steady_ms);
+        if is_unavailable != self.is_store_unavailable {
+            self.is_store_unavailable = is_unavailable;
+            let event = if is_unavailable {
+                "store_away"
+            } else {
+                "store_back"
+            };
             warn!(event = event, epoch = self.epoch; "");
         }
-        self.engine.set_store_away(is_away);
+        self.engine.set_store_away(is_unavailable);
     }
 
     fn handle_all(&mut self, events: Vec<Event>, now: Now) {
@@ -444,7 +448,7 @@
 
     /// Stores what has changed, unless a batch is under way that will soon be stored.
     fn write(&mut self, now: Now, context: &mut Context<Self, ()>) {
-        if !self.in_flight.takes_another(now.steady_ms) {
+        if !self.in_flight.has_capacity(now.steady_ms) {
             return;
         }
         loop {
@@ -458,7 +462,7 @@
             }
             // What a batch without records releases rests on those before it.
             if !self.in_flight.is_empty() {
-                self.in_flight.join(batch);
+                self.in_flight.append_to_newest(batch);
                 return;
             }
             let effects = self.engine.committed(batch, now);
--- a/crates/controller/tests/in_flight.rs
+++ b/crates/controller/tests/in_flight.rs
@@ -1,7 +1,9 @@
 //! Which batches are under way at once, and when what they release may go out.
 
 use {
-    lynxwheel_controller::{FOLLOW_MS, InFlight, MOST_UNDER_WAY, STORE_AWAY_MS},
+    lynxwheel_controller::{
+        InFlightBatches, MAX_IN_FLIGHT_BATCHES, PIPELINE_DELAY_MS, STORE_UNAVAILABLE_MS,
+    },
     lynxwheel_engine::{Batch, Record},
 };
 
@@ -29,63 +31,63 @@
 cases! {
     /// Answers of a slowed store take half a second; one that answers nothing for longer is away.
     store_that_answers_nothing_is_away: {
-        let mut in_flight = InFlight::default();
-        assert!(!in_flight.is_store_away(1_000));
+        let mut in_flight = InFlightBatches::default();
+        assert!(!in_flight.is_store_unavailable(1_000));
         let first = in_flight.add(batch("a"), 1_000);
         in_flight.add(batch("b"), 1_400);
-        assert!(!in_flight.is_store_away(1_000 + STORE_AWAY_MS - 1));
-        assert!(in_flight.is_store_away(1_000 + STORE_AWAY_MS));
-        in_flight.stored(first, 1_500);
-        assert!(!in_flight.is_store_away(1_499 + STORE_AWAY_MS));
-        assert!(in_flight.is_store_away(1_500 + STORE_AWAY_MS));
+        assert!(!in_flight.is_store_unavailable(1_000 + STORE_UNAVAILABLE_MS - 1));
+        assert!(in_flight.is_store_unavailable(1_000 + STORE_UNAVAILABLE_MS));
+        in_flight.mark_stored(first, 1_500);
+        assert!(!in_flight.is_store_unavailable(1_499 + STORE_UNAVAILABLE_MS));
+        assert!(in_flight.is_store_unavailable(1_500 + STORE_UNAVAILABLE_MS));
     };
 
     /// A calm store answers within 10 ms: load makes batches larger, not more frequent.
     calm_store_gets_one_batch_at_a_time: {
-        let mut in_flight = InFlight::default();
-        assert!(in_flight.takes_another(1_000));
+        let mut in_flight = InFlightBatches::default();
+        assert!(in_flight.has_capacity(1_000));
         let number = in_flight.add(batch("a"), 1_000);
-        assert!(!in_flight.takes_another(1_010));
-        in_flight.stored(number, 1_500);
-        assert!(in_flight.takes_another(1_011));
+        assert!(!in_flight.has_capacity(1_010));
+        in_flight.mark_stored(number, 1_500);
+        assert!(in_flight.has_capacity(1_011));
     };
 
     /// Every answer of the store takes 400 ms. What happened right after a batch was cut waited for
     /// two of them, so that a job of two steps lost a second of its slack at each.
     slow_store_gets_the_next_batch_before_it_answers: {
-        let mut in_flight = InFlight::default();
+        let mut in_flight = InFlightBatches::default();
         in_flight.add(batch("a"), 1_000);
-        assert!(in_flight.takes_another(1_000 + FOLLOW_MS));
+        assert!(in_flight.has_capacity(1_000 + PIPELINE_DELAY_MS));
     };
 
     /// The store is away. It knows its answers to the last five appends only, so no more than these
     /// may have to be sent again.
     store_that_is_away_gets_a_few_batches: {
-        let mut in_flight = InFlight::default();
+        let mut in_flight = InFlightBatches::default();
         let mut now_ms = 1_000;
-        while in_flight.takes_another(now_ms) {
+        while in_flight.has_capacity(now_ms) {
             in_flight.add(batch("a"), now_ms);
-            now_ms += FOLLOW_MS;
+            now_ms += PIPELINE_DELAY_MS;
         }
-        assert!(!in_flight.takes_another(now_ms + 60_000));
-        assert_eq!(now_ms, 1_000 + FOLLOW_MS * u64::try_from(MOST_UNDER_WAY).unwrap());
+        assert!(!in_flight.has_capacity(now_ms + 60_000));
+        assert_eq!(now_ms, 1_000 + PIPELINE_DELAY_MS * u64::try_from(MAX_IN_FLIGHT_BATCHES).unwrap());
     };
 
     /// The answer to the first append is lost, that to the second arrives. A run that the second
     /// batch starts may rest on what the first one says: nothing goes out before both are stored.
     answer_that_overtakes_another_waits_for_it: {
-        let mut in_flight = InFlight::default();
+        let mut in_flight = InFlightBatches::default();
         let first = in_flight.add(batch("a"), 1_000);
         let second = in_flight.add(batch("b"), 1_100);
-        assert_eq!(keys(&in_flight.stored(second, 1_500)), [] as [&str; 0]);
-        assert_eq!(keys(&in_flight.stored(first, 1_500)), ["a", "b"]);
+        assert_eq!(keys(&in_flight.mark_stored(second, 1_500)), [] as [&str; 0]);
+        assert_eq!(keys(&in_flight.mark_stored(first, 1_500)), ["a", "b"]);
         assert!(in_flight.is_empty());
     };
 
     batch_without_records_waits_for_the_newest: {
-        let mut in_flight = InFlight::default();
+        let mut in_flight = InFlightBatches::default();
         let first = in_flight.add(batch("a"), 1_000);
-        in_flight.join(batch("joined"));
-        assert_eq!(keys(&in_flight.stored(first, 1_500)), ["a", "joined"]);
+        in_flight.append_to_newest(batch("joined"));
+        assert_eq!(keys(&in_flight.mark_stored(first, 1_500)), ["a", "joined"]);
     };
 }
