--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -75,7 +75,7 @@
     }
 
     /// Makes the call.
-    pub async fn make(&self, calls: &EndpointCalls, to: &EndpointAddress) -> CallResult {
+    pub async fn execute(&self, calls: &EndpointCalls, to: &EndpointAddress) -> CallResult {
         match self {
             Self::Start(order) => {
                 let outcome = calls.start(to, order).await;
@@ -127,7 +127,7 @@
 impl CallSubject {
     /// Returns what the engine is told of a result; nothing when the result is none of such a call.
     #[must_use]
-    pub fn event(self, endpoint: EndpointKey, result: CallResult) -> Option<Event> {
+    pub fn result_event(self, endpoint: EndpointKey, result: CallResult) -> Option<Event> {
         match (self, result) {
             (Self::Start(task, run), CallResult::Ordered(outcome)) => Some(Event::Started {
                 endpoint,
@@ -157,12 +157,12 @@
 
     /// Returns what the engine is told when nobody knows what came of the call.
     #[must_use]
-    pub fn unknown(self, endpoint: EndpointKey) -> Option<Event> {
+    pub fn unknown_outcome_event(self, endpoint: EndpointKey) -> Option<Event> {
         let result = match self {
             Self::Start(..) | Self::Stop(..) => CallResult::Ordered(CallOutcome::Unknown),
             Self::Renew => CallResult::Renewed(CallOutcome::Unknown),
             Self::Pace(..) => CallResult::Paced(false),
         };
-        self.event(endpoint, result)
+        self.result_event(endpoint, result)
     }
 }
--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -57,7 +57,7 @@
 struct Delegate {
     address: SocketAddr,
     outbox: Arc<Outbox>,
-    pending: PendingCalls,
+    pending_calls: PendingCalls,
 }
 
 /// Nodes that call for this owner, and the calls whose results are to come.
@@ -118,7 +118,9 @@
         let subject = call.subject();
         let due_ms = now_ms + call.wait_ms() + RESULT_TIMEOUT_MS;
         let delegate = self.delegate_for(address);
-        delegate.pending.add(number, endpoint, subject, due_ms);
+        delegate
+            .pending_calls
+            .add(number, endpoint, subject, due_ms);
         delegate.outbox.add(DelegatedCall { number, to, call });
         None
     }
@@ -139,7 +141,7 @@
             let delegate = Delegate {
                 address,
                 outbox,
-                pending: PendingCalls::default(),
+                pending_calls: PendingCalls::default(),
             };
             self.delegates.insert(index, delegate);
             index
@@ -148,13 +150,13 @@
     }
 
     /// Takes in results, and returns what the engine is told.
-    pub fn take_results(
+    pub fn apply_results(
         &mut self,
         address: SocketAddr,
         results: Vec<(CallNumber, CallResult)>,
     ) -> Vec<Event> {
         match self.known_delegate(address) {
-            Some(delegate) => delegate.pending.take_results(results),
+            Some(delegate) => delegate.pending_calls.apply_results(results),
             None => Vec::new(),
         }
     }
@@ -177,7 +179,7 @@
         let mut local = Vec::with_capacity(calls.len());
         if let Some(delegate) = self.known_delegate(address) {
             for call in calls {
-                if let Some(endpoint) = delegate.pending.take_back(call.number) {
+                if let Some(endpoint) = delegate.pending_calls.withdraw(call.number) {
                     local.push((endpoint, call));
                 }
             }
@@ -193,8 +195,8 @@
             return Vec::new();
         };
         drop(delegate.outbox.take());
-        warn!(event = "carrier_lost", epoch = epoch, peer:% = address, calls = delegate.pending.count(); "");
-        delegate.pending.give_up()
+        warn!(event = "carrier_lost", epoch = epoch, peer:% = address, calls = delegate.pending_calls.count(); "");
+        delegate.pending_calls.abandon_all()
     }
 
     /// Takes in which nodes are there and which endpoints are called, and gives up nodes from which a
@@ -210,7 +212,7 @@
         let overdue: Vec<SocketAddr> = self
             .delegates
             .iter()
-            .filter(|delegate| delegate.pending.is_overdue(now_ms))
+            .filter(|delegate| delegate.pending_calls.is_overdue(now_ms))
             .map(|delegate| delegate.address)
             .collect();
         let mut events = Vec::new();
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -163,7 +163,7 @@
         _ => true,
     };
     let result = if has_payload {
-        call.make(&session.calls, &to).await
+        call.execute(&session.calls, &to).await
     } else {
         CallResult::Ordered(CallOutcome::Unsent)
     };
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -96,8 +96,8 @@
     pub fn call_here(&self, key: EndpointKey, to: EndpointAddress, call: EndpointCall) {
         let calls = self.calls.clone();
         tokio::spawn(async move {
-            let result = call.make(&calls.endpoints, &to).await;
-            if let Some(event) = call.subject().event(key, result) {
+            let result = call.execute(&calls.endpoints, &to).await;
+            if let Some(event) = call.subject().result_event(key, result) {
                 calls.tell(event).await;
             }
         });
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -185,7 +185,7 @@
                 self.tick_delegates(now);
             }
             OwnerMessage::DelegateResults(address, results) => {
-                let events = self.dispatcher.delegates.take_results(address, results);
+                let events = self.dispatcher.delegates.apply_results(address, results);
                 self.handle_all(events, now);
             }
             OwnerMessage::CallsRefused(address, calls) => self.call_here(address, calls, now),
@@ -289,7 +289,7 @@
         for (key, DelegatedCall { to, mut call, .. }) in own {
             if self.add_payload(&mut call) {
                 self.dispatcher.call_here(key, to, call);
-            } else if let Some(event) = call.subject().unknown(key) {
+            } else if let Some(event) = call.subject().unknown_outcome_event(key) {
                 self.engine.handle(event, now);
             }
         }
--- a/crates/controller/src/pending.rs
+++ b/crates/controller/src/pending.rs
@@ -10,7 +10,7 @@
 
 /// A call whose result is to come.
 #[derive(Debug)]
-struct Pending {
+struct PendingCall {
     number: CallNumber,
     endpoint: EndpointKey,
     subject: CallSubject,
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct PendingCalls {
     /// Sorted by number.
-    rows: Vec<Pending>,
+    calls: Vec<PendingCall>,
 }
 
 impl PendingCalls {
@@ -34,7 +34,7 @@
         subject: CallSubject,
         due_ms: u64,
     ) {
-        self.rows.push(Pending {
+        self.calls.push(PendingCall {
             number,
             endpoint,
             subject,
@@ -42,44 +42,45 @@
         });
     }
 
-    fn take(&mut self, number: CallNumber) -> Option<Pending> {
-        let place = self.rows.binary_search_by_key(&number, |row| row.number);
-        place.ok().map(|place| self.rows.remove(place))
+    fn remove(&mut self, number: CallNumber) -> Option<PendingCall> {
+        let index = self.calls.binary_search_by_key(&number, |call| call.number);
+        index.ok().map(|index| self.calls.remove(index))
     }
 
     /// Takes in results, and returns what the engine is told.
-    pub fn take_results(&mut self, results: Vec<(CallNumber, CallResult)>) -> Vec<Event> {
+    pub fn apply_results(&mut self, results: Vec<(CallNumber, CallResult)>) -> Vec<Event> {
         results
             .into_iter()
             .filter_map(|(number, result)| {
-                let known = self.take(number)?;
-                known.subject.event(known.endpoint, result)
+                let call = self.remove(number)?;
+                call.subject.result_event(call.endpoint, result)
             })
             .collect()
     }
 
     /// Takes a call back that was not made, and returns its endpoint; none when it was given up.
-    pub fn take_back(&mut self, number: CallNumber) -> Option<EndpointKey> {
-        self.take(number).map(|known| known.endpoint)
+    pub fn withdraw(&mut self, number: CallNumber) -> Option<EndpointKey> {
+        self.remove(number).map(|call| call.endpoint)
     }
 
     /// Gives all calls up, and returns what the engine is told: nobody knows what came of them.
-    pub fn give_up(&mut self) -> Vec<Event> {
-        let rows = std::mem::take(&mut self.rows);
-        rows.into_iter()
-            .filter_map(|known| known.subject.unknown(known.endpoint))
+    pub fn abandon_all(&mut self) -> Vec<Event> {
+        let calls = std::mem::take(&mut self.calls);
+        calls
+            .into_iter()
+            .filter_map(|call| call.subject.unknown_outcome_event(call.endpoint))
             .collect()
     }
 
     /// Tells whether a result is overdue.
     #[must_use]
     pub fn is_overdue(&self, now_ms: u64) -> bool {
-        self.rows.iter().any(|known| known.due_ms <= now_ms)
+        self.calls.iter().any(|call| call.due_ms <= now_ms)
     }
 
     /// Returns the number of calls.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.rows.len()
+        self.calls.len()
     }
 }
--- a/crates/controller/tests/pending.rs
+++ b/crates/controller/tests/pending.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn result_is_told_of_the_call_that_it_names() {
-    let events = calls().take_results(vec![(1, refused())]);
+    let events = calls().apply_results(vec![(1, refused())]);
     assert!(matches!(
         events[..],
         [Event::Started {
@@ -38,8 +38,8 @@
 #[test]
 fn result_told_twice_counts_once() {
     let mut calls = calls();
-    assert_eq!(calls.take_results(vec![(1, refused())]).len(), 1);
-    assert!(calls.take_results(vec![(1, refused())]).is_empty());
+    assert_eq!(calls.apply_results(vec![(1, refused())]).len(), 1);
+    assert!(calls.apply_results(vec![(1, refused())]).is_empty());
 }
 
 /// A task would run twice. The node that was to start it did not tell in time, so the start counts as
@@ -47,7 +47,7 @@
 #[test]
 fn result_of_a_call_that_was_given_up_is_passed_over() {
     let mut calls = calls();
-    let events = calls.give_up();
+    let events = calls.abandon_all();
     let is_unknown = |event: &Event| {
         matches!(
             event,
@@ -62,22 +62,22 @@
     };
     assert_eq!(events.iter().filter(|event| is_unknown(event)).count(), 2);
     calls.add(3, 7, CallSubject::Start(task(), 1), 3_000);
-    assert!(calls.take_results(vec![(1, refused())]).is_empty());
+    assert!(calls.apply_results(vec![(1, refused())]).is_empty());
     assert_eq!(calls.count(), 1);
 }
 
 #[test]
 fn call_that_was_not_taken_is_made_elsewhere_once() {
     let mut calls = calls();
-    assert_eq!(calls.take_back(1), Some(7));
-    assert_eq!(calls.take_back(1), None);
+    assert_eq!(calls.withdraw(1), Some(7));
+    assert_eq!(calls.withdraw(1), None);
     assert_eq!(calls.count(), 1);
 }
 
 #[test]
 fn result_of_another_kind_of_call_is_none() {
     let result = CallResult::Paced(true);
-    assert!(calls().take_results(vec![(2, result)]).is_empty());
+    assert!(calls().apply_results(vec![(2, result)]).is_empty());
 }
 
 #[test]
