--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -8,7 +8,7 @@
             CallNumber, DELEGATE_CALLS_PATH, DelegateReply, DelegateRequest, DelegatedCall,
         },
         members::Member,
-        owner::{Owner, OwnerMessage},
+        owner::{OwnerActor, OwnerMessage},
         pending::PendingCalls,
     },
     compact_str::CompactString,
@@ -65,7 +65,7 @@
 pub struct DelegatePool {
     epoch: u64,
     own_address: SocketAddr,
-    actor: ActorRef<Owner>,
+    actor: ActorRef<OwnerActor>,
     clients: Arc<Clients>,
     assignments: EndpointAssignments,
     /// Sorted by address.
@@ -80,7 +80,7 @@
     pub fn new(
         epoch: u64,
         own_address: SocketAddr,
-        actor: ActorRef<Owner>,
+        actor: ActorRef<OwnerActor>,
         clients: Arc<Clients>,
         assignments: EndpointAssignments,
     ) -> Self {
@@ -235,7 +235,7 @@
     client: Client,
     epoch: u64,
     owner: SocketAddr,
-    actor: ActorRef<Owner>,
+    actor: ActorRef<OwnerActor>,
 ) {
     let limit = Duration::from_millis(ACCEPT_TIMEOUT_MS);
     loop {
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -5,7 +5,7 @@
     crate::{
         calls::EndpointCall,
         delegate_pool::DelegatePool,
-        owner::{Owner, OwnerMessage},
+        owner::{OwnerActor, OwnerMessage},
     },
     compact_str::CompactString,
     kameo::actor::ActorRef,
@@ -20,20 +20,20 @@
 };
 
 /// Pause before a wave's status is published again, in milliseconds.
-const PUBLISH_RETRY_MS: u64 = 250;
+const PUBLISH_RETRY_DELAY_MS: u64 = 250;
 
 /// Calls of one owner.
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Nodes that call endpoints for this owner.
     pub(crate) delegates: DelegatePool,
-    calls: Calls,
+    calls: LocalCalls,
 }
 
 /// Calls that this node makes itself.
 #[derive(Clone, Debug)]
-pub struct Calls {
-    actor: ActorRef<Owner>,
+pub struct LocalCalls {
+    actor: ActorRef<OwnerActor>,
     endpoints: EndpointCalls,
     vms: Option<VmCalls>,
     advice: Option<AdviceCalls>,
@@ -43,12 +43,12 @@
 impl Dispatcher {
     /// Creates the calls of an owner.
     #[must_use]
-    pub fn new(delegates: DelegatePool, calls: Calls) -> Self {
+    pub fn new(delegates: DelegatePool, calls: LocalCalls) -> Self {
         Self { delegates, calls }
     }
 
     /// Carries an effect out, without waiting for it.
-    pub fn carry_out(&mut self, effect: Effect, endpoints: &Endpoints, now: Now) {
+    pub fn execute(&mut self, effect: Effect, endpoints: &Endpoints, now: Now) {
         let (key, call) = match effect {
             Effect::Start(order) => (order.endpoint, EndpointCall::Start(order)),
             Effect::Stop {
@@ -77,7 +77,7 @@
             } => (endpoint, EndpointCall::Pace(task, run, percent)),
             other => {
                 let calls = self.calls.clone();
-                tokio::spawn(async move { calls.call_platform(other).await });
+                tokio::spawn(async move { calls.execute_platform_effect(other).await });
                 return;
             }
         };
@@ -88,32 +88,32 @@
         };
         let delegates = &mut self.delegates;
         if let Some((to, call)) = delegates.delegate(key, &endpoint.zone, to, call, now.steady_ms) {
-            self.call_here(key, to, call);
+            self.call_locally(key, to, call);
         }
     }
 
     /// Makes a call to an endpoint from this node, without waiting for it.
-    pub fn call_here(&self, key: EndpointKey, to: EndpointAddress, call: EndpointCall) {
+    pub fn call_locally(&self, key: EndpointKey, to: EndpointAddress, call: EndpointCall) {
         let calls = self.calls.clone();
         tokio::spawn(async move {
             let result = call.execute(&calls.endpoints, &to).await;
             if let Some(event) = call.subject().result_event(key, result) {
-                calls.tell(event).await;
+                calls.send_event(event).await;
             }
         });
     }
 
     /// Closes connections to endpoints that are not used any more.
-    pub fn prune(&self) {
+    pub fn prune_connections(&self) {
         self.calls.endpoints.prune();
     }
 }
 
-impl Calls {
+impl LocalCalls {
     /// Creates the calls of an owner that its own node makes.
     #[must_use]
     pub fn new(
-        actor: ActorRef<Owner>,
+        actor: ActorRef<OwnerActor>,
         endpoints: EndpointCalls,
         vms: Option<VmCalls>,
         advice: Option<AdviceCalls>,
@@ -128,9 +128,9 @@
         }
     }
 
-    async fn call_platform(&self, effect: Effect) {
+    async fn execute_platform_effect(&self, effect: Effect) {
         match effect {
-            Effect::Advise { step, endpoints } => self.advise(step, &endpoints).await,
+            Effect::Advise { step, endpoints } => self.request_advice(step, &endpoints).await,
             Effect::Move { vm, pool } => {
                 let Some(calls) = &self.vms else {
                     return;
@@ -140,7 +140,7 @@
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
                     ""
                 );
-                self.tell(Event::VmAnswer { vm, outcome }).await;
+                self.send_event(Event::VmAnswer { vm, outcome }).await;
             }
             Effect::Maintain { vm, wave } => {
                 let Some(calls) = &self.vms else {
@@ -151,7 +151,7 @@
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
                     ""
                 );
-                self.tell(Event::VmAnswer { vm, outcome }).await;
+                self.send_event(Event::VmAnswer { vm, outcome }).await;
             }
             Effect::PublishWave { wave, is_completed } => self.publish(wave, is_completed).await,
             // The actor answers callers and resigns by itself.
@@ -159,7 +159,7 @@
         }
     }
 
-    async fn advise(&self, step: TaskRef, endpoints: &[CompactString]) {
+    async fn request_advice(&self, step: TaskRef, endpoints: &[CompactString]) {
         let answer = match &self.advice {
             Some(calls) => calls.ask(&step, endpoints).await,
             None => Err("no such service in the settings".into()),
@@ -170,10 +170,10 @@
             ""
         );
         let answer = answer.ok();
-        self.tell(Event::Advised { step, answer }).await;
+        self.send_event(Event::Advised { step, answer }).await;
     }
 
-    async fn tell(&self, event: Event) {
+    async fn send_event(&self, event: Event) {
         // The actor ends with the ownership; its successor asks the endpoints itself.
         drop(self.actor.tell(OwnerMessage::event(event)).send().await);
     }
@@ -192,7 +192,7 @@
             if matches!(outcome, AppendOutcome::Stored { .. }) {
                 return;
             }
-            sleep(Duration::from_millis(PUBLISH_RETRY_MS)).await;
+            sleep(Duration::from_millis(PUBLISH_RETRY_DELAY_MS)).await;
         }
     }
 }
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -144,7 +144,7 @@
             listed.retain(|id| {
                 let is_kept = records.iter().any(|record| record.key == *id);
                 if !is_kept {
-                    owner.offer(OwnerMessage::event(Event::Unlisted(id.as_str().into())));
+                    owner.try_send(OwnerMessage::event(Event::Unlisted(id.as_str().into())));
                 }
                 is_kept
             });
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -339,7 +339,7 @@
         let config = Arc::new(config);
         self.config.store(Arc::clone(&config));
         if let Some(owner) = self.owner.load_full() {
-            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::Config(config)));
+            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::Config(config)));
         }
     }
 
@@ -357,7 +357,7 @@
         }
         drop(waves);
         if let Some(owner) = self.owner.load_full() {
-            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::Wave(order)));
+            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::Wave(order)));
         }
     }
 }
@@ -456,7 +456,7 @@
     info!(event = "stopping"; "");
     node.stopping.begin();
     if let Some(owner) = node.owner.load_full() {
-        owner.offer(OwnerMessage::Release);
+        owner.try_send(OwnerMessage::Release);
     }
     tokio::time::sleep(Duration::from_millis(LEAVE_MS)).await;
     node.closing.begin();
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -52,7 +52,7 @@
     /// Another node that makes calls for this owner does not answer.
     DelegateLost(SocketAddr),
     /// The batch under way with this number is stored.
-    Stored(u64),
+    BatchStored(u64),
     /// A newer owner writes or gives orders.
     Deposed,
     /// The node is stopping: hand over.
@@ -72,15 +72,15 @@
 pub struct OwnerHandle {
     /// Epoch of the ownership.
     pub epoch: u64,
-    actor: ActorRef<Owner>,
+    actor: ActorRef<OwnerActor>,
     renewed_ms: Arc<AtomicU64>,
-    duties: Mutex<Vec<JoinHandle<()>>>,
-    renewals: Mutex<Option<JoinHandle<()>>>,
+    tasks: Mutex<Vec<JoinHandle<()>>>,
+    renewal_task: Mutex<Option<JoinHandle<()>>>,
 }
 
 impl OwnerHandle {
     /// Sends a message without waiting; it is lost when the mailbox is full or the actor gone.
-    pub fn offer(&self, message: OwnerMessage) {
+    pub fn try_send(&self, message: OwnerMessage) {
         if let Err(error) = self.actor.tell(message).try_send() {
             warn!(event = "owner_message_lost", reason = error.to_string().as_str(); "");
         }
@@ -98,47 +98,53 @@
         now_ms < self.renewed_ms.load(Ordering::Relaxed) + age_ms
     }
 
-    pub(crate) fn new(epoch: u64, actor: ActorRef<Owner>, renewed_ms: Arc<AtomicU64>) -> Self {
+    pub(crate) fn new(epoch: u64, actor: ActorRef<OwnerActor>, renewed_ms: Arc<AtomicU64>) -> Self {
         Self {
             epoch,
             actor,
             renewed_ms,
-            duties: Mutex::default(),
-            renewals: Mutex::default(),
+            tasks: Mutex::default(),
+            renewal_task: Mutex::default(),
         }
     }
 
     /// Takes the task that renews the ownership.
-    pub(crate) fn renew_by(&self, renewals: JoinHandle<()>) {
-        let mut known = self.renewals.lock().unwrap_or_else(PoisonError::into_inner);
-        *known = Some(renewals);
+    pub(crate) fn set_renewal_task(&self, renewal_task: JoinHandle<()>) {
+        let mut known = self
+            .renewal_task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *known = Some(renewal_task);
     }
 
     /// Renews the ownership no more, and counts as not renewed from now on: another owner may be
     /// there at any moment, so that this one gives no order for a VM and denies no job. Tells whether
     /// it was renewed until now.
-    fn end_renewals(&self) -> bool {
+    fn stop_renewals(&self) -> bool {
         self.renewed_ms.store(0, Ordering::Relaxed);
-        let mut known = self.renewals.lock().unwrap_or_else(PoisonError::into_inner);
-        let renewals = known.take();
-        if let Some(renewals) = &renewals {
-            renewals.abort();
+        let mut known = self
+            .renewal_task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let renewal_task = known.take();
+        if let Some(renewal_task) = &renewal_task {
+            renewal_task.abort();
         }
-        renewals.is_some()
+        renewal_task.is_some()
     }
 
-    pub(crate) fn add_duty(&self, duty: JoinHandle<()>) {
-        let mut duties = self.duties.lock().unwrap_or_else(PoisonError::into_inner);
-        duties.push(duty);
+    pub(crate) fn add_task(&self, task: JoinHandle<()>) {
+        let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
+        tasks.push(task);
     }
 
-    fn end_duties(&self) {
-        let mut duties = self.duties.lock().unwrap_or_else(PoisonError::into_inner);
-        for duty in duties.drain(..) {
-            duty.abort();
+    fn abort_tasks(&self) {
+        let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
+        for task in tasks.drain(..) {
+            task.abort();
         }
-        drop(duties);
-        self.end_renewals();
+        drop(tasks);
+        self.stop_renewals();
     }
 }
 
@@ -153,7 +159,7 @@
 
 /// The actor.
 #[derive(Actor)]
-pub struct Owner {
+pub struct OwnerActor {
     node: Arc<Node>,
     epoch: u64,
     engine: Engine,
@@ -163,46 +169,47 @@
     load: OwnerLoad,
     is_store_unavailable: bool,
     /// Callers that wait, sorted by token.
-    waiting: Vec<(ReplyToken, oneshot::Sender<OwnerResponse>)>,
-    next_token: ReplyToken,
+    pending_replies: Vec<(ReplyToken, oneshot::Sender<OwnerResponse>)>,
+    last_token: ReplyToken,
 }
 
-impl Message<OwnerMessage> for Owner {
+impl Message<OwnerMessage> for OwnerActor {
     type Reply = ();
 
     async fn handle(&mut self, message: OwnerMessage, context: &mut Context<Self, ()>) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let now = clock::now();
         match message {
             OwnerMessage::Event(event) => self.engine.handle(*event, now),
             OwnerMessage::Tick(sent_ms) => {
-                self.load.note_wait(now.steady_ms.saturating_sub(sent_ms));
+                self.load
+                    .record_delay(now.steady_ms.saturating_sub(sent_ms));
                 self.update_store_status(now);
-                self.take_config(now);
+                self.refresh_config(now);
                 // Only while nobody else can believe to be the owner.
-                self.engine.allow_vm_orders(self.is_fresh(now));
+                self.engine.allow_vm_orders(self.is_recently_renewed(now));
                 self.engine.handle(Event::Tick, now);
                 self.tick_delegates(now);
             }
             OwnerMessage::DelegateResults(address, results) => {
                 let events = self.dispatcher.delegates.apply_results(address, results);
-                self.handle_all(events, now);
+                self.handle_events(events, now);
             }
-            OwnerMessage::CallsRefused(address, calls) => self.call_here(address, calls, now),
+            OwnerMessage::CallsRefused(address, calls) => self.call_locally(address, calls, now),
             OwnerMessage::DelegateLost(address) => {
                 let events = self.dispatcher.delegates.mark_lost(address, now.steady_ms);
-                self.handle_all(events, now);
+                self.handle_events(events, now);
             }
             OwnerMessage::CallerRequest(request, reply) => self.handle_request(request, reply, now),
-            OwnerMessage::Stored(number) => {
+            OwnerMessage::BatchStored(number) => {
                 for batch in self.in_flight.mark_stored(number, now.steady_ms) {
                     let effects = self.engine.committed(batch, now);
-                    self.carry_out(effects, now, context);
+                    self.execute_effects(effects, now, context);
                 }
             }
             OwnerMessage::Deposed => {
                 info!(event = "deposed", epoch = self.epoch; "");
-                self.end(context);
+                self.stop(context);
                 return;
             }
             OwnerMessage::Release => {
@@ -211,7 +218,7 @@
                 // way then is either stored before, or refused; callers that wait for it are asked
                 // about again at the successor.
                 let owner = self.node.owner.load_full();
-                if owner.is_some_and(|owner| !owner.end_renewals()) {
+                if owner.is_some_and(|owner| !owner.stop_renewals()) {
                     return;
                 }
                 let node = Arc::clone(&self.node);
@@ -220,17 +227,17 @@
             }
         }
         let effects = self.engine.take_at_once();
-        self.carry_out(effects, now, context);
-        self.write(now, context);
+        self.execute_effects(effects, now, context);
+        self.store_batches(now, context);
         // Placing asks for advice at once.
         let effects = self.engine.take_at_once();
-        self.carry_out(effects, now, context);
+        self.execute_effects(effects, now, context);
         notes::log_notes(self.epoch, &self.engine.take_notes());
-        self.load.note_message(begun);
+        self.load.record_message(started);
     }
 }
 
-impl Owner {
+impl OwnerActor {
     /// Creates the actor of an epoch.
     pub(crate) fn new(
         node: Arc<Node>,
@@ -248,13 +255,13 @@
             in_flight: InFlightBatches::default(),
             load: OwnerLoad::default(),
             is_store_unavailable: false,
-            waiting: Vec::new(),
-            next_token: 0,
+            pending_replies: Vec::new(),
+            last_token: 0,
         }
     }
 
     /// Hands the engine a configuration whose event was lost, or came before this owner was there.
-    fn take_config(&mut self, now: Now) {
+    fn refresh_config(&mut self, now: Now) {
         let config = self.node.config.load();
         if config.version > self.engine.config_version() {
             self.engine.handle(Event::Config(Arc::clone(&config)), now);
@@ -276,29 +283,29 @@
         self.engine.set_store_away(is_unavailable);
     }
 
-    fn handle_all(&mut self, events: Vec<Event>, now: Now) {
+    fn handle_events(&mut self, events: Vec<Event>, now: Now) {
         for event in events {
             self.engine.handle(event, now);
         }
     }
 
     /// Makes calls from here that another node did not take.
-    fn call_here(&mut self, address: SocketAddr, calls: Vec<DelegatedCall>, now: Now) {
+    fn call_locally(&mut self, address: SocketAddr, calls: Vec<DelegatedCall>, now: Now) {
         let delegates = &mut self.dispatcher.delegates;
         let (own, events) = delegates.handle_refusal(address, calls, now.steady_ms);
         for (key, DelegatedCall { to, mut call, .. }) in own {
-            if self.add_payload(&mut call) {
-                self.dispatcher.call_here(key, to, call);
+            if self.attach_payload(&mut call) {
+                self.dispatcher.call_locally(key, to, call);
             } else if let Some(event) = call.subject().unknown_outcome_event(key) {
                 self.engine.handle(event, now);
             }
         }
-        self.handle_all(events, now);
+        self.handle_events(events, now);
     }
 
     /// Adds the payload that is left out of a start on its way to another node; tells whether the call
     /// is whole. A start without its payload would run something else than the caller sent.
-    fn add_payload(&self, call: &mut EndpointCall) -> bool {
+    fn attach_payload(&self, call: &mut EndpointCall) -> bool {
         let EndpointCall::Start(order) = call else {
             return true;
         };
@@ -316,10 +323,13 @@
         let is_called = |key| !endpoints.get(key).is_over;
         let delegates = &mut self.dispatcher.delegates;
         let events = delegates.tick(&members, is_called, now.steady_ms);
-        self.handle_all(events, now);
+        self.handle_events(events, now);
         let delegated_counts = self.dispatcher.delegates.delegated_counts();
-        if self.load.log(self.epoch, delegated_counts, now.steady_ms) {
-            self.dispatcher.prune();
+        if self
+            .load
+            .log_if_due(self.epoch, delegated_counts, now.steady_ms)
+        {
+            self.dispatcher.prune_connections();
         }
     }
 
@@ -340,7 +350,7 @@
                 let Ok(job) = job.parse::<JobId>() else {
                     return send_reply(reply, OwnerResponse::Refused);
                 };
-                let token = self.wait(reply);
+                let token = self.add_pending_reply(reply);
                 let event = Event::Submit {
                     job,
                     queue,
@@ -355,10 +365,10 @@
                 let Ok(job) = job.parse::<JobId>() else {
                     return send_reply(reply, OwnerResponse::Unknown);
                 };
-                if !self.may_deny(job, now) {
+                if !self.can_report_unknown(job, now) {
                     return send_reply(reply, OwnerResponse::Unclear);
                 }
-                let token = self.wait(reply);
+                let token = self.add_pending_reply(reply);
                 let event = Event::Cancel {
                     job,
                     account,
@@ -366,14 +376,14 @@
                 };
                 return self.engine.handle(event, now);
             }
-            CallerRequest::State { job, account } => self.state(&job, &account, now),
+            CallerRequest::State { job, account } => self.state_response(&job, &account, now),
             CallerRequest::Pending { queue } => OwnerResponse::Pending(self.engine.pending(&queue)),
         };
         send_reply(reply, answer);
     }
 
     /// Tells a job's state.
-    fn state(&self, job: &str, account: &str, now: Now) -> OwnerResponse {
+    fn state_response(&self, job: &str, account: &str, now: Now) -> OwnerResponse {
         let Ok(job) = job.parse::<JobId>() else {
             return OwnerResponse::Unknown;
         };
@@ -383,7 +393,7 @@
         if let Some(state) = self.engine.shown(job) {
             return OwnerResponse::State(state);
         }
-        if self.may_deny(job, now) && !self.engine.is_unstored(job) {
+        if self.can_report_unknown(job, now) && !self.engine.is_unstored(job) {
             OwnerResponse::Unknown
         } else {
             OwnerResponse::Unclear
@@ -394,25 +404,25 @@
     ///
     /// An owner that was cut off or suspended does not know the jobs of its successor; a caller
     /// would be told that its accepted job is gone, or that there was nothing to cancel.
-    fn may_deny(&self, job: JobId, now: Now) -> bool {
-        self.engine.shown(job).is_some() || self.is_fresh(now)
+    fn can_report_unknown(&self, job: JobId, now: Now) -> bool {
+        self.engine.shown(job).is_some() || self.is_recently_renewed(now)
     }
 
     /// Tells whether the last renewal is so recent that nobody else can believe to be the owner.
-    fn is_fresh(&self, now: Now) -> bool {
+    fn is_recently_renewed(&self, now: Now) -> bool {
         let owner = self.node.owner.load();
         owner
             .as_ref()
             .is_some_and(|owner| owner.is_renewed_within(now.steady_ms, FRESH_RENEWAL_MS))
     }
 
-    fn wait(&mut self, reply: oneshot::Sender<OwnerResponse>) -> ReplyToken {
-        self.next_token += 1;
-        self.waiting.push((self.next_token, reply));
-        self.next_token
+    fn add_pending_reply(&mut self, reply: oneshot::Sender<OwnerResponse>) -> ReplyToken {
+        self.last_token += 1;
+        self.pending_replies.push((self.last_token, reply));
+        self.last_token
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>, now: Now, context: &Context<Self, ()>) {
+    fn execute_effects(&mut self, effects: Vec<Effect>, now: Now, context: &Context<Self, ()>) {
         for effect in effects {
             match effect {
                 Effect::Reply { token, answer } => self.reply(token, answer),
@@ -421,19 +431,18 @@
                     drop(context.actor_ref().tell(OwnerMessage::Deposed).try_send());
                 }
                 other => {
-                    self.dispatcher
-                        .carry_out(other, self.engine.endpoints(), now);
+                    self.dispatcher.execute(other, self.engine.endpoints(), now);
                 }
             }
         }
     }
 
     fn reply(&mut self, token: ReplyToken, answer: CallerAnswer) {
-        let place = self
-            .waiting
+        let index = self
+            .pending_replies
             .binary_search_by_key(&token, |(known, _)| *known);
-        if let Ok(place) = place {
-            let (_, reply) = self.waiting.remove(place);
+        if let Ok(index) = index {
+            let (_, reply) = self.pending_replies.remove(index);
             let answer = match answer {
                 CallerAnswer::Accepted => OwnerResponse::Accepted,
                 CallerAnswer::Cancelled => OwnerResponse::Cancelled,
@@ -447,7 +456,7 @@
     }
 
     /// Stores what has changed, unless a batch is under way that will soon be stored.
-    fn write(&mut self, now: Now, context: &mut Context<Self, ()>) {
+    fn store_batches(&mut self, now: Now, context: &mut Context<Self, ()>) {
         if !self.in_flight.has_capacity(now.steady_ms) {
             return;
         }
@@ -455,9 +464,9 @@
             let batch = self.engine.cut_batch(now);
             if !batch.records.is_empty() {
                 let commit = self.writer.commit(&batch.records);
-                self.load.note_batch(commit.bytes());
+                self.load.record_batch(commit.bytes());
                 let number = self.in_flight.add(batch, now.steady_ms);
-                self.store(commit, number, context);
+                self.spawn_commit(commit, number, context);
                 return;
             }
             // What a batch without records releases rests on those before it.
@@ -469,16 +478,16 @@
             if effects.is_empty() {
                 return;
             }
-            self.carry_out(effects, now, context);
+            self.execute_effects(effects, now, context);
         }
     }
 
-    fn store(&self, commit: Commit, number: u64, context: &Context<Self, ()>) {
+    fn spawn_commit(&self, commit: Commit, number: u64, context: &Context<Self, ()>) {
         let store = self.node.store.clone();
         let actor = context.actor_ref().clone();
         tokio::spawn(async move {
             let message = if commit.store(&store).await {
-                OwnerMessage::Stored(number)
+                OwnerMessage::BatchStored(number)
             } else {
                 OwnerMessage::Deposed
             };
@@ -487,10 +496,10 @@
     }
 
     /// Ends the ownership here. Callers that wait learn nothing certain.
-    fn end(&mut self, context: &mut Context<Self, ()>) {
-        self.waiting.clear();
+    fn stop(&mut self, context: &mut Context<Self, ()>) {
+        self.pending_replies.clear();
         if let Some(owner) = self.node.owner.swap(None) {
-            owner.end_duties();
+            owner.abort_tasks();
         }
         context.stop();
     }
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -97,7 +97,7 @@
     let owner = node.owner.load_full()?;
     if epoch > owner.epoch {
         // Another node has seen a later claim: this one is over, even if the store is out of reach.
-        owner.offer(OwnerMessage::Deposed);
+        owner.try_send(OwnerMessage::Deposed);
         return None;
     }
     Some(owner)
@@ -164,7 +164,7 @@
     };
     match request.ask {
         OwnershipAction::Yield => {
-            owner.offer(OwnerMessage::Release);
+            owner.try_send(OwnerMessage::Release);
             OwnershipResponse::Yielded
         }
         OwnershipAction::Alive => {
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -6,10 +6,10 @@
         clock,
         commit::{STATE_TOPIC, Writer},
         delegate_pool::DelegatePool,
-        dispatch::{Calls, Dispatcher},
+        dispatch::{Dispatcher, LocalCalls},
         feeds,
         node::Node,
-        owner::{Owner, OwnerHandle, OwnerMessage},
+        owner::{OwnerActor, OwnerHandle, OwnerMessage},
         watcher,
     },
     kameo::{actor::Spawn, mailbox},
@@ -60,7 +60,7 @@
     match prepared {
         Ok((writer, records)) => {
             let handle = start(node, epoch, begun_ms, writer, records, renewed_ms);
-            handle.renew_by(renewals);
+            handle.set_renewal_task(renewals);
         }
         Err(reason) => {
             renewals.abort();
@@ -116,7 +116,7 @@
     drop(waves);
     let jobs = engine.jobs().count();
     // The actor gets the calls with its own reference, which exists only once it is spawned.
-    let prepared = Owner::prepare_with_mailbox(mailbox::bounded(MAILBOX));
+    let prepared = OwnerActor::prepare_with_mailbox(mailbox::bounded(MAILBOX));
     let actor = prepared.actor_ref().clone();
     let endpoint_calls = EndpointCalls::new(epoch);
     let vm_calls = node
@@ -131,7 +131,7 @@
         Arc::clone(&node.peers),
         assignments,
     );
-    let calls = Calls::new(
+    let calls = LocalCalls::new(
         actor.clone(),
         endpoint_calls,
         vm_calls.clone(),
@@ -139,7 +139,7 @@
         node.store.clone(),
     );
     let dispatcher = Dispatcher::new(delegates, calls);
-    let owner = Owner::new(Arc::clone(node), epoch, engine, writer, dispatcher);
+    let owner = OwnerActor::new(Arc::clone(node), epoch, engine, writer, dispatcher);
     let handle = Arc::new(OwnerHandle::new(epoch, actor, renewed_ms));
     node.taken_epoch.store(epoch, Ordering::Relaxed);
     node.owner.store(Some(Arc::clone(&handle)));
@@ -152,17 +152,17 @@
         took_ms = took_ms;
         ""
     );
-    handle.add_duty(tokio::spawn(feeds::follow_registry(
+    handle.add_task(tokio::spawn(feeds::follow_registry(
         Arc::clone(node),
         Arc::clone(&handle),
     )));
     if let Some(vm_calls) = vm_calls {
-        handle.add_duty(tokio::spawn(feeds::follow_vms(
+        handle.add_task(tokio::spawn(feeds::follow_vms(
             vm_calls,
             Arc::clone(&handle),
         )));
     }
-    handle.add_duty(tokio::spawn(tick(Arc::clone(&handle))));
+    handle.add_task(tokio::spawn(tick(Arc::clone(&handle))));
     handle
 }
 
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -161,7 +161,7 @@
         (Some(current), Some(mine)) if current.epoch == mine.epoch => {}
         (Some(current), _) => {
             if owner.is_some_and(|owner| owner.epoch > current.epoch) {
-                current.offer(OwnerMessage::Deposed);
+                current.try_send(OwnerMessage::Deposed);
             }
         }
         // The numbers of its appends are gone with the duties that were laid down: a second life
