--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -46,7 +46,7 @@
     let fetched: Result<Option<FleetConfig>, _> =
         client.exchange(CONFIG_PATH, &request, limit).await;
     match fetched {
-        Ok(Some(config)) => node.put_config(config),
+        Ok(Some(config)) => node.activate_config(config),
         Ok(None) => {}
         Err(error) => {
             let reason = error.reason.as_str();
@@ -66,7 +66,7 @@
         fetch_from(node, owner.address, next).await;
         return;
     }
-    let mut members = node.present_members(clock::steady_ms());
+    let mut members = node.live_members(clock::steady_ms());
     // The store may turn some of them away, too.
     members.shuffle(&mut rand::rng());
     for member in members.iter().take(MOST_ASKED) {
@@ -87,7 +87,7 @@
     }
     let now_ms = clock::steady_ms();
     let asked_now = |asked_ms| (now_ms >= asked_ms + ASK_EVERY_MS).then_some(now_ms);
-    node.config_asked_ms
+    node.config_requested_ms
         .fetch_update(Ordering::Relaxed, Ordering::Relaxed, asked_now)
         .is_ok()
 }
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -122,9 +122,9 @@
                             ""
                         );
                     }
-                    node.put_config(config);
+                    node.activate_config(config);
                 }
-                Some(OperatorRecord::Wave(order)) => node.put_wave(order),
+                Some(OperatorRecord::Wave(order)) => node.record_wave_order(order),
                 None => warn!(event = "operator_record_unread", key = record.key.as_str(); ""),
             }
         }
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -267,7 +267,7 @@
         info!(
             event = kind, job:? = access.job.as_ref().map(JobId::as_str), pool = access.queue.pool.as_str(),
             account = access.account.as_str(), key:? = key.ok(), outcome:? = answer,
-            config_version = access.config_version, epoch = node.view.borrow().epoch;
+            config_version = access.config_version, epoch = node.ownership.borrow().epoch;
             ""
         );
     }
@@ -370,19 +370,19 @@
     let Some(owner) = owner else {
         return OwnerResponse::NotOwner;
     };
-    request.sender = Some(node.member());
+    request.sender = Some(node.as_member());
     let client = node.peers.get(owner.address);
     match client.exchange(OWNER_PATH, &request, limit).await {
         Ok(answer) => {
             if answer == OwnerResponse::NotOwner {
-                node.owner_doubted.notify_one();
+                node.owner_suspected.notify_one();
             } else {
-                node.record_owner_answer();
+                node.record_owner_response();
             }
             answer
         }
         Err(error) => {
-            node.owner_doubted.notify_one();
+            node.owner_suspected.notify_one();
             info!(
                 event = "forward_failed", peer:% = owner.address, epoch = owner.epoch,
                 reason = error.reason.as_str(), may_have_run = error.may_have_run;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -52,7 +52,7 @@
     assignments::EndpointAssignments,
     calls::{CallResult, CallSubject, EndpointCall},
     in_flight::{InFlightBatches, MAX_IN_FLIGHT_BATCHES, PIPELINE_DELAY_MS, STORE_UNAVAILABLE_MS},
-    members::{HEARD_MS, Member, Members},
+    members::{MEMBER_TIMEOUT_MS, Member, Members},
     node::{MetricsHandle, run},
     ownership::{
         FRESH_RENEWAL_MS, OWNER_TIMEOUT_MS, OwnerInfo, OwnershipKind, OwnershipRecord,
--- a/crates/controller/src/members.rs
+++ b/crates/controller/src/members.rs
@@ -7,7 +7,7 @@
 
 /// Age up to which a node that was heard of counts as there, in milliseconds: every node passes some
 /// request on each second while callers come.
-pub const HEARD_MS: u64 = 5_000;
+pub const MEMBER_TIMEOUT_MS: u64 = 5_000;
 
 /// A node, as it says of itself with every request that it passes on.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -25,25 +25,28 @@
 /// Nodes heard of, sorted by address.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    rows: Vec<(Member, u64)>,
+    members: Vec<(Member, u64)>,
 }
 
 impl Members {
     /// Takes in that a node was heard of.
-    pub fn note(&mut self, member: Member, now_ms: u64) {
-        let place = self
-            .rows
+    pub fn record(&mut self, member: Member, now_ms: u64) {
+        let index = self
+            .members
             .binary_search_by_key(&member.address, |(known, _)| known.address);
-        match place {
-            Ok(place) => self.rows[place] = (member, now_ms),
-            Err(place) => self.rows.insert(place, (member, now_ms)),
+        match index {
+            Ok(index) => self.members[index] = (member, now_ms),
+            Err(index) => self.members.insert(index, (member, now_ms)),
         }
     }
 
     /// Returns the nodes that count as there, and forgets the others.
-    pub fn present(&mut self, now_ms: u64) -> Vec<Member> {
-        self.rows
-            .retain(|(_, heard_ms)| now_ms < heard_ms + HEARD_MS);
-        self.rows.iter().map(|(member, _)| member.clone()).collect()
+    pub fn live(&mut self, now_ms: u64) -> Vec<Member> {
+        self.members
+            .retain(|(_, last_heard_ms)| now_ms < last_heard_ms + MEMBER_TIMEOUT_MS);
+        self.members
+            .iter()
+            .map(|(member, _)| member.clone())
+            .collect()
     }
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -35,31 +35,31 @@
 
 /// Longest lease granted to endpoints, in milliseconds: it outlives an owner's loss and its
 /// successor's start by some seconds, and bounds how long the runs of a dead endpoint are missing.
-const LEASE_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 
 /// Time for which an ended job is remembered beyond what callers are promised, in milliseconds.
 const RETENTION_SLACK_MS: u64 = 30_000;
 
 /// Time for which a stopping node goes on taking connections, in milliseconds: the balancer asks
 /// each second and believes the second miss.
-const LEAVE_MS: u64 = 2_600;
+const CONNECTION_DRAIN_MS: u64 = 2_600;
 
 /// Time that is kept of the grace period for the last answers, in milliseconds.
-const LAST_ANSWERS_MS: u64 = 1_200;
+const FINAL_RESPONSES_MS: u64 = 1_200;
 
 /// Time without contact to the store after which a node is not ready, in milliseconds: one poll
 /// and its slack.
-const OUT_OF_TOUCH_MS: u64 = 1_800;
+const READY_CONTACT_MS: u64 = 1_800;
 
 /// Time without contact to the store after which an owner counts as cut off from it, in
 /// milliseconds: the longest wait of a poll, and a little.
-const CONTACT_MS: u64 = 750;
+const OWNER_CONTACT_MS: u64 = 750;
 
 /// Time between summing up the samples of the metrics, in milliseconds: the recorder's own default.
-const METRICS_UPKEEP_MS: u64 = 5_000;
+const METRICS_UPKEEP_INTERVAL_MS: u64 = 5_000;
 
 /// Connections to another node at most.
-const PEER_CONNECTIONS: usize = 32;
+const MAX_PEER_CONNECTIONS: usize = 32;
 
 /// Renders the metrics as text; what renders them is the program's choice.
 #[derive(Clone)]
@@ -103,7 +103,7 @@
     /// Life of this process; no two share it.
     pub incarnation: u64,
     /// When this process began, on the steady clock in milliseconds.
-    pub begun_ms: u64,
+    pub started_ms: u64,
     /// Address at which it takes other nodes' requests.
     pub peer_address: SocketAddr,
     /// Speed of its processor.
@@ -117,13 +117,13 @@
     /// When what operators write was read last, on the steady clock in milliseconds.
     pub config_read_ms: AtomicU64,
     /// When others were asked last for a newer configuration, on the steady clock in milliseconds.
-    pub config_asked_ms: AtomicU64,
+    pub config_requested_ms: AtomicU64,
     /// Held while another node's configuration is fetched.
     pub config_fetch: tokio::sync::Mutex<()>,
     /// Orders of maintenance that were read.
-    pub waves: Mutex<Vec<WaveOrder>>,
+    pub wave_orders: Mutex<Vec<WaveOrder>>,
     /// What is known of ownership.
-    pub view: tokio::sync::watch::Sender<OwnershipView>,
+    pub ownership: tokio::sync::watch::Sender<OwnershipView>,
     /// Nodes that passed requests on to this one lately.
     pub members: Mutex<Members>,
     /// Payloads of jobs that came in here, or that were fetched for calls.
@@ -133,17 +133,17 @@
     /// Given when nothing listens at the owner's address.
     pub owner_refused: Notify,
     /// Given when the owner did not answer a request as its owner would.
-    pub owner_doubted: Notify,
+    pub owner_suspected: Notify,
     /// The owner's duties while this node is the owner.
     pub owner: ArcSwapOption<OwnerHandle>,
     /// Epoch that this node is taking over at the moment; 0 for none.
-    pub taking_over: AtomicU64,
+    pub takeover_epoch: AtomicU64,
     /// Epoch under which this process has written; it is never taken up twice.
-    pub taken_epoch: AtomicU64,
+    pub last_owned_epoch: AtomicU64,
     /// When the owner answered a request of this node last, on the steady clock in milliseconds.
-    pub owner_answered_ms: AtomicU64,
+    pub last_owner_response_ms: AtomicU64,
     /// When the store was reached last, on the steady clock in milliseconds.
-    pub contact_ms: AtomicU64,
+    pub last_store_contact_ms: AtomicU64,
     /// Renders the metrics as text.
     pub metrics: MetricsHandle,
     /// Given when the node has to stop.
@@ -162,28 +162,28 @@
             .unwrap_or_else(|_| settings.callers.ip());
         Self {
             incarnation: rand::random(),
-            begun_ms: clock::steady_ms(),
+            started_ms: clock::steady_ms(),
             cpu_speed: Mutex::default(),
             peer_address: SocketAddr::new(ip, settings.peer_ports.0),
             store: StoreClient::new(settings.store),
-            peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
+            peers: Arc::new(Clients::new(MAX_PEER_CONNECTIONS)),
             config: ArcSwap::default(),
             config_read_ms: AtomicU64::new(0),
-            config_asked_ms: AtomicU64::new(0),
+            config_requested_ms: AtomicU64::new(0),
             config_fetch: tokio::sync::Mutex::default(),
-            waves: Mutex::default(),
-            view: tokio::sync::watch::Sender::default(),
+            wave_orders: Mutex::default(),
+            ownership: tokio::sync::watch::Sender::default(),
             owner: ArcSwapOption::empty(),
             members: Mutex::default(),
             payloads: PayloadCache::default(),
             delegate_worker: DelegateWorker::default(),
             owner_refused: Notify::new(),
-            owner_doubted: Notify::new(),
+            owner_suspected: Notify::new(),
             metrics,
-            taking_over: AtomicU64::new(0),
-            taken_epoch: AtomicU64::new(0),
-            owner_answered_ms: AtomicU64::new(0),
-            contact_ms: AtomicU64::new(0),
+            takeover_epoch: AtomicU64::new(0),
+            last_owned_epoch: AtomicU64::new(0),
+            last_owner_response_ms: AtomicU64::new(0),
+            last_store_contact_ms: AtomicU64::new(0),
             stopping: Shutdown::new(),
             closing: Shutdown::new(),
             settings,
@@ -191,8 +191,9 @@
     }
 
     /// Records that the store was reached.
-    pub fn record_contact(&self) {
-        self.contact_ms.store(clock::steady_ms(), Ordering::Relaxed);
+    pub fn record_store_contact(&self) {
+        self.last_store_contact_ms
+            .store(clock::steady_ms(), Ordering::Relaxed);
     }
 
     /// Records that what operators write was read.
@@ -201,41 +202,41 @@
         self.config_read_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    fn has_contact_within(&self, now_ms: u64, age_ms: u64) -> bool {
-        now_ms < self.contact_ms.load(Ordering::Relaxed) + age_ms
+    fn was_store_reached_within(&self, now_ms: u64, age_ms: u64) -> bool {
+        now_ms < self.last_store_contact_ms.load(Ordering::Relaxed) + age_ms
     }
 
     /// Records that the owner answered a request of this node.
-    pub fn record_owner_answer(&self) {
-        self.owner_answered_ms
+    pub fn record_owner_response(&self) {
+        self.last_owner_response_ms
             .store(clock::steady_ms(), Ordering::Relaxed);
     }
 
     /// Tells whether the owner answered within the last `age_ms`.
     #[must_use]
-    pub fn has_owner_answered_within(&self, now_ms: u64, age_ms: u64) -> bool {
-        now_ms < self.owner_answered_ms.load(Ordering::Relaxed) + age_ms
+    pub fn has_owner_responded_within(&self, now_ms: u64, age_ms: u64) -> bool {
+        now_ms < self.last_owner_response_ms.load(Ordering::Relaxed) + age_ms
     }
 
     /// Tells whether the store was reached within one poll.
     #[must_use]
-    pub fn is_in_contact(&self, now_ms: u64) -> bool {
-        self.has_contact_within(now_ms, CONTACT_MS)
+    pub fn is_store_reachable(&self, now_ms: u64) -> bool {
+        self.was_store_reached_within(now_ms, OWNER_CONTACT_MS)
     }
 
     /// Returns the highest epoch heard of, and the owner if there is one.
     #[must_use]
     pub fn known_owner(&self) -> (u64, Option<OwnerInfo>) {
-        let view = self.view.borrow();
+        let view = self.ownership.borrow();
         (view.epoch, view.owner)
     }
 
-    fn record_benchmark(&self, took: Duration) {
+    fn record_benchmark(&self, elapsed: Duration) {
         let mut speed = self
             .cpu_speed
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        speed.record(took);
+        speed.record(elapsed);
     }
 
     /// Returns the processor that the node has at the moment, in thousandths of a core.
@@ -250,7 +251,7 @@
 
     /// Returns what this node says of itself to others.
     #[must_use]
-    pub fn member(&self) -> Member {
+    pub fn as_member(&self) -> Member {
         Member {
             address: self.peer_address,
             zone: self.settings.zone.clone(),
@@ -262,14 +263,14 @@
     /// Records a node that passed a request on to this one.
     pub fn record_member(&self, member: Member) {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
-        members.note(member, clock::steady_ms());
+        members.record(member, clock::steady_ms());
     }
 
     /// Returns the other nodes that count as there.
     #[must_use]
-    pub fn present_members(&self, now_ms: u64) -> Vec<Member> {
+    pub fn live_members(&self, now_ms: u64) -> Vec<Member> {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
-        members.present(now_ms)
+        members.live(now_ms)
     }
 
     /// Returns a record of this node for the ownership log.
@@ -295,7 +296,7 @@
     pub fn is_ready(&self) -> bool {
         self.config.load().version > 0
             && !self.stopping.has_begun()
-            && self.has_contact_within(clock::steady_ms(), OUT_OF_TOUCH_MS)
+            && self.was_store_reached_within(clock::steady_ms(), READY_CONTACT_MS)
     }
 
     /// Returns the bounds for the engine.
@@ -303,7 +304,7 @@
     pub fn engine_settings(&self) -> EngineSettings {
         let bounds = &self.settings.bounds;
         EngineSettings {
-            lease_ms: bounds.max_lease_ms.min(LEASE_MS),
+            lease_ms: bounds.max_lease_ms.min(MAX_LEASE_MS),
             retention_ms: bounds.retention_ms + RETENTION_SLACK_MS,
             maintenance_ms: bounds.maintenance_ms,
             vm_holder_ms: bounds.vm_holder_ms,
@@ -314,13 +315,13 @@
     /// Records that nothing listens at the address of the owner of an epoch.
     pub fn record_owner_refused(&self, epoch: u64) {
         let now_ms = clock::steady_ms();
-        self.view
+        self.ownership
             .send_modify(|view| view.record_refused_connection(epoch, now_ms));
         self.owner_refused.notify_one();
     }
 
     /// Activates a configuration, unless it is older than the active one.
-    pub fn put_config(&self, config: FleetConfig) {
+    pub fn activate_config(&self, config: FleetConfig) {
         if config.version <= self.config.load().version {
             return;
         }
@@ -344,16 +345,19 @@
     }
 
     /// Records an order of maintenance.
-    pub fn put_wave(&self, order: WaveOrder) {
+    pub fn record_wave_order(&self, order: WaveOrder) {
         info!(
             event = "wave_order", wave = order.wave, vms = order.vms.len(),
             duration_s = order.duration_s, max_count = order.max_count;
             ""
         );
-        let mut waves = self.waves.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut waves = self
+            .wave_orders
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         match waves.binary_search_by_key(&order.wave, |known| known.wave) {
-            Ok(place) => waves[place] = order.clone(),
-            Err(place) => waves.insert(place, order.clone()),
+            Ok(index) => waves[index] = order.clone(),
+            Err(index) => waves.insert(index, order.clone()),
         }
         drop(waves);
         if let Some(owner) = self.owner.load_full() {
@@ -381,20 +385,20 @@
     let ready = ready::bind(&node).await?;
     tokio::spawn(feeds::follow_operator(Arc::clone(&node)));
     tokio::spawn(watcher::watch(Arc::clone(&node)));
-    tokio::spawn(sum_up_metrics(node.metrics.clone()));
+    tokio::spawn(run_metrics_upkeep(node.metrics.clone()));
     tokio::spawn(monitor_cpu_speed(Arc::clone(&node)));
     let callers = tokio::spawn(ingress::serve(Arc::clone(&node), callers));
     tokio::spawn(peer_server::serve(Arc::clone(&node), peers));
     tokio::spawn(ready::serve(Arc::clone(&node), ready));
     signals.wait_for_stop().await;
-    stop(&node).await;
-    let rest_ms = node
+    begin_shutdown(&node).await;
+    let remaining_ms = node
         .settings
         .bounds
         .grace_ms
-        .saturating_sub(LEAVE_MS + LAST_ANSWERS_MS);
-    let ended = tokio::time::timeout(Duration::from_millis(rest_ms), callers).await;
-    info!(event = "stop", is_complete = ended.is_ok(), at_ms = clock::wall_ms(); "");
+        .saturating_sub(CONNECTION_DRAIN_MS + FINAL_RESPONSES_MS);
+    let drained = tokio::time::timeout(Duration::from_millis(remaining_ms), callers).await;
+    info!(event = "stop", is_complete = drained.is_ok(), at_ms = clock::wall_ms(); "");
     Ok(())
 }
 
@@ -403,8 +407,8 @@
     let nominal_millis = node.settings.cpu_millis;
     let mut was_slowed = false;
     loop {
-        let took = speed::run_benchmark();
-        node.record_benchmark(took);
+        let elapsed = speed::run_benchmark();
+        node.record_benchmark(elapsed);
         let cpu_millis = node.cpu_millis();
         let is_slowed = cpu_millis < nominal_millis;
         if is_slowed != was_slowed {
@@ -415,9 +419,9 @@
     }
 }
 
-async fn sum_up_metrics(metrics: MetricsHandle) {
+async fn run_metrics_upkeep(metrics: MetricsHandle) {
     loop {
-        tokio::time::sleep(Duration::from_millis(METRICS_UPKEEP_MS)).await;
+        tokio::time::sleep(Duration::from_millis(METRICS_UPKEEP_INTERVAL_MS)).await;
         (metrics.upkeep)();
     }
 }
@@ -452,12 +456,12 @@
     }
 }
 
-async fn stop(node: &Node) {
+async fn begin_shutdown(node: &Node) {
     info!(event = "stopping"; "");
     node.stopping.begin();
     if let Some(owner) = node.owner.load_full() {
         owner.try_send(OwnerMessage::Release);
     }
-    tokio::time::sleep(Duration::from_millis(LEAVE_MS)).await;
+    tokio::time::sleep(Duration::from_millis(CONNECTION_DRAIN_MS)).await;
     node.closing.begin();
 }
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -318,7 +318,7 @@
 
     /// Looks after the nodes that make calls for this owner.
     fn tick_delegates(&mut self, now: Now) {
-        let members = self.node.present_members(now.steady_ms);
+        let members = self.node.live_members(now.steady_ms);
         let endpoints = self.engine.endpoints();
         let is_called = |key| !endpoints.get(key).is_over;
         let delegates = &mut self.dispatcher.delegates;
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -155,7 +155,7 @@
         // Reading what is stored of a large fleet takes a while. Taken for one that is gone meanwhile, a
         // new owner was succeeded by the next before it had begun, and that one in the same way.
         let is_taking_over = request.ask == OwnershipAction::Alive
-            && node.taking_over.load(Ordering::Relaxed) == request.epoch;
+            && node.takeover_epoch.load(Ordering::Relaxed) == request.epoch;
         return if is_taking_over {
             OwnershipResponse::Alive
         } else {
@@ -171,7 +171,9 @@
             let now_ms = clock::steady_ms();
             // Renewals whose answers are lost say nothing: reads get through, and a successor would
             // fare no better. Taken for a cut, they made owners follow each other every second.
-            if owner.is_renewed_within(now_ms, SUSPICION_TIMEOUT_MS) || node.is_in_contact(now_ms) {
+            if owner.is_renewed_within(now_ms, SUSPICION_TIMEOUT_MS)
+                || node.is_store_reachable(now_ms)
+            {
                 OwnershipResponse::Alive
             } else {
                 OwnershipResponse::Unheard
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/take_over.rs
@@ -46,7 +46,7 @@
 /// Takes up the owner's duties: shuts earlier owners out of the store, reads what they stored, and
 /// starts the actor and its feeds.
 pub async fn take_over(node: &Arc<Node>, epoch: u64) {
-    let begun_ms = clock::steady_ms();
+    let started_ms = clock::steady_ms();
     let renewed_ms = Arc::new(AtomicU64::new(0));
     let writer = Writer::new(epoch, &node.settings);
     let renewals = tokio::spawn(watcher::renew(
@@ -55,11 +55,11 @@
         Arc::clone(&renewed_ms),
         writer.stored_end(),
     ));
-    node.taking_over.store(epoch, Ordering::Relaxed);
+    node.takeover_epoch.store(epoch, Ordering::Relaxed);
     let prepared = prepare(node, writer).await;
     match prepared {
         Ok((writer, records)) => {
-            let handle = start(node, epoch, begun_ms, writer, records, renewed_ms);
+            let handle = start(node, epoch, started_ms, writer, records, renewed_ms);
             handle.set_renewal_task(renewals);
         }
         Err(reason) => {
@@ -67,7 +67,7 @@
             warn!(event = "take_over_failed", epoch = epoch, reason = reason.as_str(); "");
         }
     }
-    node.taking_over.store(0, Ordering::Relaxed);
+    node.takeover_epoch.store(0, Ordering::Relaxed);
 }
 
 /// Shuts earlier owners out of the store, and reads what they stored.
@@ -92,7 +92,7 @@
 fn start(
     node: &Arc<Node>,
     epoch: u64,
-    begun_ms: u64,
+    started_ms: u64,
     writer: Writer,
     stored: Vec<KeyedRecord>,
     renewed_ms: Arc<AtomicU64>,
@@ -109,7 +109,10 @@
     }
     bound_vm_rests(node, &mut engine, &records, &offsets);
     engine.handle(Event::Config(node.config.load_full()), now);
-    let waves = node.waves.lock().unwrap_or_else(PoisonError::into_inner);
+    let waves = node
+        .wave_orders
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
     for order in waves.iter() {
         engine.handle(Event::Wave(order.clone()), now);
     }
@@ -141,11 +144,11 @@
     let dispatcher = Dispatcher::new(delegates, calls);
     let owner = OwnerActor::new(Arc::clone(node), epoch, engine, writer, dispatcher);
     let handle = Arc::new(OwnerHandle::new(epoch, actor, renewed_ms));
-    node.taken_epoch.store(epoch, Ordering::Relaxed);
+    node.last_owned_epoch.store(epoch, Ordering::Relaxed);
     node.owner.store(Some(Arc::clone(&handle)));
     drop(prepared.spawn(owner));
     counter!("lynxwheel_take_overs_total").increment(1);
-    let took_ms = clock::steady_ms().saturating_sub(begun_ms);
+    let took_ms = clock::steady_ms().saturating_sub(started_ms);
     histogram!("lynxwheel_take_over_seconds").record(Duration::from_millis(took_ms));
     info!(
         event = "ownership_taken", epoch = epoch, jobs = jobs, records = records.len(),
@@ -172,7 +175,7 @@
 /// old an order is, as clocks jump; without this every VM ordered lately rests for the whole time,
 /// and the pool whose turn it is gets its VMs seconds late.
 fn bound_vm_rests(node: &Node, engine: &mut Engine, records: &[Record], offsets: &[Option<u64>]) {
-    let view = node.view.borrow();
+    let view = node.ownership.borrow();
     let holder_ms = node.settings.bounds.vm_holder_ms + VM_ORDER_MS;
     for (record, offset) in records.iter().zip(offsets) {
         if record_kind(&record.key) == Some(RecordKind::Vm)
@@ -182,7 +185,7 @@
         }
     }
     if let Some(epoch) = view.ended_predecessor_epoch() {
-        engine.end_vm_rests(epoch, node.begun_ms + VM_ORDER_MS);
+        engine.end_vm_rests(epoch, node.started_ms + VM_ORDER_MS);
     }
 }
 
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -79,7 +79,7 @@
             sleep(Duration::from_millis(RETRY_MS)).await;
             continue;
         }
-        node.record_contact();
+        node.record_store_contact();
         follow(&node).await;
         if may_claim(&node) {
             claim(&node).await;
@@ -98,10 +98,10 @@
 /// owner.
 async fn rest(node: &Node) {
     let is_follower = node.owner.load().is_none() && !is_vacant(node);
-    if is_follower && node.view.borrow().is_small(node.settings.cpu_millis) {
+    if is_follower && node.ownership.borrow().is_small(node.settings.cpu_millis) {
         let pause = Duration::from_millis(FOLLOWER_REST_MS);
         // The end of the rest is as good as a doubt.
-        drop(timeout(pause, node.owner_doubted.notified()).await);
+        drop(timeout(pause, node.owner_suspected.notified()).await);
     }
 }
 
@@ -110,20 +110,20 @@
 }
 
 fn is_vacant(node: &Node) -> bool {
-    let view = node.view.borrow();
+    let view = node.ownership.borrow();
     view.needs_owner(clock::steady_ms())
         || view.is_owner_restarted_at(node.incarnation, node.peer_address)
 }
 
 /// Reads what was written since; tells whether that worked.
 async fn read_on(node: &Node, wait_ms: u64) -> bool {
-    let from = node.view.borrow().next_offset;
+    let from = node.ownership.borrow().next_offset;
     let read = node.store.read(OWNERSHIP_TOPIC, from, wait_ms).await;
     let now_ms = clock::steady_ms();
     let mut is_missing = false;
     let is_read = match read {
         Ok(Read::Records { records, .. }) => {
-            node.view.send_modify(|view| {
+            node.ownership.send_modify(|view| {
                 // The renewal of this node's own duties may have moved on meanwhile.
                 view.record_read(now_ms);
                 for record in &records {
@@ -133,16 +133,17 @@
             true
         }
         Ok(Read::Trimmed { first }) => {
-            node.view.send_modify(|view| view.skip_to(first));
+            node.ownership.send_modify(|view| view.skip_to(first));
             true
         }
         Ok(Read::Missing) => {
-            node.view.send_modify(|view| view.record_read(now_ms));
+            node.ownership.send_modify(|view| view.record_read(now_ms));
             is_missing = true;
             true
         }
         Err(_) => {
-            node.view.send_modify(OwnershipView::record_read_failure);
+            node.ownership
+                .send_modify(OwnershipView::record_read_failure);
             false
         }
     };
@@ -154,7 +155,7 @@
 
 /// Takes up the owner's duties, or lays them down, as the log says.
 async fn follow(node: &Arc<Node>) {
-    let owner = node.view.borrow().owner;
+    let owner = node.ownership.borrow().owner;
     let mine = owner.filter(|owner| owner.incarnation == node.incarnation);
     let current = node.owner.load_full();
     match (current, mine) {
@@ -166,8 +167,8 @@
         }
         // The numbers of its appends are gone with the duties that were laid down: a second life
         // under one epoch could take another append's answer for its own.
-        (None, Some(mine)) if mine.epoch == node.taken_epoch.load(Ordering::Relaxed) => {
-            if !node.view.borrow().is_released {
+        (None, Some(mine)) if mine.epoch == node.last_owned_epoch.load(Ordering::Relaxed) => {
+            if !node.ownership.borrow().is_released {
                 release(node, mine.epoch).await;
             }
         }
@@ -190,14 +191,20 @@
 /// for as long. While the store is slow, a sound owner is silent too, but answers.
 async fn owner_unresponsive(node: &Node) {
     loop {
-        let until_suspected_ms = node.view.borrow().until_suspected_ms(clock::steady_ms());
+        let until_suspected_ms = node
+            .ownership
+            .borrow()
+            .until_suspected_ms(clock::steady_ms());
         match until_suspected_ms {
             Some(0) if !node.stopping.has_begun() && node.owner.load().is_none() => {
                 if is_heard_of(node) {
                     sleep(Duration::from_millis(RETRY_MS)).await;
                     continue;
                 }
-                let spread_ms = node.view.borrow().probe_jitter_ms(node.settings.cpu_millis);
+                let spread_ms = node
+                    .ownership
+                    .borrow()
+                    .probe_jitter_ms(node.settings.cpu_millis);
                 sleep(Duration::from_millis(rand::random_range(0..spread_ms))).await;
                 if is_suspected(node) && !is_owner_alive(node).await {
                     return;
@@ -211,15 +218,18 @@
 }
 
 fn is_suspected(node: &Node) -> bool {
-    node.view.borrow().until_suspected_ms(clock::steady_ms()) == Some(0)
+    node.ownership
+        .borrow()
+        .until_suspected_ms(clock::steady_ms())
+        == Some(0)
 }
 
 /// Tells whether a small node need not ask, as the owner has just answered some request of it.
 ///
 /// Larger nodes ask all the same: an owner that is cut off from the store goes on answering.
 fn is_heard_of(node: &Node) -> bool {
-    let is_small = node.view.borrow().is_small(node.settings.cpu_millis);
-    is_small && node.has_owner_answered_within(clock::steady_ms(), SUSPICION_TIMEOUT_MS)
+    let is_small = node.ownership.borrow().is_small(node.settings.cpu_millis);
+    is_small && node.has_owner_responded_within(clock::steady_ms(), SUSPICION_TIMEOUT_MS)
 }
 
 /// Asks the owner whether it is there, and notes when it does not answer.
@@ -246,7 +256,7 @@
         ""
     );
     let now_ms = clock::steady_ms();
-    node.view
+    node.ownership
         .send_modify(|view| view.record_unresponsive(epoch, now_ms));
     false
 }
@@ -264,7 +274,7 @@
 
 /// Tells whether the store answers this node as promptly as on a calm day.
 async fn is_store_prompt(node: &Node) -> bool {
-    let from = node.view.borrow().next_offset;
+    let from = node.ownership.borrow().next_offset;
     let begun = Instant::now();
     // What it reads is read again by the watch itself, which keeps the order of records.
     let read = node.store.read(OWNERSHIP_TOPIC, from, 0).await;
@@ -272,7 +282,7 @@
 }
 
 fn has_small_owner(node: &Node) -> bool {
-    !node.stopping.has_begun() && node.view.borrow().has_small_owner(node.cpu_millis())
+    !node.stopping.has_begun() && node.ownership.borrow().has_small_owner(node.cpu_millis())
 }
 
 /// Asks a small owner to give up, so that a larger node follows it.
@@ -291,9 +301,9 @@
 }
 
 async fn claim(node: &Node) {
-    let uptime_ms = clock::steady_ms().saturating_sub(node.begun_ms);
+    let uptime_ms = clock::steady_ms().saturating_sub(node.started_ms);
     let size_ms = node
-        .view
+        .ownership
         .borrow()
         .claim_delay_ms(node.cpu_millis(), uptime_ms);
     let pause_ms = size_ms + rand::random_range(0..CLAIM_SPREAD_MS);
@@ -305,7 +315,7 @@
         return;
     }
     let record = node.ownership_record(OwnershipKind::Claim, 0);
-    let at = node.view.borrow().next_offset;
+    let at = node.ownership.borrow().next_offset;
     let outcome = node
         .store
         .append(OWNERSHIP_TOPIC, &[record.encode()], Some(at), None)
@@ -325,11 +335,11 @@
     stored_end: Arc<AtomicU64>,
 ) {
     let mut record = node.ownership_record(OwnershipKind::Renewal, epoch);
-    let mut at = node.view.borrow().next_offset;
+    let mut at = node.ownership.borrow().next_offset;
     loop {
         record.stored_end = stored_end.load(Ordering::Relaxed);
         record.cpu_millis = node.cpu_millis();
-        at = at.max(node.view.borrow().next_offset);
+        at = at.max(node.ownership.borrow().next_offset);
         let sent_ms = clock::steady_ms();
         let outcome = node
             .store
--- a/crates/controller/tests/assignments.rs
+++ b/crates/controller/tests/assignments.rs
@@ -1,7 +1,7 @@
 //! Which node calls which endpoint for an owner.
 
 use {
-    lynxwheel_controller::{EndpointAssignments, HEARD_MS, Member, Members},
+    lynxwheel_controller::{EndpointAssignments, MEMBER_TIMEOUT_MS, Member, Members},
     std::net::SocketAddr,
 };
 
@@ -137,9 +137,9 @@
 #[test]
 fn node_that_is_heard_of_no_more_is_gone() {
     let mut members = Members::default();
-    members.note(member(1, "a", LARGE), 0);
-    members.note(member(2, "a", LARGE), 2_000);
-    members.note(member(2, "a", NARROW), 3_000);
-    assert_eq!(members.present(HEARD_MS).len(), 1);
-    assert_eq!(members.present(HEARD_MS)[0], member(2, "a", NARROW));
+    members.record(member(1, "a", LARGE), 0);
+    members.record(member(2, "a", LARGE), 2_000);
+    members.record(member(2, "a", NARROW), 3_000);
+    assert_eq!(members.live(MEMBER_TIMEOUT_MS).len(), 1);
+    assert_eq!(members.live(MEMBER_TIMEOUT_MS)[0], member(2, "a", NARROW));
 }
