--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -44,7 +44,7 @@
 mod pending;
 mod ready;
 mod speed;
-mod take_over;
+mod takeover;
 mod watcher;
 
 pub use {
--- a/crates/controller/src/take_over.rs
+++ b/crates/controller/src/takeover.rs
@@ -28,20 +28,20 @@
 };
 
 /// Messages that wait for the actor at most; a sender waits, a feed that may lose some does not.
-const MAILBOX: usize = 4_096;
+const MAILBOX_CAPACITY: usize = 4_096;
 
 /// Time between ticks, in milliseconds: repeats, renewals and plans need no finer grain.
-const TICK_MS: u64 = 100;
+const TICK_INTERVAL_MS: u64 = 100;
 
 /// Tries to shut earlier owners out before the take-over is given up.
-const FENCE_TRIES: u32 = 8;
+const MAX_FENCE_RETRIES: u32 = 8;
 
 /// Time within which an order for a VM arrives once it is stored, in milliseconds: the longest that
 /// such a call takes.
-const VM_ORDER_MS: u64 = 1_200;
+const VM_ORDER_TIMEOUT_MS: u64 = 1_200;
 
 /// Pause after a failed step of taking over, in milliseconds.
-const RETRY_MS: u64 = 100;
+const RETRY_DELAY_MS: u64 = 100;
 
 /// Takes up the owner's duties: shuts earlier owners out of the store, reads what they stored, and
 /// starts the actor and its feeds.
@@ -49,21 +49,21 @@
     let started_ms = clock::steady_ms();
     let renewed_ms = Arc::new(AtomicU64::new(0));
     let writer = Writer::new(epoch, &node.settings);
-    let renewals = tokio::spawn(watcher::renew(
+    let renewal_task = tokio::spawn(watcher::renew(
         Arc::clone(node),
         epoch,
         Arc::clone(&renewed_ms),
         writer.stored_end(),
     ));
     node.takeover_epoch.store(epoch, Ordering::Relaxed);
-    let prepared = prepare(node, writer).await;
+    let prepared = fence_and_load(node, writer).await;
     match prepared {
         Ok((writer, records)) => {
-            let handle = start(node, epoch, started_ms, writer, records, renewed_ms);
-            handle.set_renewal_task(renewals);
+            let handle = start_owner(node, epoch, started_ms, writer, records, renewed_ms);
+            handle.set_renewal_task(renewal_task);
         }
         Err(reason) => {
-            renewals.abort();
+            renewal_task.abort();
             warn!(event = "take_over_failed", epoch = epoch, reason = reason.as_str(); "");
         }
     }
@@ -71,15 +71,18 @@
 }
 
 /// Shuts earlier owners out of the store, and reads what they stored.
-async fn prepare(node: &Node, mut writer: Writer) -> Result<(Writer, Vec<KeyedRecord>), String> {
-    let mut tries = 0;
+async fn fence_and_load(
+    node: &Node,
+    mut writer: Writer,
+) -> Result<(Writer, Vec<KeyedRecord>), String> {
+    let mut retries = 0;
     loop {
         match writer.fence(&node.store).await {
             Some(true) => break,
             Some(false) => return Err("a newer epoch writes".into()),
-            None if tries < FENCE_TRIES => {
-                tries += 1;
-                sleep(Duration::from_millis(RETRY_MS)).await;
+            None if retries < MAX_FENCE_RETRIES => {
+                retries += 1;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
             None => return Err("store out of reach".into()),
         }
@@ -89,7 +92,7 @@
     Ok((writer, records))
 }
 
-fn start(
+fn start_owner(
     node: &Arc<Node>,
     epoch: u64,
     started_ms: u64,
@@ -119,7 +122,7 @@
     drop(waves);
     let jobs = engine.jobs().count();
     // The actor gets the calls with its own reference, which exists only once it is spawned.
-    let prepared = OwnerActor::prepare_with_mailbox(mailbox::bounded(MAILBOX));
+    let prepared = OwnerActor::prepare_with_mailbox(mailbox::bounded(MAILBOX_CAPACITY));
     let actor = prepared.actor_ref().clone();
     let endpoint_calls = EndpointCalls::new(epoch);
     let vm_calls = node
@@ -165,7 +168,7 @@
             Arc::clone(&handle),
         )));
     }
-    handle.add_task(tokio::spawn(tick(Arc::clone(&handle))));
+    handle.add_task(tokio::spawn(send_ticks(Arc::clone(&handle))));
     handle
 }
 
@@ -176,7 +179,7 @@
 /// and the pool whose turn it is gets its VMs seconds late.
 fn bound_vm_rests(node: &Node, engine: &mut Engine, records: &[Record], offsets: &[Option<u64>]) {
     let view = node.ownership.borrow();
-    let holder_ms = node.settings.bounds.vm_holder_ms + VM_ORDER_MS;
+    let holder_ms = node.settings.bounds.vm_holder_ms + VM_ORDER_TIMEOUT_MS;
     for (record, offset) in records.iter().zip(offsets) {
         if record_kind(&record.key) == Some(RecordKind::Vm)
             && let Some(by_ms) = offset.and_then(|offset| view.stored_by_ms(offset))
@@ -185,13 +188,13 @@
         }
     }
     if let Some(epoch) = view.ended_predecessor_epoch() {
-        engine.end_vm_rests(epoch, node.started_ms + VM_ORDER_MS);
+        engine.end_vm_rests(epoch, node.started_ms + VM_ORDER_TIMEOUT_MS);
     }
 }
 
-async fn tick(owner: Arc<OwnerHandle>) {
+async fn send_ticks(owner: Arc<OwnerHandle>) {
     loop {
         owner.send(OwnerMessage::Tick(clock::steady_ms())).await;
-        sleep(Duration::from_millis(TICK_MS)).await;
+        sleep(Duration::from_millis(TICK_INTERVAL_MS)).await;
     }
 }
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -10,7 +10,7 @@
             RENEWAL_INTERVAL_MS, SUSPICION_TIMEOUT_MS,
         },
         peer::{OWNERSHIP_PATH, OwnershipAction, OwnershipRequest, OwnershipResponse},
-        take_over,
+        takeover,
     },
     log::{info, warn},
     lynxwheel_platform::{AppendOutcome, Read},
@@ -29,65 +29,67 @@
 pub const OWNERSHIP_TOPIC: &str = "lynxwheel-owner";
 
 /// Longest wait of a poll, in milliseconds.
-const WAIT_MS: u64 = 700;
+const POLL_WAIT_MS: u64 = 700;
 
 /// Pause after a failed call, in milliseconds.
-const RETRY_MS: u64 = 100;
+const RETRY_DELAY_MS: u64 = 100;
 
 /// Rest of a small node between two reads, in milliseconds: shorter than the silence after which it would
 /// claim.
-const FOLLOWER_REST_MS: u64 = 800;
+const SMALL_FOLLOWER_PAUSE_MS: u64 = 800;
 
 /// Claims are spread over this time, in milliseconds, so that most nodes see the first one and
 /// save theirs.
-const CLAIM_SPREAD_MS: u64 = 120;
+const CLAIM_JITTER_MS: u64 = 120;
 
 /// Time for the owner's answer whether it is there, in milliseconds: calm answers take some 5 ms, and
 /// a node slowed by ten still makes it.
-const ALIVE_MS: u64 = 250;
+const PROBE_TIMEOUT_MS: u64 = 250;
 
 /// Time in which a store that is not slow answers a read, in milliseconds: calm answers take 10 ms.
-const PROMPT_MS: u64 = 60;
+const PROMPT_READ_MS: u64 = 60;
 
 /// Time between asks of a larger node that a small owner may give up, in milliseconds: a change of
 /// owners costs some tenths of a second, so it waits until the larger node has lived for a while.
-const YIELD_EVERY_MS: u64 = 3_000;
+const YIELD_REQUEST_INTERVAL_MS: u64 = 3_000;
 
 /// Tries to give ownership up before the others have to find out by themselves.
-const RELEASE_TRIES: u32 = 3;
+const MAX_RELEASE_ATTEMPTS: u32 = 3;
 
 /// Watches the ownership log for as long as the process lives.
 pub async fn watch(node: Arc<Node>) {
-    let mut is_lost = false;
-    let mut asked = Instant::now();
+    let mut is_store_lost = false;
+    let mut yield_requested = Instant::now();
     loop {
         let is_read = tokio::select! {
-            is_read = read_on(&node, WAIT_MS) => is_read,
+            is_read = read_new_records(&node, POLL_WAIT_MS) => is_read,
             // The poll is dropped: what it would have brought is read again.
-            () = owner_ended(&node) => read_on(&node, 0).await,
-            () = owner_unresponsive(&node) => read_on(&node, 0).await,
+            () = owner_process_ended(&node) => read_new_records(&node, 0).await,
+            () = owner_unresponsive(&node) => read_new_records(&node, 0).await,
         };
-        if is_read == is_lost {
-            is_lost = !is_read;
-            if is_lost {
+        if is_read == is_store_lost {
+            is_store_lost = !is_read;
+            if is_store_lost {
                 warn!(event = "store_lost", duty = "ownership"; "");
             } else {
                 info!(event = "store_regained", duty = "ownership"; "");
             }
         }
         if !is_read {
-            sleep(Duration::from_millis(RETRY_MS)).await;
+            sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             continue;
         }
         node.record_store_contact();
-        follow(&node).await;
-        if may_claim(&node) {
+        follow_owner(&node).await;
+        if can_claim(&node) {
             claim(&node).await;
         }
-        rest(&node).await;
-        if asked.elapsed() > Duration::from_millis(YIELD_EVERY_MS) && has_small_owner(&node) {
-            asked = Instant::now();
-            ask_to_yield(&node).await;
+        pause_if_small_follower(&node).await;
+        if yield_requested.elapsed() > Duration::from_millis(YIELD_REQUEST_INTERVAL_MS)
+            && has_small_owner(&node)
+        {
+            yield_requested = Instant::now();
+            request_yield(&node).await;
         }
     }
 }
@@ -96,16 +98,16 @@
 ///
 /// It would claim last in any case, and a fleet has many of them: each would read every renewal of the
 /// owner.
-async fn rest(node: &Node) {
+async fn pause_if_small_follower(node: &Node) {
     let is_follower = node.owner.load().is_none() && !is_vacant(node);
     if is_follower && node.ownership.borrow().is_small(node.settings.cpu_millis) {
-        let pause = Duration::from_millis(FOLLOWER_REST_MS);
+        let pause = Duration::from_millis(SMALL_FOLLOWER_PAUSE_MS);
         // The end of the rest is as good as a doubt.
         drop(timeout(pause, node.owner_suspected.notified()).await);
     }
 }
 
-fn may_claim(node: &Node) -> bool {
+fn can_claim(node: &Node) -> bool {
     !node.stopping.has_begun() && node.owner.load().is_none() && is_vacant(node)
 }
 
@@ -116,11 +118,11 @@
 }
 
 /// Reads what was written since; tells whether that worked.
-async fn read_on(node: &Node, wait_ms: u64) -> bool {
+async fn read_new_records(node: &Node, wait_ms: u64) -> bool {
     let from = node.ownership.borrow().next_offset;
     let read = node.store.read(OWNERSHIP_TOPIC, from, wait_ms).await;
     let now_ms = clock::steady_ms();
-    let mut is_missing = false;
+    let mut is_topic_missing = false;
     let is_read = match read {
         Ok(Read::Records { records, .. }) => {
             node.ownership.send_modify(|view| {
@@ -138,7 +140,7 @@
         }
         Ok(Read::Missing) => {
             node.ownership.send_modify(|view| view.record_read(now_ms));
-            is_missing = true;
+            is_topic_missing = true;
             true
         }
         Err(_) => {
@@ -147,19 +149,19 @@
             false
         }
     };
-    if is_missing {
-        sleep(Duration::from_millis(RETRY_MS)).await;
+    if is_topic_missing {
+        sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
     is_read
 }
 
 /// Takes up the owner's duties, or lays them down, as the log says.
-async fn follow(node: &Arc<Node>) {
+async fn follow_owner(node: &Arc<Node>) {
     let owner = node.ownership.borrow().owner;
-    let mine = owner.filter(|owner| owner.incarnation == node.incarnation);
+    let own = owner.filter(|owner| owner.incarnation == node.incarnation);
     let current = node.owner.load_full();
-    match (current, mine) {
-        (Some(current), Some(mine)) if current.epoch == mine.epoch => {}
+    match (current, own) {
+        (Some(current), Some(own)) if current.epoch == own.epoch => {}
         (Some(current), _) => {
             if owner.is_some_and(|owner| owner.epoch > current.epoch) {
                 current.try_send(OwnerMessage::Deposed);
@@ -167,20 +169,20 @@
         }
         // The numbers of its appends are gone with the duties that were laid down: a second life
         // under one epoch could take another append's answer for its own.
-        (None, Some(mine)) if mine.epoch == node.last_owned_epoch.load(Ordering::Relaxed) => {
+        (None, Some(own)) if own.epoch == node.last_owned_epoch.load(Ordering::Relaxed) => {
             if !node.ownership.borrow().is_released {
-                release(node, mine.epoch).await;
+                release(node, own.epoch).await;
             }
         }
-        (None, Some(mine)) if !node.stopping.has_begun() => {
-            take_over::take_over(node, mine.epoch).await;
+        (None, Some(own)) if !node.stopping.has_begun() => {
+            takeover::take_over(node, own.epoch).await;
         }
         (None, _) => {}
     }
 }
 
 /// Waits until the owner's process is known to be over.
-async fn owner_ended(node: &Node) {
+async fn owner_process_ended(node: &Node) {
     node.owner_refused.notified().await;
     sleep(Duration::from_millis(REFUSED_CONNECTIONS_MS)).await;
 }
@@ -197,23 +199,23 @@
             .until_suspected_ms(clock::steady_ms());
         match until_suspected_ms {
             Some(0) if !node.stopping.has_begun() && node.owner.load().is_none() => {
-                if is_heard_of(node) {
-                    sleep(Duration::from_millis(RETRY_MS)).await;
+                if can_skip_probe(node) {
+                    sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                     continue;
                 }
-                let spread_ms = node
+                let jitter_ms = node
                     .ownership
                     .borrow()
                     .probe_jitter_ms(node.settings.cpu_millis);
-                sleep(Duration::from_millis(rand::random_range(0..spread_ms))).await;
-                if is_suspected(node) && !is_owner_alive(node).await {
+                sleep(Duration::from_millis(rand::random_range(0..jitter_ms))).await;
+                if is_suspected(node) && !probe_owner(node).await {
                     return;
                 }
             }
             Some(ms @ 1..) => sleep(Duration::from_millis(ms)).await,
-            _ => sleep(Duration::from_millis(WAIT_MS)).await,
+            _ => sleep(Duration::from_millis(POLL_WAIT_MS)).await,
         }
-        sleep(Duration::from_millis(RETRY_MS)).await;
+        sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
 }
 
@@ -227,20 +229,21 @@
 /// Tells whether a small node need not ask, as the owner has just answered some request of it.
 ///
 /// Larger nodes ask all the same: an owner that is cut off from the store goes on answering.
-fn is_heard_of(node: &Node) -> bool {
+fn can_skip_probe(node: &Node) -> bool {
     let is_small = node.ownership.borrow().is_small(node.settings.cpu_millis);
     is_small && node.has_owner_responded_within(clock::steady_ms(), SUSPICION_TIMEOUT_MS)
 }
 
 /// Asks the owner whether it is there, and notes when it does not answer.
-async fn is_owner_alive(node: &Node) -> bool {
+async fn probe_owner(node: &Node) -> bool {
     let (epoch, owner) = node.known_owner();
     let Some(owner) = owner else {
         return true;
     };
     // On a connection of its own: one in use may have fallen silent by itself.
     let client = Client::new(owner.address, 1);
-    let answer = send_ownership_request(&client, epoch, OwnershipAction::Alive, ALIVE_MS).await;
+    let answer =
+        send_ownership_request(&client, epoch, OwnershipAction::Alive, PROBE_TIMEOUT_MS).await;
     let is_alive = match answer {
         Ok(OwnershipResponse::Alive) => true,
         // Cut off from the store, unless the store is slow for everybody.
@@ -265,20 +268,20 @@
     client: &Client,
     epoch: u64,
     ask: OwnershipAction,
-    limit_ms: u64,
+    timeout_ms: u64,
 ) -> Result<OwnershipResponse, TransportError> {
     let request = OwnershipRequest { epoch, ask };
-    let limit = Duration::from_millis(limit_ms);
+    let limit = Duration::from_millis(timeout_ms);
     client.exchange(OWNERSHIP_PATH, &request, limit).await
 }
 
 /// Tells whether the store answers this node as promptly as on a calm day.
 async fn is_store_prompt(node: &Node) -> bool {
     let from = node.ownership.borrow().next_offset;
-    let begun = Instant::now();
+    let started = Instant::now();
     // What it reads is read again by the watch itself, which keeps the order of records.
     let read = node.store.read(OWNERSHIP_TOPIC, from, 0).await;
-    read.is_ok() && begun.elapsed() < Duration::from_millis(PROMPT_MS)
+    read.is_ok() && started.elapsed() < Duration::from_millis(PROMPT_READ_MS)
 }
 
 fn has_small_owner(node: &Node) -> bool {
@@ -286,13 +289,13 @@
 }
 
 /// Asks a small owner to give up, so that a larger node follows it.
-async fn ask_to_yield(node: &Node) {
+async fn request_yield(node: &Node) {
     let (epoch, owner) = node.known_owner();
     let Some(owner) = owner else {
         return;
     };
     let client = node.peers.get(owner.address);
-    let answer = send_ownership_request(&client, epoch, OwnershipAction::Yield, WAIT_MS).await;
+    let answer = send_ownership_request(&client, epoch, OwnershipAction::Yield, POLL_WAIT_MS).await;
     info!(
         event = "yield_asked", epoch = epoch, peer:% = owner.address,
         owner_cpu_millis = owner.cpu_millis, outcome:? = answer.as_ref().ok();
@@ -302,16 +305,16 @@
 
 async fn claim(node: &Node) {
     let uptime_ms = clock::steady_ms().saturating_sub(node.started_ms);
-    let size_ms = node
+    let claim_delay_ms = node
         .ownership
         .borrow()
         .claim_delay_ms(node.cpu_millis(), uptime_ms);
-    let pause_ms = size_ms + rand::random_range(0..CLAIM_SPREAD_MS);
+    let pause_ms = claim_delay_ms + rand::random_range(0..CLAIM_JITTER_MS);
     // Another's claim ends the wait. A slow store's answer is not waited for, as the claim is made on
     // a condition.
     let pause = Duration::from_millis(pause_ms);
-    let is_read = timeout(pause, read_on(node, pause_ms)).await;
-    if is_read == Ok(false) || !may_claim(node) {
+    let is_read = timeout(pause, read_new_records(node, pause_ms)).await;
+    if is_read == Ok(false) || !can_claim(node) {
         return;
     }
     let record = node.ownership_record(OwnershipKind::Claim, 0);
@@ -357,7 +360,7 @@
                 RENEWAL_INTERVAL_MS
             }
             // Somebody else has written, or an earlier renewal without answer: the watcher tells.
-            _ => RETRY_MS,
+            _ => RETRY_DELAY_MS,
         };
         sleep(Duration::from_millis(pause_ms)).await;
     }
@@ -366,7 +369,7 @@
 /// Gives this node's ownership up, so that another node claims at once.
 pub async fn release(node: &Node, epoch: u64) {
     let record = node.ownership_record(OwnershipKind::Release, epoch);
-    for _ in 0..RELEASE_TRIES {
+    for _ in 0..MAX_RELEASE_ATTEMPTS {
         // On no condition: readers pass over the release of an epoch that is not in force.
         let outcome = node
             .store
@@ -376,6 +379,6 @@
         if matches!(outcome, AppendOutcome::Stored { .. }) {
             return;
         }
-        sleep(Duration::from_millis(RETRY_MS)).await;
+        sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
 }
