--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -19,14 +19,14 @@
 pub const STATE_TOPIC: &str = "keyed.lynxwheel";
 
 /// Name under which owners write.
-const PRODUCER: &str = "owner";
+const PRODUCER_NAME: &str = "owner";
 
 /// Shortest and longest pause before an append is repeated, in milliseconds.
-const MIN_RETRY_MS: u64 = 40;
-const MAX_RETRY_MS: u64 = 400;
+const MIN_RETRY_DELAY_MS: u64 = 40;
+const MAX_RETRY_DELAY_MS: u64 = 400;
 
 /// Bytes that a record's frame adds.
-const FRAME_BYTES: usize = 8;
+const FRAME_OVERHEAD_BYTES: usize = 8;
 
 fn outcome_label(outcome: AppendOutcome) -> &'static str {
     match outcome {
@@ -43,7 +43,7 @@
 pub struct Writer {
     epoch: u64,
     sequence: u64,
-    request_bytes: usize,
+    max_request_bytes: usize,
     /// Offset up to which the records are known to be stored.
     stored_end: Arc<AtomicU64>,
 }
@@ -63,7 +63,7 @@
         Self {
             epoch,
             sequence: 0,
-            request_bytes: settings.request_bytes / 2,
+            max_request_bytes: settings.request_bytes / 2,
             stored_end: Arc::default(),
         }
     }
@@ -79,7 +79,7 @@
     /// Returns whether it is set, or nothing while that is not known.
     pub async fn fence(&mut self, store: &StoreClient) -> Option<bool> {
         let producer = Producer {
-            name: PRODUCER,
+            name: PRODUCER_NAME,
             epoch: self.epoch,
             sequence: self.sequence,
         };
@@ -101,8 +101,8 @@
         let mut bytes = usize::MAX;
         for record in records {
             let encoded = keyed_record(&record.key, &record.value);
-            let size = encoded.len() + FRAME_BYTES;
-            if bytes.saturating_add(size) > self.request_bytes {
+            let size = encoded.len() + FRAME_OVERHEAD_BYTES;
+            if bytes.saturating_add(size) > self.max_request_bytes {
                 appends.push((self.sequence, Vec::new()));
                 self.sequence += 1;
                 bytes = 0;
@@ -140,11 +140,11 @@
 
     async fn append(&self, store: &StoreClient, sequence: u64, records: &[Vec<u8>]) -> bool {
         let producer = Producer {
-            name: PRODUCER,
+            name: PRODUCER_NAME,
             epoch: self.epoch,
             sequence,
         };
-        let mut pause_ms = MIN_RETRY_MS;
+        let mut pause_ms = MIN_RETRY_DELAY_MS;
         loop {
             let outcome = store
                 .append_in_sequence(STATE_TOPIC, records, producer)
@@ -162,7 +162,7 @@
                 }
                 // One that was sent before this one is still under way.
                 AppendOutcome::OutOfSequence { expected } if expected < sequence => {
-                    sleep(Duration::from_millis(MIN_RETRY_MS)).await;
+                    sleep(Duration::from_millis(MIN_RETRY_DELAY_MS)).await;
                 }
                 AppendOutcome::Fenced | AppendOutcome::OutOfSequence { .. } => {
                     warn!(event = "append_refused", epoch = self.epoch, outcome:? = outcome; "");
@@ -179,7 +179,7 @@
                     sleep(Duration::from_millis(pause_ms)).await;
                     // Silence was waited for already; refusals call for fewer tries.
                     if outcome != AppendOutcome::Unknown {
-                        pause_ms = (pause_ms * 2).min(MAX_RETRY_MS);
+                        pause_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
                     }
                 }
             }
--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -17,13 +17,13 @@
 };
 
 /// Time for another node's configuration, in milliseconds.
-const FETCH_MS: u64 = 300;
+const FETCH_TIMEOUT_MS: u64 = 300;
 
 /// Nodes that are asked for a newer configuration at most.
-const MOST_ASKED: usize = 3;
+const MAX_PEERS_ASKED: usize = 3;
 
 /// Time between two asks for a newer configuration, in milliseconds.
-const ASK_EVERY_MS: u64 = 300;
+const FETCH_INTERVAL_MS: u64 = 300;
 
 /// Age up to which the last read of what operators write counts as fresh, in milliseconds: the longest
 /// wait of a poll, and some slack.
@@ -32,7 +32,7 @@
 /// Takes over the configuration of another node if that is newer; tells whether this node's is as new
 /// as `version` then.
 pub async fn fetch_from(node: &Node, peer: SocketAddr, version: u64) -> bool {
-    let limit = Duration::from_millis(FETCH_MS);
+    let limit = Duration::from_millis(FETCH_TIMEOUT_MS);
     // Requests that come meanwhile wait for the same answer, but not in a long row for peers that give
     // none: their callers' deadlines would pass.
     let fetching = timeout(limit, node.config_fetch.lock()).await;
@@ -69,7 +69,7 @@
     let mut members = node.live_members(clock::steady_ms());
     // The store may turn some of them away, too.
     members.shuffle(&mut rand::rng());
-    for member in members.iter().take(MOST_ASKED) {
+    for member in members.iter().take(MAX_PEERS_ASKED) {
         if fetch_from(node, member.address, next).await {
             return;
         }
@@ -80,20 +80,21 @@
 /// as asked then.
 ///
 /// A request that may be made is judged again by the owner, unless this node is the owner itself.
-pub fn is_ask_due(node: &Node, may_be_made: bool) -> bool {
-    let is_judged_again = may_be_made && node.owner.load().is_none();
-    if is_judged_again || !may_be_behind(node) {
+pub fn should_fetch_newer(node: &Node, is_authorized: bool) -> bool {
+    let is_rechecked_by_owner = is_authorized && node.owner.load().is_none();
+    if is_rechecked_by_owner || !may_be_stale(node) {
         return false;
     }
     let now_ms = clock::steady_ms();
-    let asked_now = |asked_ms| (now_ms >= asked_ms + ASK_EVERY_MS).then_some(now_ms);
+    let claim_request =
+        |requested_ms| (now_ms >= requested_ms + FETCH_INTERVAL_MS).then_some(now_ms);
     node.config_requested_ms
-        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, asked_now)
+        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, claim_request)
         .is_ok()
 }
 
 /// Tells whether a newer configuration may be active that this node has not read.
-fn may_be_behind(node: &Node) -> bool {
+fn may_be_stale(node: &Node) -> bool {
     let read_ms = node.config_read_ms.load(Ordering::Relaxed);
     clock::steady_ms() > read_ms + FRESH_READ_MS
 }
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -17,29 +17,29 @@
 
 /// Longest wait of a poll for what operators write, in milliseconds. A channel may fall silent
 /// without an error; a poll that ends is the only sign of life.
-const OPERATOR_WAIT_MS: u64 = 700;
+const OPERATOR_POLL_WAIT_MS: u64 = 700;
 
 /// Longest wait of a poll for the registry, in milliseconds.
-const REGISTRY_WAIT_MS: u64 = 700;
+const REGISTRY_POLL_WAIT_MS: u64 = 700;
 
 /// Pause between polls of the registry, in milliseconds: endpoints write all the time, and one
 /// answer brings what several wrote.
 const REGISTRY_PAUSE_MS: u64 = 120;
 
 /// Time between lists of the VMs, in milliseconds.
-const VMS_EVERY_MS: u64 = 700;
+const VM_LIST_INTERVAL_MS: u64 = 700;
 
 /// Pause after a failed call, in milliseconds.
-const RETRY_MS: u64 = 150;
+const RETRY_DELAY_MS: u64 = 150;
 
 /// A topic that is followed record by record.
-struct Follower {
+struct TopicReader {
     topic: &'static str,
     from: Option<u64>,
     is_lost: bool,
 }
 
-impl Follower {
+impl TopicReader {
     fn new(topic: &'static str) -> Self {
         Self {
             topic,
@@ -68,7 +68,7 @@
                     self.is_lost = true;
                     warn!(event = "feed_lost", topic = self.topic, reason = reason.as_str(); "");
                 }
-                sleep(Duration::from_millis(RETRY_MS)).await;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 (Vec::new(), false)
             }
         }
@@ -100,7 +100,7 @@
             // What was missed is among the newest records.
             Read::Trimmed { .. } => self.load(node).await,
             Read::Missing => {
-                sleep(Duration::from_millis(RETRY_MS)).await;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 Ok((Vec::new(), false))
             }
         }
@@ -108,10 +108,10 @@
 }
 
 /// Follows what operators write, for as long as the process lives.
-pub async fn follow_operator(node: Arc<Node>) {
-    let mut follower = Follower::new(OPERATOR_TOPIC);
+pub async fn follow_operator_topic(node: Arc<Node>) {
+    let mut reader = TopicReader::new(OPERATOR_TOPIC);
     loop {
-        let (records, _) = follower.next(&node, OPERATOR_WAIT_MS).await;
+        let (records, _) = reader.next(&node, OPERATOR_POLL_WAIT_MS).await;
         for record in records {
             match decode_operator_record(&record) {
                 Some(OperatorRecord::Config(config, mistakes)) => {
@@ -128,7 +128,7 @@
                 None => warn!(event = "operator_record_unread", key = record.key.as_str(); ""),
             }
         }
-        if !follower.is_lost {
+        if !reader.is_lost {
             node.record_config_read();
         }
     }
@@ -136,34 +136,34 @@
 
 /// Follows the registry for an owner.
 pub async fn follow_registry(node: Arc<Node>, owner: Arc<OwnerHandle>) {
-    let mut follower = Follower::new(SERVERS_TOPIC);
+    let mut reader = TopicReader::new(SERVERS_TOPIC);
     let mut listed: Vec<String> = Vec::new();
     loop {
-        let (records, is_whole) = follower.next(&node, REGISTRY_WAIT_MS).await;
-        if is_whole {
+        let (records, is_snapshot) = reader.next(&node, REGISTRY_POLL_WAIT_MS).await;
+        if is_snapshot {
             listed.retain(|id| {
-                let is_kept = records.iter().any(|record| record.key == *id);
-                if !is_kept {
+                let is_listed = records.iter().any(|record| record.key == *id);
+                if !is_listed {
                     owner.try_send(OwnerMessage::event(Event::Unlisted(id.as_str().into())));
                 }
-                is_kept
+                is_listed
             });
         }
         for record in records {
             let entry = decode_endpoint(&record.key, &record.value);
-            let place = listed.binary_search(&record.key);
+            let index = listed.binary_search(&record.key);
             if let Some(entry) = entry {
-                if let Err(place) = place {
-                    listed.insert(place, record.key);
+                if let Err(index) = index {
+                    listed.insert(index, record.key);
                 }
                 let event = Event::Listed {
                     entry: Box::new(entry),
-                    is_fresh: !is_whole,
+                    is_fresh: !is_snapshot,
                 };
                 owner.send(OwnerMessage::event(event)).await;
-            } else if let Ok(place) = place {
+            } else if let Ok(index) = index {
                 // Removed, or overwritten by something that cannot be read.
-                let id = listed.remove(place);
+                let id = listed.remove(index);
                 owner
                     .send(OwnerMessage::event(Event::Unlisted(id.as_str().into())))
                     .await;
@@ -192,6 +192,6 @@
                 is_lost = true;
             }
         }
-        sleep(Duration::from_millis(VMS_EVERY_MS)).await;
+        sleep(Duration::from_millis(VM_LIST_INTERVAL_MS)).await;
     }
 }
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -104,7 +104,7 @@
 /// where nobody else would notice.
 async fn authorize_request(node: &Node, credentials: &Credentials) -> Result<Access, Denial> {
     let result = authorize(&node.config.load(), credentials);
-    if !config_sync::is_ask_due(node, result.is_ok()) {
+    if !config_sync::should_fetch_newer(node, result.is_ok()) {
         return result;
     }
     config_sync::fetch_newer(node).await;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -383,7 +383,7 @@
     let callers = ingress::bind(&node).await?;
     let peers = peer_server::bind(&node).await?;
     let ready = ready::bind(&node).await?;
-    tokio::spawn(feeds::follow_operator(Arc::clone(&node)));
+    tokio::spawn(feeds::follow_operator_topic(Arc::clone(&node)));
     tokio::spawn(watcher::watch(Arc::clone(&node)));
     tokio::spawn(run_metrics_upkeep(node.metrics.clone()));
     tokio::spawn(monitor_cpu_speed(Arc::clone(&node)));
--- a/crates/controller/src/notes.rs
+++ b/crates/controller/src/notes.rs
@@ -68,7 +68,7 @@
                 );
             }
             Note::QuotaReached(wait) => log_quota_wait(epoch, wait),
-            Note::PoolPlanned(plan) => log_plan(epoch, plan),
+            Note::PoolPlanned(plan) => log_pool_plan(epoch, plan),
             Note::EndpointOver { endpoint, vm, runs } => info!(
                 event = "endpoint_over", epoch = epoch, endpoint = endpoint.as_str(),
                 vm = vm.as_str(), runs = runs;
@@ -99,7 +99,7 @@
 }
 
 /// Writes how a pool stands, and keeps it as gauges.
-fn log_plan(epoch: u64, plan: &PoolPlan) {
+fn log_pool_plan(epoch: u64, plan: &PoolPlan) {
     let PoolPlan {
         pool,
         members,
@@ -113,9 +113,9 @@
         moved_out,
     } = plan;
     let gauges = [
-        ("members", count(*members)),
-        ("pinned", count(*pinned)),
-        ("arriving", count(*arriving)),
+        ("members", gauge_value(*members)),
+        ("pinned", gauge_value(*pinned)),
+        ("arriving", gauge_value(*arriving)),
     ];
     for (what, value) in gauges {
         gauge!("lynxwheel_pool_vms", "pool" => pool.to_string(), "what" => what).set(value);
@@ -129,6 +129,6 @@
     );
 }
 
-fn count(number: usize) -> f64 {
+fn gauge_value(number: usize) -> f64 {
     u32::try_from(number).map_or(f64::INFINITY, f64::from)
 }
