--- a/crates/controller/tests/access.rs
+++ b/crates/controller/tests/access.rs
@@ -63,24 +63,24 @@
 }
 
 cases! {
-    a_key_stands_for_its_account: &format!("/maps/{JOB}"), Ok("k-2") => Ok("hall");
+    known_key_selects_its_account: &format!("/maps/{JOB}"), Ok("k-2") => Ok("hall");
     /// Guards against a job that runs for a caller with a key that no configuration ever held.
-    an_unknown_key_is_refused: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
-    a_part_of_a_key_is_refused: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
-    a_request_without_a_key_is_refused: &format!("/maps/{JOB}"), Err(KeyMistake::Missing)
+    unknown_key_is_denied: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
+    key_prefix_is_denied: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
+    missing_key_is_denied: &format!("/maps/{JOB}"), Err(KeyMistake::Missing)
         => Err(Denial::InvalidKey(KeyMistake::Missing));
     /// Guards against a queue's count being told to strangers.
-    the_count_needs_a_key: "/maps/", Err(KeyMistake::Missing) => Err(Denial::InvalidKey(KeyMistake::Missing));
-    a_public_queue_needs_no_key: &format!("/open/{JOB}"), Err(KeyMistake::Missing) => Ok("");
+    pending_count_requires_key: "/maps/", Err(KeyMistake::Missing) => Err(Denial::InvalidKey(KeyMistake::Missing));
+    public_queue_requires_no_key: &format!("/open/{JOB}"), Err(KeyMistake::Missing) => Ok("");
     /// Guards against a key on a public queue charging its account.
-    a_key_on_a_public_queue_counts_for_nobody: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
-    an_unknown_queue_is_no_matter_of_keys: "/none/", Ok("k-3") => Err(Denial::UnknownQueue);
-    what_is_no_id_is_refused: "/maps/x", Ok("k-1") => Err(Denial::InvalidJobId);
+    key_on_public_queue_is_ignored: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
+    unknown_queue_is_reported_before_unknown_key: "/none/", Ok("k-3") => Err(Denial::UnknownQueue);
+    invalid_job_id_is_denied: "/maps/x", Ok("k-1") => Err(Denial::InvalidJobId);
 }
 
 /// Guards against a decision by a version that is not the one named with it.
 #[test]
-fn each_version_judges_by_its_own_keys() {
+fn each_config_version_uses_its_own_keys() {
     let versions = [
         config(0, &["k-1"]),
         config(4, &["k-1"]),
--- a/crates/controller/tests/assignments.rs
+++ b/crates/controller/tests/assignments.rs
@@ -36,8 +36,8 @@
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $owner:expr, $members:expr, $endpoints:expr => $counts:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() {
+    ($($(#[$doc:meta])* $name:ident: $owner:expr, $members:expr, $endpoints:expr => $counts:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() {
             let (cpu_millis, link_mbps) = $owner;
             let members: Vec<Member> = $members;
             let mut assignments = EndpointAssignments::new(cpu_millis, link_mbps);
@@ -49,26 +49,26 @@
 }
 
 cases! {
-    owner_of_a_small_fleet_calls_all_of_it:
+    owner_calls_all_endpoints_of_a_small_fleet:
         (250, 1_000), vec![member(1, "a", LARGE)], 50 => [50, 0];
 
     /// Starts wait for seconds in every turn: one small node decides for a thousand endpoints, and
     /// cannot call all of them.
-    owner_of_a_large_fleet_has_most_of_it_called_by_others:
+    delegates_call_most_endpoints_of_a_large_fleet:
         LARGE, vec![member(1, "a", LARGE), member(2, "a", LARGE)], 500 => [120, 180, 200];
 
-    nodes_in_the_zone_of_the_endpoints_come_first:
+    delegates_in_the_endpoint_zone_are_preferred:
         LARGE, vec![member(1, "b", LARGE), member(2, "a", LARGE)], 300 => [120, 0, 180];
 
     /// The owner's renewals get no answers and it is succeeded every second: its link is full of calls,
     /// while its processor is idle.
-    link_bounds_what_a_node_calls:
+    link_bandwidth_limits_capacity:
         NARROW, vec![member(1, "a", NARROW), member(2, "a", NARROW)], 40 => [4, 16, 20];
 
-    owner_calls_what_nobody_else_has_room_for:
+    owner_calls_endpoints_beyond_delegate_capacity:
         NARROW, vec![member(1, "a", NARROW)], 60 => [40, 20];
 
-    owner_that_knows_of_nobody_calls_everything: LARGE, Vec::new(), 400 => [400];
+    owner_without_delegates_calls_all_endpoints: LARGE, Vec::new(), 400 => [400];
 }
 
 fn large_fleet_assignments() -> EndpointAssignments {
@@ -80,7 +80,7 @@
 
 /// A node that calls endpoints loses power; its share must go on at once, and not come back to it.
 #[test]
-fn share_of_a_lost_node_goes_to_others() {
+fn endpoints_of_a_lost_delegate_are_reassigned() {
     let mut assignments = large_fleet_assignments();
     let lost = assignments.assign(200, "a", 0).expect("a node");
     assignments.mark_lost(lost, 0);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn lost_node_is_asked_again_later() {
+fn lost_delegate_is_used_again_later() {
     let mut assignments = EndpointAssignments::new(0, 0);
     assignments.set_members(&[member(1, "a", LARGE)]);
     assignments.mark_lost(address(1), 0);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn endpoint_stays_with_its_node() {
+fn assignment_is_stable_when_a_node_joins() {
     let mut assignments = large_fleet_assignments();
     let nodes: Vec<_> = (0..300)
         .map(|key| assignments.assign(key, "a", 0))
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn node_that_turns_slow_gives_up_what_it_cannot_carry() {
+fn slowed_delegate_keeps_only_what_it_can_call() {
     let mut assignments = large_fleet_assignments();
     assert_eq!(assignments.delegated_counts(), (180, 1));
     assignments.set_members(&[member(1, "a", (50, 200)), member(2, "a", (50, 200))]);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn endpoints_that_are_gone_make_room() {
+fn removed_endpoints_free_capacity() {
     let mut assignments = large_fleet_assignments();
     assignments.retain(|key| key >= 200);
     assert_eq!(assignments.delegated_counts(), (100, 1));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn node_that_is_heard_of_no_more_is_gone() {
+fn silent_member_times_out() {
     let mut members = Members::default();
     members.record(member(1, "a", LARGE), 0);
     members.record(member(2, "a", LARGE), 2_000);
--- a/crates/controller/tests/in_flight.rs
+++ b/crates/controller/tests/in_flight.rs
@@ -23,14 +23,14 @@
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $body:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() { $body; })*
+    ($($(#[$doc:meta])* $name:ident: $body:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() { $body; })*
     };
 }
 
 cases! {
     /// Answers of a slowed store take half a second; one that answers nothing for longer is away.
-    store_that_answers_nothing_is_away: {
+    silent_store_counts_as_unavailable: {
         let mut in_flight = InFlightBatches::default();
         assert!(!in_flight.is_store_unavailable(1_000));
         let first = in_flight.add(batch("a"), 1_000);
@@ -43,7 +43,7 @@
     };
 
     /// A calm store answers within 10 ms: load makes batches larger, not more frequent.
-    calm_store_gets_one_batch_at_a_time: {
+    fast_store_gets_one_batch_at_a_time: {
         let mut in_flight = InFlightBatches::default();
         assert!(in_flight.has_capacity(1_000));
         let number = in_flight.add(batch("a"), 1_000);
@@ -54,7 +54,7 @@
 
     /// Every answer of the store takes 400 ms. What happened right after a batch was cut waited for
     /// two of them, so that a job of two steps lost a second of its slack at each.
-    slow_store_gets_the_next_batch_before_it_answers: {
+    slow_store_gets_next_batch_before_it_responds: {
         let mut in_flight = InFlightBatches::default();
         in_flight.add(batch("a"), 1_000);
         assert!(in_flight.has_capacity(1_000 + PIPELINE_DELAY_MS));
@@ -62,7 +62,7 @@
 
     /// The store is away. It knows its answers to the last five appends only, so no more than these
     /// may have to be sent again.
-    store_that_is_away_gets_a_few_batches: {
+    unavailable_store_gets_limited_batches: {
         let mut in_flight = InFlightBatches::default();
         let mut now_ms = 1_000;
         while in_flight.has_capacity(now_ms) {
@@ -75,7 +75,7 @@
 
     /// The answer to the first append is lost, that to the second arrives. A run that the second
     /// batch starts may rest on what the first one says: nothing goes out before both are stored.
-    answer_that_overtakes_another_waits_for_it: {
+    batch_stored_out_of_order_waits_for_earlier_ones: {
         let mut in_flight = InFlightBatches::default();
         let first = in_flight.add(batch("a"), 1_000);
         let second = in_flight.add(batch("b"), 1_100);
@@ -84,7 +84,7 @@
         assert!(in_flight.is_empty());
     };
 
-    batch_without_records_waits_for_the_newest: {
+    batch_without_records_waits_for_newest: {
         let mut in_flight = InFlightBatches::default();
         let first = in_flight.add(batch("a"), 1_000);
         in_flight.append_to_newest(batch("joined"));
--- a/crates/controller/tests/ownership.rs
+++ b/crates/controller/tests/ownership.rs
@@ -32,21 +32,21 @@
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $body:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() { $body; })*
+    ($($(#[$doc:meta])* $name:ident: $body:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() { $body; })*
     };
 }
 
 cases! {
-    claim_gives_the_epoch_by_its_offset: assert_eq!(owned().owner.map(|owner| owner.epoch), Some(1));
+    claim_offset_determines_epoch: assert_eq!(owned().owner.map(|owner| owner.epoch), Some(1));
 
-    sound_owner_is_left_alone: assert!(!owned().needs_owner(1_000 + OWNER_TIMEOUT_MS));
+    owner_is_kept_until_timeout: assert!(!owned().needs_owner(1_000 + OWNER_TIMEOUT_MS));
 
     silent_owner_is_replaced: assert!(owned().needs_owner(1_001 + OWNER_TIMEOUT_MS));
 
     /// Every node claims when the store comes back. It was away for all; nobody heard the owner,
     /// which went on all the while.
-    outage_of_the_store_says_nothing_about_the_owner: {
+    store_outage_does_not_time_out_the_owner: {
         let mut view = owned();
         view.record_read_failure();
         assert!(!view.needs_owner(20_000));
@@ -57,15 +57,15 @@
 
     /// Nobody accepts jobs for seconds more: the store was away when the nodes started, and each of them
     /// waited once more for larger ones when it came back.
-    node_that_has_lived_for_a_while_waits_no_more_for_larger_ones: {
-        let nobody = OwnershipView::default();
-        assert!(nobody.claim_delay_ms(120, 0) > 0);
-        assert_eq!(nobody.claim_delay_ms(120, 2_000), 0);
+    first_claim_delay_counts_from_process_start: {
+        let empty = OwnershipView::default();
+        assert!(empty.claim_delay_ms(120, 0) > 0);
+        assert_eq!(empty.claim_delay_ms(120, 2_000), 0);
     };
 
     /// A sound owner of a large fleet is succeeded by a small node. The store was slow, a hundred and
     /// fifty nodes asked in the same moment whether the owner was there, and most got no connection.
-    small_nodes_spread_their_asks: {
+    small_nodes_spread_their_probes: {
         let mut view = owned();
         let mut claim = record(OwnershipKind::Claim, 0, 8);
         claim.cpu_millis = 500;
@@ -74,7 +74,7 @@
         assert!(view.probe_jitter_ms(120) > SMALL_NODE_CLAIM_DELAY_MS);
     };
 
-    release_asks_for_another_owner_at_once: {
+    release_allows_immediate_claim: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
         assert!(view.needs_owner(1_100));
@@ -82,7 +82,7 @@
 
     /// A node is stopped while the store is slow. Its successor comes after two seconds, and for all
     /// that time callers were told that there is no owner, though the old one was still there.
-    owner_that_gave_up_is_asked_until_it_is_succeeded: {
+    released_owner_remains_until_succeeded: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
         assert_eq!(view.owner.map(|owner| owner.epoch), Some(1));
@@ -93,7 +93,7 @@
 
     /// A renewal that was under way when the owner gave up is stored after its release. Taken for an
     /// owner that goes on, it kept the others waiting for its silence.
-    late_renewal_takes_no_release_back: {
+    late_renewal_does_not_revoke_release: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
         view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_150);
@@ -101,7 +101,7 @@
     };
 
     /// A late renewal of a former owner is read after its successor's claim.
-    late_renewal_changes_nothing: {
+    renewal_of_former_owner_is_ignored: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Claim, 0, 8)), 1_200);
         view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_300);
@@ -111,7 +111,7 @@
     /// All processes are killed and start again within a second; callers are refused for as long
     /// as the nodes wait for an owner whose process is gone. The process that took its place at its
     /// address can know.
-    successor_at_the_owners_address_need_not_wait: {
+    restart_at_owner_address_is_detected: {
         assert!(owned().is_owner_restarted_at(8, address(7_060)));
         assert!(!owned().is_owner_restarted_at(7, address(7_060)));
         assert!(!owned().is_owner_restarted_at(8, address(7_061)));
@@ -119,7 +119,7 @@
 
     /// After the loss of all nodes every VM rests for the sake of the earlier owner's orders, though a
     /// later life at its address has the fleet, so that no such order can come any more.
-    successor_at_the_owners_address_ends_its_epoch: {
+    restart_at_owner_address_ends_previous_epoch: {
         let mut view = owned();
         assert_eq!(view.ended_predecessor_epoch(), None);
         view.apply(Some(&record(OwnershipKind::Claim, 0, 8)), 1_200);
@@ -135,8 +135,8 @@
     /// A node with an eighth of a core claims the fleet beside nodes with half a core, and jobs wait
     /// for seconds whenever many come at once.
     larger_node_claims_first: {
-        let nobody = OwnershipView::default();
-        assert!(nobody.claim_delay_ms(500, 0) + SMALL_NODE_CLAIM_DELAY_MS < nobody.claim_delay_ms(120, 0));
+        let empty = OwnershipView::default();
+        assert!(empty.claim_delay_ms(500, 0) + SMALL_NODE_CLAIM_DELAY_MS < empty.claim_delay_ms(120, 0));
         assert_eq!(owned().claim_delay_ms(120, 60_000), SMALL_NODE_CLAIM_DELAY_MS);
         assert_eq!(owned().claim_delay_ms(250, 0), 0);
     };
@@ -149,7 +149,7 @@
 
     /// The owner's process is killed; its VM refuses connections. Callers were kept for 1.3 s, then
     /// refused, and came back a second later.
-    owner_whose_address_refuses_is_followed_soon: {
+    owner_refusing_connections_is_replaced_early: {
         let mut view = owned();
         view.record_refused_connection(1, 1_100);
         view.record_refused_connection(1, 1_250);
@@ -159,7 +159,7 @@
 
     /// The owner is cut off. Every caller waits for 1.3 s until it has been silent for long enough,
     /// though it does not answer when it is asked.
-    silent_owner_that_does_not_answer_is_followed_soon: {
+    unresponsive_owner_is_replaced_early: {
         let mut view = owned();
         assert_eq!(view.until_suspected_ms(1_100), Some(SUSPICION_TIMEOUT_MS - 100));
         view.record_unresponsive(1, 999 + SUSPICION_TIMEOUT_MS);
@@ -169,7 +169,7 @@
     };
 
     /// A node that was cut off from the owner alone hears its renewals all the while.
-    renewal_that_is_read_clears_the_owner: {
+    renewal_clears_unresponsive_owner: {
         let mut view = owned();
         view.record_unresponsive(1, 1_000 + SUSPICION_TIMEOUT_MS);
         view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_010 + SUSPICION_TIMEOUT_MS);
@@ -177,7 +177,7 @@
     };
 
     /// A node asks an address from before the last claim, or the owner was only slow to listen.
-    refusal_says_nothing_of_another_owner: {
+    refused_connection_of_other_epoch_is_ignored: {
         let mut view = owned();
         view.record_refused_connection(0, 1_100);
         assert!(!view.needs_owner(1_500));
@@ -188,7 +188,7 @@
 
     /// A successor let every VM rest that had been ordered in the last nine seconds by the time of
     /// day, though the log shows that most of these orders were seconds old.
-    renewals_tell_by_when_orders_were_stored: {
+    renewals_bound_when_records_were_stored: {
         let mut view = owned();
         let renewal = |stored_end| OwnershipRecord {
             stored_end,
@@ -202,7 +202,7 @@
         assert_eq!(view.stored_by_ms(60), None);
     };
 
-    record_of_another_writer_is_passed_over: {
+    malformed_record_is_skipped: {
         let mut view = owned();
         assert_eq!(OwnershipRecord::decode(b"\xc1noise"), None);
         view.apply(None, 1_100);
--- a/crates/controller/tests/payloads.rs
+++ b/crates/controller/tests/payloads.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn payload_that_came_in_is_kept() {
+fn inserted_payload_is_cached() {
     let payloads = PayloadCache::default();
     payloads.insert(job(1), &payload(1_200));
     assert_eq!(payloads.get(job(1)), Some(payload(1_200)));
@@ -29,7 +29,7 @@
 
 /// A small node takes hundreds of jobs a second for hours; what it keeps must not grow with them.
 #[test]
-fn oldest_payloads_are_forgotten() {
+fn oldest_payloads_are_evicted() {
     let payloads = PayloadCache::default();
     for number in 0..5_000 {
         payloads.insert(job(number), &payload(1_000));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn payload_handed_in_twice_is_kept_once() {
+fn repeated_insert_is_counted_once() {
     let payloads = PayloadCache::default();
     for _ in 0..10 {
         payloads.insert(job(1), &payload(1_000_000));
@@ -52,7 +52,7 @@
 /// A link is filled by payloads: eight tasks of a job begin on a node in one moment, and each of them
 /// fetched the payload by itself.
 #[test]
-fn payload_is_fetched_once_for_starts_at_once() {
+fn concurrent_starts_fetch_payload_once() {
     let payloads = PayloadCache::default();
     let fetched = Arc::new(AtomicU32::new(0));
     let runtime = Builder::new_current_thread().build().expect("a runtime");
--- a/crates/controller/tests/pending.rs
+++ b/crates/controller/tests/pending.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn result_is_told_of_the_call_that_it_names() {
+fn result_is_matched_by_call_number() {
     let events = calls().apply_results(vec![(1, refused())]);
     assert!(matches!(
         events[..],
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn result_told_twice_counts_once() {
+fn repeated_result_is_ignored() {
     let mut calls = calls();
     assert_eq!(calls.apply_results(vec![(1, refused())]).len(), 1);
     assert!(calls.apply_results(vec![(1, refused())]).is_empty());
@@ -45,7 +45,7 @@
 /// A task would run twice. The node that was to start it did not tell in time, so the start counts as
 /// unknown and is repeated; then the first, refused one is told, and taken for that of the repeat.
 #[test]
-fn result_of_a_call_that_was_given_up_is_passed_over() {
+fn result_of_abandoned_call_is_ignored() {
     let mut calls = calls();
     let events = calls.abandon_all();
     let is_unknown = |event: &Event| {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn call_that_was_not_taken_is_made_elsewhere_once() {
+fn refused_call_is_withdrawn_once() {
     let mut calls = calls();
     assert_eq!(calls.withdraw(1), Some(7));
     assert_eq!(calls.withdraw(1), None);
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn result_of_another_kind_of_call_is_none() {
+fn result_of_wrong_kind_is_ignored() {
     let result = CallResult::Paced(true);
     assert!(calls().apply_results(vec![(2, result)]).is_empty());
 }
 
 #[test]
-fn node_that_does_not_tell_is_noticed() {
+fn overdue_result_is_detected() {
     let calls = calls();
     assert!(!calls.is_overdue(1_499));
     assert!(calls.is_overdue(1_500));
