--- a/crates/controller/src/clock.rs
+++ b/crates/controller/src/clock.rs
@@ -6,10 +6,10 @@
     std::time::{SystemTime, UNIX_EPOCH},
 };
 
-/// Returns the steady clock that counts suspension too, in milliseconds.
+/// Returns the monotonic time including suspension, in milliseconds.
 ///
-/// The ordinary steady clock stands still while a VM is suspended: a woken owner would take its
-/// ownership for fresh, and order VMs beside its successor.
+/// `CLOCK_MONOTONIC` stops while a VM is suspended: a resumed owner would consider its ownership
+/// recent and issue VM orders alongside its successor.
 #[must_use]
 pub fn steady_ms() -> u64 {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns the time of day in milliseconds since 1970.
+/// Returns the wall clock time in milliseconds since the Unix epoch.
 #[must_use]
 pub fn wall_ms() -> u64 {
     SystemTime::now()
@@ -35,7 +35,7 @@
         .unwrap_or_default()
 }
 
-/// Returns both clocks.
+/// Returns the time of both clocks.
 #[must_use]
 pub fn now() -> Now {
     Now {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,7 +1,8 @@
-//! Node of a fleet on the users' platform.
+//! Node of the fleet controller on the users' platform.
 //!
-//! Every node takes callers' requests; one of them owns the fleet for a while, decides and gives
-//! orders. Which one is agreed through the platform's log:
+//! Every node serves callers. One of them owns the fleet at a time: it makes the decisions and
+//! calls endpoints and platform services. The owner is elected through a log in the platform's
+//! store:
 //!
 //! ```
 //! use lynxwheel_controller::{OwnershipKind, OwnershipRecord, OwnershipView};
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: what its duties share, its start and its stop.
+//! Node state shared by all tasks, startup and graceful shutdown.
 
 use {
     crate::{
@@ -33,35 +33,35 @@
     },
 };
 
-/// Longest lease granted to endpoints, in milliseconds: it outlives an owner's loss and its
-/// successor's start by some seconds, and bounds how long the runs of a dead endpoint are missing.
+/// Maximum endpoint lease, in milliseconds. Outlasts an owner failure and the following takeover by
+/// several seconds, and bounds how long runs on a dead endpoint go unnoticed.
 const MAX_LEASE_MS: u64 = 6_000;
 
-/// Time for which an ended job is remembered beyond what callers are promised, in milliseconds.
+/// Retention of ended jobs beyond the promised period, in milliseconds.
 const RETENTION_SLACK_MS: u64 = 30_000;
 
-/// Time for which a stopping node goes on taking connections, in milliseconds: the balancer asks
-/// each second and believes the second miss.
+/// Time for which a stopping node keeps accepting connections, in milliseconds. The load balancer
+/// checks readiness every second and removes a node after two failed checks.
 const CONNECTION_DRAIN_MS: u64 = 2_600;
 
-/// Time that is kept of the grace period for the last answers, in milliseconds.
+/// Part of the shutdown grace period reserved for final responses, in milliseconds.
 const FINAL_RESPONSES_MS: u64 = 1_200;
 
-/// Time without contact to the store after which a node is not ready, in milliseconds: one poll
-/// and its slack.
+/// Time without store contact after which a node reports that it is not ready, in milliseconds: one
+/// poll plus slack.
 const READY_CONTACT_MS: u64 = 1_800;
 
-/// Time without contact to the store after which an owner counts as cut off from it, in
-/// milliseconds: the longest wait of a poll, and a little.
+/// Time without store contact after which an owner counts as disconnected from the store, in
+/// milliseconds: the maximum poll wait plus slack.
 const OWNER_CONTACT_MS: u64 = 750;
 
-/// Time between summing up the samples of the metrics, in milliseconds: the recorder's own default.
+/// Interval of the metrics upkeep, in milliseconds; the same as the exporter's default.
 const METRICS_UPKEEP_INTERVAL_MS: u64 = 5_000;
 
-/// Connections to another node at most.
+/// Maximum number of connections to each peer.
 const MAX_PEER_CONNECTIONS: usize = 32;
 
-/// Renders the metrics as text; what renders them is the program's choice.
+/// Handle to the process's metrics exporter.
 #[derive(Clone)]
 pub struct MetricsHandle {
     render: Arc<dyn Fn() -> String + Send + Sync>,
@@ -69,8 +69,8 @@
 }
 
 impl MetricsHandle {
-    /// Wraps what renders the metrics, and what sums up their samples now and then, so that they
-    /// take no more and more memory while nobody asks.
+    /// Creates a handle from a function that renders the metrics and one that drains histogram
+    /// samples, which would otherwise accumulate while nobody scrapes.
     #[must_use]
     pub fn new(
         render: impl Fn() -> String + Send + Sync + 'static,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Renders the metrics.
+    /// Renders the metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         (self.render)()
@@ -91,69 +91,70 @@
 
 impl fmt::Debug for MetricsHandle {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("MetricsPage")
+        formatter.write_str("MetricsHandle")
     }
 }
 
-/// What the duties of a node share.
+/// State shared by the tasks of a node.
 #[derive(Debug)]
 pub struct Node {
-    /// Settings.
+    /// Settings of the process.
     pub settings: PlatformSettings,
-    /// Life of this process; no two share it.
+    /// Random identifier of this process's lifetime.
     pub incarnation: u64,
-    /// When this process began, on the steady clock in milliseconds.
+    /// Monotonic start time of the process, in milliseconds.
     pub started_ms: u64,
-    /// Address at which it takes other nodes' requests.
+    /// Address at which peers reach this node.
     pub peer_address: SocketAddr,
-    /// Speed of its processor.
+    /// Measured CPU speed.
     pub cpu_speed: Mutex<CpuSpeed>,
-    /// Store.
+    /// Client of the platform's store.
     pub store: StoreClient,
-    /// Connections to other nodes.
+    /// HTTP clients for peers.
     pub peers: Arc<Clients>,
     /// Active configuration.
     pub config: ArcSwap<FleetConfig>,
-    /// When what operators write was read last, on the steady clock in milliseconds.
+    /// Monotonic time of the last read of the operator topic, in milliseconds.
     pub config_read_ms: AtomicU64,
-    /// When others were asked last for a newer configuration, on the steady clock in milliseconds.
+    /// Monotonic time of the last request for a newer configuration, in milliseconds.
     pub config_requested_ms: AtomicU64,
-    /// Held while another node's configuration is fetched.
+    /// Serializes configuration fetches from peers.
     pub config_fetch: tokio::sync::Mutex<()>,
-    /// Orders of maintenance that were read.
+    /// Maintenance orders read from the operator topic, sorted by wave.
     pub wave_orders: Mutex<Vec<WaveOrder>>,
-    /// What is known of ownership.
+    /// State replayed from the ownership log.
     pub ownership: tokio::sync::watch::Sender<OwnershipView>,
-    /// Nodes that passed requests on to this one lately.
+    /// Nodes that recently forwarded requests to this one.
     pub members: Mutex<Members>,
-    /// Payloads of jobs that came in here, or that were fetched for calls.
+    /// Payloads of jobs submitted here or fetched for delegated calls.
     pub payloads: PayloadCache,
-    /// Calls made here for owners on other nodes.
+    /// Executes endpoint calls for owners on other nodes.
     pub delegate_worker: DelegateWorker,
-    /// Given when nothing listens at the owner's address.
+    /// Notified when the owner's address refuses a connection.
     pub owner_refused: Notify,
-    /// Given when the owner did not answer a request as its owner would.
+    /// Notified when a forwarded request fails or reaches a node that is not the owner.
     pub owner_suspected: Notify,
-    /// The owner's duties while this node is the owner.
+    /// Handle of the owner actor while this node is the owner.
     pub owner: ArcSwapOption<OwnerHandle>,
-    /// Epoch that this node is taking over at the moment; 0 for none.
+    /// Epoch of the takeover in progress; 0 for none.
     pub takeover_epoch: AtomicU64,
-    /// Epoch under which this process has written; it is never taken up twice.
+    /// Last epoch for which this process ran an owner actor; it never runs a second one for the
+    /// same epoch.
     pub last_owned_epoch: AtomicU64,
-    /// When the owner answered a request of this node last, on the steady clock in milliseconds.
+    /// Monotonic time of the owner's last response to this node, in milliseconds.
     pub last_owner_response_ms: AtomicU64,
-    /// When the store was reached last, on the steady clock in milliseconds.
+    /// Monotonic time of the last successful store access, in milliseconds.
     pub last_store_contact_ms: AtomicU64,
-    /// Renders the metrics as text.
+    /// Handle to the metrics exporter.
     pub metrics: MetricsHandle,
-    /// Given when the node has to stop.
+    /// Triggered when graceful shutdown begins.
     pub stopping: Shutdown,
-    /// Given when the node takes no connections any more.
+    /// Triggered when the node stops accepting connections.
     pub closing: Shutdown,
 }
 
 impl Node {
-    /// Creates a node.
+    /// Creates a node that has not contacted the store yet.
     #[must_use]
     pub fn new(settings: PlatformSettings, metrics: MetricsHandle) -> Self {
         let ip: IpAddr = settings
@@ -190,13 +191,13 @@
         }
     }
 
-    /// Records that the store was reached.
+    /// Records a successful store access.
     pub fn record_store_contact(&self) {
         self.last_store_contact_ms
             .store(clock::steady_ms(), Ordering::Relaxed);
     }
 
-    /// Records that what operators write was read.
+    /// Records a successful read of the operator topic.
     pub fn record_config_read(&self) {
         let now_ms = clock::steady_ms();
         self.config_read_ms.store(now_ms, Ordering::Relaxed);
@@ -206,25 +207,25 @@
         now_ms < self.last_store_contact_ms.load(Ordering::Relaxed) + age_ms
     }
 
-    /// Records that the owner answered a request of this node.
+    /// Records that the owner responded to a request of this node.
     pub fn record_owner_response(&self) {
         self.last_owner_response_ms
             .store(clock::steady_ms(), Ordering::Relaxed);
     }
 
-    /// Tells whether the owner answered within the last `age_ms`.
+    /// Returns whether the owner responded within the last `age_ms`.
     #[must_use]
     pub fn has_owner_responded_within(&self, now_ms: u64, age_ms: u64) -> bool {
         now_ms < self.last_owner_response_ms.load(Ordering::Relaxed) + age_ms
     }
 
-    /// Tells whether the store was reached within one poll.
+    /// Returns whether the store was reached within the last poll.
     #[must_use]
     pub fn is_store_reachable(&self, now_ms: u64) -> bool {
         self.was_store_reached_within(now_ms, OWNER_CONTACT_MS)
     }
 
-    /// Returns the highest epoch heard of, and the owner if there is one.
+    /// Returns the highest known epoch and the owner, if any.
     #[must_use]
     pub fn known_owner(&self) -> (u64, Option<OwnerInfo>) {
         let view = self.ownership.borrow();
@@ -239,7 +240,7 @@
         speed.record(elapsed);
     }
 
-    /// Returns the processor that the node has at the moment, in thousandths of a core.
+    /// Returns the effective CPU capacity, in thousandths of a core.
     #[must_use]
     pub fn cpu_millis(&self) -> u32 {
         let speed = self
@@ -249,7 +250,7 @@
         speed.effective_cpu_millis(self.settings.cpu_millis)
     }
 
-    /// Returns what this node says of itself to others.
+    /// Describes this node to peers.
     #[must_use]
     pub fn as_member(&self) -> Member {
         Member {
@@ -260,20 +261,20 @@
         }
     }
 
-    /// Records a node that passed a request on to this one.
+    /// Records a node that forwarded a request to this one.
     pub fn record_member(&self, member: Member) {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         members.record(member, clock::steady_ms());
     }
 
-    /// Returns the other nodes that count as there.
+    /// Returns the other nodes that count as live.
     #[must_use]
     pub fn live_members(&self, now_ms: u64) -> Vec<Member> {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         members.live(now_ms)
     }
 
-    /// Returns a record of this node for the ownership log.
+    /// Creates an ownership log record written by this node.
     #[must_use]
     pub fn ownership_record(&self, kind: OwnershipKind, epoch: u64) -> OwnershipRecord {
         OwnershipRecord {
@@ -286,12 +287,12 @@
         }
     }
 
-    /// Tells whether callers are served here: with a configuration, not stopping, and in touch with
-    /// the store.
+    /// Returns whether callers can be served: a configuration is active, the node is not stopping,
+    /// and the store was reached recently.
     ///
-    /// A node that is cut off alone can neither follow the owner nor learn of another, and every
-    /// caller it takes is lost. When the store is away for everybody no node is ready, and the
-    /// balancer then uses all of them.
+    /// A node that is cut off from the store can neither follow the owner nor discover a new one.
+    /// When the store is down for all nodes, none is ready and the balancer falls back to using all
+    /// of them.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.config.load().version > 0
@@ -299,7 +300,7 @@
             && self.was_store_reached_within(clock::steady_ms(), READY_CONTACT_MS)
     }
 
-    /// Returns the bounds for the engine.
+    /// Derives the engine's settings from the platform's limits.
     #[must_use]
     pub fn engine_settings(&self) -> EngineSettings {
         let bounds = &self.settings.bounds;
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Records that nothing listens at the address of the owner of an epoch.
+    /// Records that the address of the owner of `epoch` refused a connection.
     pub fn record_owner_refused(&self, epoch: u64) {
         let now_ms = clock::steady_ms();
         self.ownership
@@ -320,7 +321,7 @@
         self.owner_refused.notify_one();
     }
 
-    /// Activates a configuration, unless it is older than the active one.
+    /// Activates a configuration if it is newer than the active one.
     pub fn activate_config(&self, config: FleetConfig) {
         if config.version <= self.config.load().version {
             return;
@@ -344,7 +345,7 @@
         }
     }
 
-    /// Records an order of maintenance.
+    /// Stores a maintenance order and passes it to the owner actor, if there is one.
     pub fn record_wave_order(&self, order: WaveOrder) {
         info!(
             event = "wave_order", wave = order.wave, vms = order.vms.len(),
@@ -366,18 +367,18 @@
     }
 }
 
-/// Runs a node until SIGTERM or SIGINT, then stops gracefully.
+/// Runs a node until SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound or signals cannot be received.
+/// Fails when an address cannot be bound or a signal handler cannot be installed.
 pub async fn run(settings: PlatformSettings, metrics: MetricsHandle) -> io::Result<()> {
-    // First, so that a signal that comes while the node starts stops it gracefully, too.
+    // Installed first, so that a signal during startup shuts the node down gracefully, too.
     let signals = Signals::new()?;
     let node = Arc::new(Node::new(settings, metrics));
     info!(
-        event = "start", node = node.settings.node_name.as_str(), zone = node.settings.zone.as_str(),
-        incarnation = node.incarnation;
+        event = "start", node = node.settings.node_name.as_str(),
+        zone = node.settings.zone.as_str(), incarnation = node.incarnation;
         ""
     );
     let callers = ingress::bind(&node).await?;
@@ -402,7 +403,7 @@
     Ok(())
 }
 
-/// Measures the processor's speed, and tells when the node turns slow or recovers.
+/// Measures the CPU speed periodically and logs when the node slows down or recovers.
 async fn monitor_cpu_speed(node: Arc<Node>) {
     let nominal_millis = node.settings.cpu_millis;
     let mut was_slowed = false;
@@ -426,7 +427,7 @@
     }
 }
 
-/// Signals that concern a node.
+/// Signals handled by a node.
 struct Signals {
     term: Signal,
     interrupt: Signal,
@@ -447,7 +448,7 @@
             tokio::select! {
                 _ = self.term.recv() => return,
                 _ = self.interrupt.recv() => return,
-                // The settings of a process are fixed for its life: addresses and bounds.
+                // Settings are fixed for the lifetime of the process.
                 _ = self.hangup.recv() => {
                     info!(event = "reload", outcome = "nothing to take over"; "");
                 }
--- a/crates/controller/src/ready.rs
+++ b/crates/controller/src/ready.rs
@@ -1,4 +1,4 @@
-//! Readiness for the platform's balancer.
+//! Readiness endpoint for the platform's load balancer.
 
 use {
     crate::node::Node,
@@ -7,16 +7,16 @@
     std::{io, sync::Arc},
 };
 
-/// Binds the address at which the balancer asks.
+/// Binds the readiness address.
 ///
 /// # Errors
 ///
-/// Fails when it cannot be bound.
+/// Fails when the address cannot be bound.
 pub async fn bind(node: &Node) -> io::Result<Server> {
     Server::bind(node.settings.ready).await
 }
 
-/// Answers the balancer.
+/// Serves readiness checks until the node closes.
 pub async fn serve(node: Arc<Node>, server: Server) {
     let shutdown = node.closing.clone();
     let handler = |node: Arc<Node>, _| async move {
