--- a/crates/controller/src/load.rs
+++ b/crates/controller/src/load.rs
@@ -1,4 +1,4 @@
-//! How busy an owner is, and how far it is behind.
+//! Load statistics of the owner actor.
 
 use {
     log::info,
@@ -6,10 +6,10 @@
     std::time::{Duration, Instant},
 };
 
-/// Time between two lines on an owner's load, in milliseconds.
+/// Interval between log lines, in milliseconds.
 const LOG_INTERVAL_MS: u64 = 1_000;
 
-/// What an owner did since the last line.
+/// Statistics since the last log line.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerLoad {
     since_ms: u64,
@@ -21,26 +21,28 @@
 }
 
 impl OwnerLoad {
-    /// Counts a message, with the time that it took.
+    /// Counts a message and the time spent on it.
     pub fn record_message(&mut self, started: Instant) {
         self.messages += 1;
         self.busy += started.elapsed();
     }
 
-    /// Counts a batch that goes to the store.
+    /// Counts a batch sent to the store.
     pub fn record_batch(&mut self, bytes: usize) {
         self.batches += 1;
         self.stored_bytes += bytes;
     }
 
-    /// Takes in for how long a message waited in the mailbox.
+    /// Records the time that a message spent in the mailbox.
     pub fn record_delay(&mut self, delay_ms: u64) {
         self.max_delay_ms = self.max_delay_ms.max(delay_ms);
     }
 
-    /// Writes a line when one is due, and keeps the wait as a gauge; tells whether it was due.
+    /// Logs the statistics and updates the gauge if the interval has passed. Returns whether it
+    /// has.
     ///
-    /// `carried` is the number of endpoints that other nodes call, and of these nodes.
+    /// `delegated_counts` are the numbers of endpoints called by delegates, and of delegates in
+    /// use.
     pub fn log_if_due(
         &mut self,
         epoch: u64,
@@ -55,8 +57,8 @@
         gauge!("lynxwheel_owner_behind_ms").set(f64::from(behind));
         info!(
             event = "owner_load", epoch = epoch, messages = self.messages, batches = self.batches,
-            stored_bytes = self.stored_bytes, busy_us = busy_us, behind_ms = self.max_delay_ms, carried_endpoints = delegated_counts.0,
-            carriers = delegated_counts.1;
+            stored_bytes = self.stored_bytes, busy_us = busy_us, behind_ms = self.max_delay_ms,
+            carried_endpoints = delegated_counts.0, carriers = delegated_counts.1;
             ""
         );
         *self = Self {
--- a/crates/controller/src/notes.rs
+++ b/crates/controller/src/notes.rs
@@ -1,4 +1,4 @@
-//! Log lines of what the owner found out.
+//! Log lines and metrics for the engine's notes.
 
 use {
     log::info,
@@ -17,10 +17,10 @@
     }
 }
 
-/// Writes a line for each note.
+/// Logs notes and records their metrics.
 ///
-/// Runs that ended as done are left out: there are hundreds a second, and their job's end tells of
-/// them.
+/// Successful runs are not logged: there are hundreds per second, and the end of their job is
+/// logged.
 pub fn log_notes(epoch: u64, notes: &[Note]) {
     for note in notes {
         match note {
@@ -41,9 +41,9 @@
             } => {
                 counter!("lynxwheel_runs_total", "end" => end_label(*end)).increment(1);
                 info!(
-                event = "run_over", epoch = epoch, task:% = task, run = run,
-                endpoint = endpoint.as_str(), end:? = end, after_ms = after_ms;
-                ""
+                    event = "run_over", epoch = epoch, task:% = task, run = run,
+                    endpoint = endpoint.as_str(), end:? = end, after_ms = after_ms;
+                    ""
                 );
             }
             Note::JobEnded {
@@ -53,9 +53,9 @@
             } => {
                 histogram!("lynxwheel_job_seconds").record(Duration::from_millis(*after_ms));
                 info!(
-                event = "job_ended", epoch = epoch, job = job.as_str(), state:? = state,
-                after_ms = after_ms;
-                ""
+                    event = "job_ended", epoch = epoch, job = job.as_str(), state:? = state,
+                    after_ms = after_ms;
+                    ""
                 );
             }
             Note::ShareReached(wait) => {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Writes that tasks wait for their account's quota.
+/// Logs that tasks wait for their account's quota.
 fn log_quota_wait(epoch: u64, wait: &QuotaWait) {
     let QuotaWait {
         account,
@@ -98,7 +98,7 @@
     );
 }
 
-/// Writes how a pool stands, and keeps it as gauges.
+/// Logs a pool's plan and sets its gauges.
 fn log_pool_plan(epoch: u64, plan: &PoolPlan) {
     let PoolPlan {
         pool,
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -1,7 +1,8 @@
-//! The owner's duties: one actor with the engine.
+//! Owner actor: runs the engine while this node is the owner.
 //!
-//! Every outcome, also silence, comes to the actor as an event. A batch is stored at a time, and what
-//! happens meanwhile joins the next one; while the store is slow, a few are under way at once.
+//! All inputs, including timeouts, reach the actor as messages. Changes are stored in batches, one
+//! at a time; changes made meanwhile go into the next batch. While the store is slow, a few batches
+//! are in flight.
 
 use {
     crate::{
@@ -36,41 +37,41 @@
     tokio::{sync::oneshot, task::JoinHandle},
 };
 
-/// What the actor gets.
+/// Message to the owner actor.
 #[derive(Debug)]
 pub enum OwnerMessage {
     /// An event for the engine.
     Event(Box<Event>),
-    /// Time has passed; it was sent at this time on the steady clock, in milliseconds.
+    /// Periodic tick with its monotonic send time, in milliseconds.
     Tick(u64),
-    /// A caller's request.
+    /// Request of a caller.
     CallerRequest(CallerRequest, oneshot::Sender<OwnerResponse>),
-    /// What came of calls that another node made for this owner.
+    /// Results of calls executed by a delegate.
     DelegateResults(SocketAddr, Vec<(CallNumber, CallResult)>),
-    /// Another node took none of these calls.
+    /// A delegate refused these calls.
     CallsRefused(SocketAddr, Vec<DelegatedCall>),
-    /// Another node that makes calls for this owner does not answer.
+    /// A delegate does not respond.
     DelegateLost(SocketAddr),
-    /// The batch under way with this number is stored.
+    /// The in-flight batch with this number is stored.
     BatchStored(u64),
-    /// A newer owner writes or gives orders.
+    /// A newer epoch is in force.
     Deposed,
-    /// The node is stopping: hand over.
+    /// The node is stopping, or a larger node asked for the ownership.
     Release,
 }
 
 impl OwnerMessage {
-    /// Wraps an event.
+    /// Wraps an engine event.
     #[must_use]
     pub fn event(event: Event) -> Self {
         Self::Event(Box::new(event))
     }
 }
 
-/// The way to the owner's duties of this node.
+/// Handle to the owner actor and its background tasks.
 #[derive(Debug)]
 pub struct OwnerHandle {
-    /// Epoch of the ownership.
+    /// Epoch of this ownership.
     pub epoch: u64,
     actor: ActorRef<OwnerActor>,
     renewed_ms: Arc<AtomicU64>,
@@ -79,20 +80,20 @@
 }
 
 impl OwnerHandle {
-    /// Sends a message without waiting; it is lost when the mailbox is full or the actor gone.
+    /// Sends a message without waiting; drops it when the mailbox is full or the actor has stopped.
     pub fn try_send(&self, message: OwnerMessage) {
         if let Err(error) = self.actor.tell(message).try_send() {
             warn!(event = "owner_message_lost", reason = error.to_string().as_str(); "");
         }
     }
 
-    /// Sends a message, and waits while the mailbox is full.
+    /// Sends a message, waiting while the mailbox is full.
     pub async fn send(&self, message: OwnerMessage) {
-        // The actor ends with the ownership; what comes after that concerns nobody.
+        // Fails only after the actor has stopped; its messages are obsolete then.
         drop(self.actor.tell(message).send().await);
     }
 
-    /// Tells whether the last renewal in the log is younger than `age_ms`.
+    /// Returns whether the last successful renewal is younger than `age_ms`.
     #[must_use]
     pub fn is_renewed_within(&self, now_ms: u64, age_ms: u64) -> bool {
         now_ms < self.renewed_ms.load(Ordering::Relaxed) + age_ms
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Takes the task that renews the ownership.
+    /// Sets the task that renews the ownership.
     pub(crate) fn set_renewal_task(&self, renewal_task: JoinHandle<()>) {
         let mut known = self
             .renewal_task
@@ -117,9 +118,9 @@
         *known = Some(renewal_task);
     }
 
-    /// Renews the ownership no more, and counts as not renewed from now on: another owner may be
-    /// there at any moment, so that this one gives no order for a VM and denies no job. Tells whether
-    /// it was renewed until now.
+    /// Stops renewing the ownership and treats it as expired, since another node may claim it at
+    /// any moment: from then on the actor neither orders VM operations nor reports jobs as unknown.
+    /// Returns whether renewal was still active.
     fn stop_renewals(&self) -> bool {
         self.renewed_ms.store(0, Ordering::Relaxed);
         let mut known = self
@@ -148,7 +149,7 @@
     }
 }
 
-/// Asks the owner's duties of this node.
+/// Sends a caller's request to the local owner actor and waits for its response.
 pub async fn request_owner(owner: &OwnerHandle, request: CallerRequest) -> OwnerResponse {
     let (sender, receiver) = oneshot::channel();
     owner
@@ -157,7 +158,7 @@
     receiver.await.unwrap_or(OwnerResponse::Unclear)
 }
 
-/// The actor.
+/// Actor that runs the engine for one epoch.
 #[derive(Actor)]
 pub struct OwnerActor {
     node: Arc<Node>,
@@ -168,7 +169,7 @@
     in_flight: InFlightBatches,
     load: OwnerLoad,
     is_store_unavailable: bool,
-    /// Callers that wait, sorted by token.
+    /// Callers waiting for a response, sorted by token.
     pending_replies: Vec<(ReplyToken, oneshot::Sender<OwnerResponse>)>,
     last_token: ReplyToken,
 }
@@ -186,7 +187,7 @@
                     .record_delay(now.steady_ms.saturating_sub(sent_ms));
                 self.update_store_status(now);
                 self.refresh_config(now);
-                // Only while nobody else can believe to be the owner.
+                // Only while no other node can hold the ownership.
                 self.engine.allow_vm_orders(self.is_recently_renewed(now));
                 self.engine.handle(Event::Tick, now);
                 self.tick_delegates(now);
@@ -213,10 +214,10 @@
                 return;
             }
             OwnerMessage::Release => {
-                // The duties go on until the successor shuts this owner out: a slow store lets it take
-                // seconds to come, in which nothing started and every caller waited. What is under
-                // way then is either stored before, or refused; callers that wait for it are asked
-                // about again at the successor.
+                // The actor keeps serving until a successor fences it: with a slow store that takes
+                // seconds, during which no task would start and every caller would wait. Batches in
+                // flight at that time are either stored before the fence or rejected; callers retry
+                // at the successor.
                 let owner = self.node.owner.load_full();
                 if owner.is_some_and(|owner| !owner.stop_renewals()) {
                     return;
@@ -229,7 +230,7 @@
         let effects = self.engine.take_at_once();
         self.execute_effects(effects, now, context);
         self.store_batches(now, context);
-        // Placing asks for advice at once.
+        // Placement may have requested advice.
         let effects = self.engine.take_at_once();
         self.execute_effects(effects, now, context);
         notes::log_notes(self.epoch, &self.engine.take_notes());
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Hands the engine a configuration whose event was lost, or came before this owner was there.
+    /// Passes the active configuration to the engine if its event was lost or preceded this actor.
     fn refresh_config(&mut self, now: Now) {
         let config = self.node.config.load();
         if config.version > self.engine.config_version() {
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Notices when the store goes away and when it is back.
+    /// Logs when the store becomes unavailable or available again, and informs the engine.
     fn update_store_status(&mut self, now: Now) {
         let is_unavailable = self.in_flight.is_store_unavailable(now.steady_ms);
         if is_unavailable != self.is_store_unavailable {
@@ -289,7 +290,7 @@
         }
     }
 
-    /// Makes calls from here that another node did not take.
+    /// Executes calls locally that a delegate refused.
     fn call_locally(&mut self, address: SocketAddr, calls: Vec<DelegatedCall>, now: Now) {
         let delegates = &mut self.dispatcher.delegates;
         let (own, events) = delegates.handle_refusal(address, calls, now.steady_ms);
@@ -303,8 +304,8 @@
         self.handle_events(events, now);
     }
 
-    /// Adds the payload that is left out of a start on its way to another node; tells whether the call
-    /// is whole. A start without its payload would run something else than the caller sent.
+    /// Restores the payload that was stripped from a delegated start. Returns whether the call is
+    /// complete; a start without its payload must not be executed.
     fn attach_payload(&self, call: &mut EndpointCall) -> bool {
         let EndpointCall::Start(order) = call else {
             return true;
@@ -316,7 +317,7 @@
         })
     }
 
-    /// Looks after the nodes that make calls for this owner.
+    /// Updates the delegates' membership and abandons calls that are overdue.
     fn tick_delegates(&mut self, now: Now) {
         let members = self.node.live_members(now.steady_ms);
         let endpoints = self.engine.endpoints();
@@ -382,7 +383,7 @@
         send_reply(reply, answer);
     }
 
-    /// Tells a job's state.
+    /// Returns the response to a query for a job's state.
     fn state_response(&self, job: &str, account: &str, now: Now) -> OwnerResponse {
         let Ok(job) = job.parse::<JobId>() else {
             return OwnerResponse::Unknown;
@@ -400,15 +401,14 @@
         }
     }
 
-    /// Tells whether this owner may say of a job that it is not known.
+    /// Returns whether this owner may report a job as unknown.
     ///
-    /// An owner that was cut off or suspended does not know the jobs of its successor; a caller
-    /// would be told that its accepted job is gone, or that there was nothing to cancel.
+    /// An owner that was cut off or suspended does not know the jobs accepted by its successor.
     fn can_report_unknown(&self, job: JobId, now: Now) -> bool {
         self.engine.shown(job).is_some() || self.is_recently_renewed(now)
     }
 
-    /// Tells whether the last renewal is so recent that nobody else can believe to be the owner.
+    /// Returns whether the last renewal is recent enough to rule out another owner.
     fn is_recently_renewed(&self, now: Now) -> bool {
         let owner = self.node.owner.load();
         owner
@@ -455,7 +455,7 @@
         }
     }
 
-    /// Stores what has changed, unless a batch is under way that will soon be stored.
+    /// Stores pending changes, unless a recently sent batch is still in flight.
     fn store_batches(&mut self, now: Now, context: &mut Context<Self, ()>) {
         if !self.in_flight.has_capacity(now.steady_ms) {
             return;
@@ -469,7 +469,7 @@
                 self.spawn_commit(commit, number, context);
                 return;
             }
-            // What a batch without records releases rests on those before it.
+            // Effects of a batch without records may depend on earlier batches.
             if !self.in_flight.is_empty() {
                 self.in_flight.append_to_newest(batch);
                 return;
@@ -495,7 +495,7 @@
         });
     }
 
-    /// Ends the ownership here. Callers that wait learn nothing certain.
+    /// Stops the actor. Waiting callers get an unclear outcome.
     fn stop(&mut self, context: &mut Context<Self, ()>) {
         self.pending_replies.clear();
         if let Some(owner) = self.node.owner.swap(None) {
@@ -506,6 +506,6 @@
 }
 
 fn send_reply(reply: oneshot::Sender<OwnerResponse>, answer: OwnerResponse) {
-    // The caller may have left.
+    // The caller may have disconnected.
     let _ = reply.send(answer);
 }
