--- a/crates/controller/src/ownership.rs
+++ b/crates/controller/src/ownership.rs
@@ -1,90 +1,88 @@
-//! Who owns the fleet: the records in the log, and what a node concludes from them.
+//! Ownership of the fleet: records of the ownership log and the state derived from them.
 //!
-//! A claim is appended on the condition that the log ends where the claimant has read to, so of
-//! several one succeeds, and a renewal in between defeats them all. The claim's offset, plus one,
-//! is the epoch: no two claims share it, and it rises. It is a hint for who should act; safety
-//! comes from the epoch at the store and at the endpoints, which refuse lower ones.
+//! A claim is a conditional append at the offset up to which the claimant has read the log, so only
+//! one of several concurrent claims succeeds, and a renewal defeats them all. The epoch is the
+//! claim's offset plus one, which makes it unique and increasing. Ownership only coordinates who
+//! should act; safety comes from the store and the endpoints, which reject lower epochs.
 
 use {
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
 
-/// Time between an owner's renewals, in milliseconds: three fit into the silence allowed.
+/// Interval between renewals, in milliseconds; several fit into the owner timeout.
 pub const RENEWAL_INTERVAL_MS: u64 = 350;
 
-/// Silence after which another node claims, in milliseconds. A store slowed to a hundredth takes
-/// some 400 ms an append, so that even then a sound owner is heard every 800 ms.
+/// Time without a renewal after which another node claims the ownership, in milliseconds. Allows
+/// for appends of about 400 ms to a slow store.
 pub const OWNER_TIMEOUT_MS: u64 = 1_300;
 
-/// Silence after which the owner is asked whether it is there, in milliseconds: a renewal and its
-/// usual delays. One that does not answer either is succeeded; one that does is given the whole
-/// silence, as then the store may be slow.
+/// Time without a renewal after which nodes probe the owner, in milliseconds. An owner that does
+/// not respond is replaced; one that does gets the full timeout, as the store may be slow.
 pub const SUSPICION_TIMEOUT_MS: u64 = 550;
 
-/// Age of the last renewal up to which an owner gives orders for VMs, in milliseconds: well below
-/// the silence after which there may be a successor.
+/// Maximum age of the last renewal for an owner to issue VM orders, in milliseconds; below the
+/// owner timeout, so that there is no successor yet.
 pub const FRESH_RENEWAL_MS: u64 = 1_000;
 
-/// Time for which an owner's address has to refuse connections before another node claims, in
-/// milliseconds: a restarted process is back at its address sooner than its leases suffer, but one
-/// that was only slow to listen is left alone.
+/// Time for which the owner's address must refuse connections before another node claims, in
+/// milliseconds. Tolerates an owner that is slow to start listening.
 pub const REFUSED_CONNECTIONS_MS: u64 = 200;
 
-/// Statements kept on what was stored by when: at a renewal each 350 ms, five seconds, which is
-/// longer than any order of an earlier owner matters.
+/// Number of stored marks kept: five seconds at the renewal interval, longer than an earlier
+/// owner's orders matter.
 const MAX_STORED_MARKS: usize = 16;
 
-/// Time for which a small node lets larger ones claim first, in milliseconds: they may find out half a
-/// second later, and a small owner of a large fleet falls behind at once.
+/// Time for which a small node lets larger ones claim first, in milliseconds. Larger nodes may
+/// detect the failure later, and a small node cannot keep up as the owner of a large fleet.
 pub const SMALL_NODE_CLAIM_DELAY_MS: u64 = 700;
 
-/// Time over which nodes spread their asks whether the owner is there, in milliseconds: where all ask
-/// in the same moment, its queue of new connections overflows, and a sound owner seems not to answer.
+/// Random delay before the owner is probed, in milliseconds. Simultaneous probes would overflow the
+/// owner's accept queue and make it look unresponsive.
 const PROBE_JITTER_MS: u64 = 60;
 
-/// The same for small nodes, of which there may be hundreds and which would claim last.
+/// Random delay of probes from small nodes, in milliseconds; there may be hundreds of them.
 const SMALL_NODE_PROBE_JITTER_MS: u64 = 900;
 
-/// Time that a node waits with the very first claim each time that its processor is halved, from a whole
-/// core on, in milliseconds: one of half a core is ahead of one of an eighth by [`SMALL_NODE_DELAY_MS`].
+/// Delay of the first claim for each halving of the CPU capacity below one core, in milliseconds. A
+/// node with half a core is ahead of one with an eighth by more than [`SMALL_NODE_CLAIM_DELAY_MS`].
 const FIRST_CLAIM_DELAY_PER_HALVING_MS: f64 = 360.0;
 
-/// Longest of these waits, in milliseconds: tiny nodes that are alike gain nothing by waiting.
+/// Maximum delay of the first claim, in milliseconds.
 const MAX_FIRST_CLAIM_DELAY_MS: f64 = 1_200.0;
 
-/// A whole core, in thousandths of one.
+/// One core, in thousandths.
 const CORE_MILLIS: u32 = 1_000;
 
-/// What a record of the ownership log says.
+/// Kind of ownership record.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OwnershipKind {
-    /// A node takes over; the record's offset gives the epoch.
+    /// Claims the ownership; the record's offset determines the epoch.
     Claim,
-    /// The owner goes on.
+    /// Renews the ownership.
     Renewal,
-    /// The owner gives up.
+    /// Releases the ownership.
     Release,
 }
 
 /// Record of the ownership log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OwnershipRecord {
-    /// What it says.
+    /// Kind of record.
     pub kind: OwnershipKind,
     /// Epoch of the writer; 0 in a claim.
     pub epoch: u64,
-    /// Life of the writer's process.
+    /// Identifier of the writer's process lifetime.
     pub incarnation: u64,
-    /// Address at which the writer takes other nodes' requests.
+    /// Address at which peers reach the writer.
     pub address: SocketAddr,
-    /// Processor that the writer has, in thousandths of a core.
+    /// Effective CPU capacity of the writer, in thousandths of a core.
     pub cpu_millis: u32,
-    /// Offset up to which the writer knows the owners' records to be stored; 0 for none.
+    /// Offset below which the owner's state records are known to be stored; 0 if unknown.
     pub stored_end: u64,
 }
 
-/// Returns how long a node waits with the very first claim, in milliseconds.
+/// Returns the delay of the first claim in an empty log, in milliseconds.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -95,8 +93,8 @@
     (halvings * FIRST_CLAIM_DELAY_PER_HALVING_MS).clamp(0.0, MAX_FIRST_CLAIM_DELAY_MS) as u64
 }
 
-/// Tells whether a node is so much smaller than another that the other should own the fleet.
-/// Three quarters leave alike nodes alone, whatever their figures are rounded to.
+/// Returns whether a node is so much smaller than another that the other should own the fleet. The
+/// factor tolerates differences between similar nodes.
 fn is_much_smaller(cpu_millis: u32, other_millis: u32) -> bool {
     u64::from(cpu_millis) * 4 < u64::from(other_millis) * 3
 }
@@ -108,60 +106,61 @@
         rmp_serde::to_vec(self).unwrap_or_default()
     }
 
-    /// Decodes a record; nothing when it is malformed.
+    /// Decodes a record; `None` if it is malformed.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(bytes).ok()
     }
 }
 
-/// An owner.
+/// Node that owns the fleet in an epoch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OwnerInfo {
-    /// Epoch.
+    /// Epoch of the ownership.
     pub epoch: u64,
-    /// Life of its process.
+    /// Identifier of the owner's process lifetime.
     pub incarnation: u64,
-    /// Address at which it takes other nodes' requests.
+    /// Address at which peers reach the owner.
     pub address: SocketAddr,
-    /// Processor that it has, in thousandths of a core.
+    /// Effective CPU capacity of the owner, in thousandths of a core.
     pub cpu_millis: u32,
 }
 
-/// Everything before an offset of the owners' records was stored by a time on this node's clock.
+/// State records below an offset were stored by a monotonic time of this node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct StoredMark {
     end: u64,
     observed_ms: u64,
 }
 
-/// What a node knows of ownership.
+/// Ownership state of a node, replayed from the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OwnershipView {
-    /// Owner, if there is one; one that has given up goes on until it is succeeded.
+    /// Current owner, if any. An owner that has released the ownership remains until it is
+    /// succeeded.
     pub owner: Option<OwnerInfo>,
-    /// Highest epoch heard of.
+    /// Highest known epoch.
     pub epoch: u64,
-    /// Offset up to which the log was read.
+    /// Offset of the next record to read.
     pub next_offset: u64,
-    /// Whether the owner has given up.
+    /// Whether the current owner has released the ownership.
     pub is_released: bool,
-    /// Owner before that one.
+    /// Owner before the current one.
     predecessor: Option<OwnerInfo>,
-    /// Most processor that a writer of the log had, in thousandths of a core.
+    /// Largest CPU capacity of any writer, in thousandths of a core.
     pub largest_cpu_millis: u32,
-    /// What was stored by when, in the order heard.
+    /// Bounds on when records were stored, sorted by offset.
     stored_marks: Vec<StoredMark>,
-    /// Since when the owner's address refuses connections.
+    /// Time since which the owner's address has refused connections.
     refused_since_ms: Option<u64>,
-    /// Whether the owner was silent and did not answer when it was asked.
+    /// Whether the owner missed its renewals and did not respond to a probe.
     is_unresponsive: bool,
     last_heard_ms: u64,
     reading_since_ms: Option<u64>,
 }
 
 impl OwnershipView {
-    /// Takes in the record at the offset up to which the log was read.
+    /// Applies the record at `next_offset`; `None` stands for a record that cannot be decoded.
     pub fn apply(&mut self, record: Option<&OwnershipRecord>, now_ms: u64) {
         let offset = self.next_offset;
         self.next_offset += 1;
@@ -185,7 +184,7 @@
         }
         self.is_released = match record.kind {
             OwnershipKind::Claim => false,
-            // One that was under way when the owner gave up takes nothing back.
+            // A renewal that was in flight during the release does not revoke it.
             OwnershipKind::Renewal => self.is_released,
             OwnershipKind::Release => true,
         };
@@ -211,8 +210,8 @@
         }
     }
 
-    /// Returns by when a record of the owners was stored at the latest, on this node's clock;
-    /// nothing when that was not heard.
+    /// Returns the latest time at which the state record at `offset` was stored, on this node's
+    /// monotonic clock; `None` if unknown.
     #[must_use]
     pub fn stored_by_ms(&self, offset: u64) -> Option<u64> {
         let index = self
@@ -221,19 +220,18 @@
         self.stored_marks.get(index).map(|known| known.observed_ms)
     }
 
-    /// Takes in that nothing listens at the address of the owner of an epoch.
+    /// Records that the address of the owner of `epoch` refused a connection.
     ///
-    /// Its process has ended though its VM lives. Waiting for its silence kept callers for 1.3 s,
-    /// and those that were refused meanwhile came back only a second later. A renewal that is read
-    /// after the refusal takes it back, and a claim on a mistake is harmless but for a change of
-    /// owners.
+    /// The owner's process has ended while its VM is still running, so another node need not wait
+    /// for the owner timeout. A later renewal clears the refusal.
     pub fn record_refused_connection(&mut self, epoch: u64, now_ms: u64) {
         if epoch == self.epoch {
             self.refused_since_ms.get_or_insert(now_ms);
         }
     }
 
-    /// Tells whether the owner's process has been known to be over for long enough to succeed it.
+    /// Returns whether the owner's address has refused connections for long enough to replace the
+    /// owner.
     fn has_owner_refused_connections(&self, now_ms: u64) -> bool {
         self.owner.is_some()
             && self
@@ -241,8 +239,8 @@
                 .is_some_and(|since_ms| now_ms >= since_ms + REFUSED_CONNECTIONS_MS)
     }
 
-    /// Returns how long the owner may stay silent before it is asked, in milliseconds; nothing
-    /// without an owner, or while the log cannot be read.
+    /// Returns the time until the owner is to be probed, in milliseconds; `None` without an owner
+    /// or while the log cannot be read.
     #[must_use]
     pub fn until_suspected_ms(&self, now_ms: u64) -> Option<u64> {
         let since_ms = self.reading_since_ms?;
@@ -250,37 +248,38 @@
         Some((self.last_heard_ms.max(since_ms) + SUSPICION_TIMEOUT_MS).saturating_sub(now_ms))
     }
 
-    /// Takes in that the owner of an epoch, silent in the log, did not answer either.
+    /// Records that the owner of `epoch` missed its renewals and did not respond to a probe.
     pub fn record_unresponsive(&mut self, epoch: u64, now_ms: u64) {
         if epoch == self.epoch && self.until_suspected_ms(now_ms) == Some(0) {
             self.is_unresponsive = true;
         }
     }
 
-    /// Takes in that the log was read up to its end.
+    /// Records that the log was read to its end.
     pub fn record_read(&mut self, now_ms: u64) {
         self.reading_since_ms.get_or_insert(now_ms);
     }
 
-    /// Takes in that the log could not be read: silence says nothing about the owner then.
+    /// Records that the log could not be read; missing renewals do not count until it can be again.
     pub fn record_read_failure(&mut self) {
         self.reading_since_ms = None;
     }
 
-    /// Continues at an offset, as the records before it have expired.
+    /// Continues at `offset` after earlier records have been trimmed.
     pub fn skip_to(&mut self, offset: u64) {
         self.next_offset = offset;
     }
 
-    /// Tells whether the owner's process is known to be over: another one listens at its address.
+    /// Returns whether the process `incarnation` at `address` has replaced the owner's process
+    /// there.
     #[must_use]
     pub fn is_owner_restarted_at(&self, incarnation: u64, address: SocketAddr) -> bool {
         self.owner
             .is_some_and(|owner| owner.address == address && owner.incarnation != incarnation)
     }
 
-    /// Returns the epoch of the owner before this one if its process is known to be over: a later
-    /// life at its address is the owner now.
+    /// Returns the epoch of the previous owner if its process has ended, which is known when the
+    /// current owner is a later process at the same address.
     #[must_use]
     pub fn ended_predecessor_epoch(&self) -> Option<u64> {
         let (predecessor, owner) = self.predecessor.zip(self.owner)?;
@@ -289,12 +288,11 @@
         has_ended.then_some(predecessor.epoch)
     }
 
-    /// Returns how long a node lets larger ones claim first, in milliseconds.
+    /// Returns how long a node waits before claiming, so that larger nodes go first, in
+    /// milliseconds.
     ///
-    /// The owner does a good part of the fleet's work, and a small node that owns it falls behind
-    /// in bursts: jobs then start seconds late. While nobody has ever owned the fleet the sizes of
-    /// the others are not known, so a node waits by its own, from the start of its process on: after a
-    /// while of failed tries nothing is gained by more of it.
+    /// A small owner falls behind during bursts. Until the first claim, the sizes of other nodes
+    /// are unknown, so the delay depends on the node's own size and is counted from its start.
     #[must_use]
     pub fn claim_delay_ms(&self, cpu_millis: u32, uptime_ms: u64) -> u64 {
         if self.largest_cpu_millis == 0 {
@@ -307,7 +305,7 @@
         }
     }
 
-    /// Returns the time over which a node spreads its ask whether the owner is there, in milliseconds.
+    /// Returns the range of the random delay before a probe, in milliseconds.
     #[must_use]
     pub fn probe_jitter_ms(&self, cpu_millis: u32) -> u64 {
         if self.is_small(cpu_millis) {
@@ -317,20 +315,20 @@
         }
     }
 
-    /// Tells whether a node is much smaller than the largest that has owned the fleet.
+    /// Returns whether a node is much smaller than the largest one seen in the log.
     #[must_use]
     pub fn is_small(&self, cpu_millis: u32) -> bool {
         is_much_smaller(cpu_millis, self.largest_cpu_millis)
     }
 
-    /// Tells whether the owner is so small that a node of this size should ask to succeed it.
+    /// Returns whether the owner is so small that a node of this size should replace it.
     #[must_use]
     pub fn has_small_owner(&self, cpu_millis: u32) -> bool {
         self.owner
             .is_some_and(|owner| is_much_smaller(owner.cpu_millis, cpu_millis))
     }
 
-    /// Tells whether the fleet needs an owner.
+    /// Returns whether a node should claim the ownership.
     #[must_use]
     pub fn needs_owner(&self, now_ms: u64) -> bool {
         let Some(since_ms) = self.reading_since_ms else {
--- a/crates/controller/tests/ownership.rs
+++ b/crates/controller/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Who may claim the fleet, and when.
+//! When nodes may claim the ownership.
 
 use {
     lynxwheel_controller::{
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns a view with an owner of epoch 1 that was heard at 1,000 ms.
+/// Returns a view with an owner of epoch 1 that was last heard at 1,000 ms.
 fn owned() -> OwnershipView {
     let mut view = OwnershipView::default();
     view.record_read(1_000);
@@ -44,8 +44,7 @@
 
     silent_owner_is_replaced: assert!(owned().needs_owner(1_001 + OWNER_TIMEOUT_MS));
 
-    /// Every node claims when the store comes back. It was away for all; nobody heard the owner,
-    /// which went on all the while.
+    /// Guards against claims by all nodes after a store outage during which the owner kept running.
     store_outage_does_not_time_out_the_owner: {
         let mut view = owned();
         view.record_read_failure();
@@ -55,16 +54,15 @@
         assert!(view.needs_owner(20_001 + OWNER_TIMEOUT_MS));
     };
 
-    /// Nobody accepts jobs for seconds more: the store was away when the nodes started, and each of them
-    /// waited once more for larger ones when it came back.
+    /// Guards against repeating the delay when the store was unavailable at startup.
     first_claim_delay_counts_from_process_start: {
         let empty = OwnershipView::default();
         assert!(empty.claim_delay_ms(120, 0) > 0);
         assert_eq!(empty.claim_delay_ms(120, 2_000), 0);
     };
 
-    /// A sound owner of a large fleet is succeeded by a small node. The store was slow, a hundred and
-    /// fifty nodes asked in the same moment whether the owner was there, and most got no connection.
+    /// Guards against replacing a healthy owner because simultaneous probes overflow its accept
+    /// queue.
     small_nodes_spread_their_probes: {
         let mut view = owned();
         let mut claim = record(OwnershipKind::Claim, 0, 8);
@@ -80,8 +78,7 @@
         assert!(view.needs_owner(1_100));
     };
 
-    /// A node is stopped while the store is slow. Its successor comes after two seconds, and for all
-    /// that time callers were told that there is no owner, though the old one was still there.
+    /// Guards against rejecting callers between the release and the successor's claim.
     released_owner_remains_until_succeeded: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
@@ -91,8 +88,8 @@
         assert!(!view.needs_owner(1_200));
     };
 
-    /// A renewal that was under way when the owner gave up is stored after its release. Taken for an
-    /// owner that goes on, it kept the others waiting for its silence.
+    /// Guards against waiting for the owner timeout after a renewal that was in flight during the
+    /// release.
     late_renewal_does_not_revoke_release: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
@@ -108,17 +105,14 @@
         assert_eq!(view.owner.map(|owner| owner.incarnation), Some(8));
     };
 
-    /// All processes are killed and start again within a second; callers are refused for as long
-    /// as the nodes wait for an owner whose process is gone. The process that took its place at its
-    /// address can know.
+    /// Guards against waiting for the owner timeout when all processes are restarted at once.
     restart_at_owner_address_is_detected: {
         assert!(owned().is_owner_restarted_at(8, address(7_060)));
         assert!(!owned().is_owner_restarted_at(7, address(7_060)));
         assert!(!owned().is_owner_restarted_at(8, address(7_061)));
     };
 
-    /// After the loss of all nodes every VM rests for the sake of the earlier owner's orders, though a
-    /// later life at its address has the fleet, so that no such order can come any more.
+    /// Guards against holding back VMs for orders of a process that has been replaced.
     restart_at_owner_address_ends_previous_epoch: {
         let mut view = owned();
         assert_eq!(view.ended_predecessor_epoch(), None);
@@ -132,8 +126,7 @@
         assert_eq!(view.ended_predecessor_epoch(), None);
     };
 
-    /// A node with an eighth of a core claims the fleet beside nodes with half a core, and jobs wait
-    /// for seconds whenever many come at once.
+    /// Guards against an owner that is much smaller than the other nodes.
     larger_node_claims_first: {
         let empty = OwnershipView::default();
         assert!(empty.claim_delay_ms(500, 0) + SMALL_NODE_CLAIM_DELAY_MS < empty.claim_delay_ms(120, 0));
@@ -147,8 +140,7 @@
         assert!(!OwnershipView::default().has_small_owner(500));
     };
 
-    /// The owner's process is killed; its VM refuses connections. Callers were kept for 1.3 s, then
-    /// refused, and came back a second later.
+    /// Guards against holding callers until the owner timeout when the owner's process was killed.
     owner_refusing_connections_is_replaced_early: {
         let mut view = owned();
         view.record_refused_connection(1, 1_100);
@@ -157,8 +149,7 @@
         assert!(view.needs_owner(1_100 + REFUSED_CONNECTIONS_MS));
     };
 
-    /// The owner is cut off. Every caller waits for 1.3 s until it has been silent for long enough,
-    /// though it does not answer when it is asked.
+    /// Guards against holding callers until the owner timeout when the owner was disconnected.
     unresponsive_owner_is_replaced_early: {
         let mut view = owned();
         assert_eq!(view.until_suspected_ms(1_100), Some(SUSPICION_TIMEOUT_MS - 100));
@@ -168,7 +159,7 @@
         assert!(view.needs_owner(1_000 + SUSPICION_TIMEOUT_MS));
     };
 
-    /// A node that was cut off from the owner alone hears its renewals all the while.
+    /// A node that is disconnected from the owner alone still reads its renewals.
     renewal_clears_unresponsive_owner: {
         let mut view = owned();
         view.record_unresponsive(1, 1_000 + SUSPICION_TIMEOUT_MS);
@@ -176,7 +167,8 @@
         assert!(!view.needs_owner(1_020 + SUSPICION_TIMEOUT_MS));
     };
 
-    /// A node asks an address from before the last claim, or the owner was only slow to listen.
+    /// Guards against replacing an owner for connections refused before its claim or its last
+    /// renewal.
     refused_connection_of_other_epoch_is_ignored: {
         let mut view = owned();
         view.record_refused_connection(0, 1_100);
@@ -186,8 +178,7 @@
         assert!(!view.needs_owner(1_500));
     };
 
-    /// A successor let every VM rest that had been ordered in the last nine seconds by the time of
-    /// day, though the log shows that most of these orders were seconds old.
+    /// Guards against holding back VMs for orders that are known to be old.
     renewals_bound_when_records_were_stored: {
         let mut view = owned();
         let renewal = |stored_end| OwnershipRecord {
