--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Watching the ownership log: following the owner, claiming when there is none, renewing.
+//! Watcher of the ownership log: follows the owner, claims the ownership when it is vacant, and
+//! renews it.
 
 use {
     crate::{
@@ -25,45 +26,47 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// Topic of the ownership records.
+/// Topic of the ownership log.
 pub const OWNERSHIP_TOPIC: &str = "lynxwheel-owner";
 
-/// Longest wait of a poll, in milliseconds.
+/// Maximum wait of a poll, in milliseconds.
 const POLL_WAIT_MS: u64 = 700;
 
-/// Pause after a failed call, in milliseconds.
+/// Delay after a failed call, in milliseconds.
 const RETRY_DELAY_MS: u64 = 100;
 
-/// Rest of a small node between two reads, in milliseconds: shorter than the silence after which it would
-/// claim.
+/// Pause of a small node between two reads, in milliseconds; shorter than the timeout after which
+/// it would claim.
 const SMALL_FOLLOWER_PAUSE_MS: u64 = 800;
 
-/// Claims are spread over this time, in milliseconds, so that most nodes see the first one and
-/// save theirs.
+/// Range of the random delay before a claim, in milliseconds. Most nodes then see the first claim
+/// and skip theirs.
 const CLAIM_JITTER_MS: u64 = 120;
 
-/// Time for the owner's answer whether it is there, in milliseconds: calm answers take some 5 ms, and
-/// a node slowed by ten still makes it.
+/// Timeout for the owner's response to a probe, in milliseconds; leaves room for a node that is ten
+/// times slower than usual.
 const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// Time in which a store that is not slow answers a read, in milliseconds: calm answers take 10 ms.
+/// Maximum duration of a read for the store to count as responsive, in milliseconds.
 const PROMPT_READ_MS: u64 = 60;
 
-/// Time between asks of a larger node that a small owner may give up, in milliseconds: a change of
-/// owners costs some tenths of a second, so it waits until the larger node has lived for a while.
+/// Interval at which a larger node asks a small owner to release the ownership, in milliseconds.
+/// Also delays the first request, since changing owners is costly and the larger node may be
+/// short-lived.
 const YIELD_REQUEST_INTERVAL_MS: u64 = 3_000;
 
-/// Tries to give ownership up before the others have to find out by themselves.
+/// Maximum number of attempts to release the ownership; after that, others wait for the owner
+/// timeout.
 const MAX_RELEASE_ATTEMPTS: u32 = 3;
 
-/// Watches the ownership log for as long as the process lives.
+/// Watches the ownership log until the process exits.
 pub async fn watch(node: Arc<Node>) {
     let mut is_store_lost = false;
     let mut yield_requested = Instant::now();
     loop {
         let is_read = tokio::select! {
             is_read = read_new_records(&node, POLL_WAIT_MS) => is_read,
-            // The poll is dropped: what it would have brought is read again.
+            // The aborted poll loses nothing; its records are read again.
             () = owner_process_ended(&node) => read_new_records(&node, 0).await,
             () = owner_unresponsive(&node) => read_new_records(&node, 0).await,
         };
@@ -94,15 +97,15 @@
     }
 }
 
-/// Lets a small node rest before it reads on, unless it doubts who the owner is.
+/// Pauses a small node between reads, unless it suspects that the owner has failed.
 ///
-/// It would claim last in any case, and a fleet has many of them: each would read every renewal of the
-/// owner.
+/// A small node claims last in any case, and a fleet may have many of them; without the pause each
+/// would read every renewal.
 async fn pause_if_small_follower(node: &Node) {
     let is_follower = node.owner.load().is_none() && !is_vacant(node);
     if is_follower && node.ownership.borrow().is_small(node.settings.cpu_millis) {
         let pause = Duration::from_millis(SMALL_FOLLOWER_PAUSE_MS);
-        // The end of the rest is as good as a doubt.
+        // Either result continues with the next read.
         drop(timeout(pause, node.owner_suspected.notified()).await);
     }
 }
@@ -117,7 +120,7 @@
         || view.is_owner_restarted_at(node.incarnation, node.peer_address)
 }
 
-/// Reads what was written since; tells whether that worked.
+/// Reads and applies new records. Returns whether the read succeeded.
 async fn read_new_records(node: &Node, wait_ms: u64) -> bool {
     let from = node.ownership.borrow().next_offset;
     let read = node.store.read(OWNERSHIP_TOPIC, from, wait_ms).await;
@@ -126,7 +129,7 @@
     let is_read = match read {
         Ok(Read::Records { records, .. }) => {
             node.ownership.send_modify(|view| {
-                // The renewal of this node's own duties may have moved on meanwhile.
+                // The offset may have moved on while the read was in flight.
                 view.record_read(now_ms);
                 for record in &records {
                     view.apply(OwnershipRecord::decode(record).as_ref(), now_ms);
@@ -155,7 +158,7 @@
     is_read
 }
 
-/// Takes up the owner's duties, or lays them down, as the log says.
+/// Starts or stops the owner actor as the log requires.
 async fn follow_owner(node: &Arc<Node>) {
     let owner = node.ownership.borrow().owner;
     let own = owner.filter(|owner| owner.incarnation == node.incarnation);
@@ -167,8 +170,8 @@
                 current.try_send(OwnerMessage::Deposed);
             }
         }
-        // The numbers of its appends are gone with the duties that were laid down: a second life
-        // under one epoch could take another append's answer for its own.
+        // The actor's append sequence is lost when it stops. A second actor for the same epoch
+        // could mistake the result of an earlier append for its own.
         (None, Some(own)) if own.epoch == node.last_owned_epoch.load(Ordering::Relaxed) => {
             if !node.ownership.borrow().is_released {
                 release(node, own.epoch).await;
@@ -181,16 +184,16 @@
     }
 }
 
-/// Waits until the owner's process is known to be over.
+/// Waits until the owner's address has refused connections for long enough.
 async fn owner_process_ended(node: &Node) {
     node.owner_refused.notified().await;
     sleep(Duration::from_millis(REFUSED_CONNECTIONS_MS)).await;
 }
 
-/// Waits until the owner is silent in the log and does not answer when it is asked.
+/// Waits until the owner has missed its renewals and does not respond to a probe.
 ///
-/// Its VM may have lost power or been cut off, and waiting for the whole silence keeps every caller
-/// for as long. While the store is slow, a sound owner is silent too, but answers.
+/// Detects a failed or disconnected VM before the owner timeout. An owner with a slow store also
+/// misses renewals, but responds.
 async fn owner_unresponsive(node: &Node) {
     loop {
         let until_suspected_ms = node
@@ -226,27 +229,28 @@
         == Some(0)
 }
 
-/// Tells whether a small node need not ask, as the owner has just answered some request of it.
+/// Returns whether a small node need not probe the owner, having just had a response from it.
 ///
-/// Larger nodes ask all the same: an owner that is cut off from the store goes on answering.
+/// Larger nodes always probe, because an owner that is cut off from the store still responds to
+/// requests.
 fn can_skip_probe(node: &Node) -> bool {
     let is_small = node.ownership.borrow().is_small(node.settings.cpu_millis);
     is_small && node.has_owner_responded_within(clock::steady_ms(), SUSPICION_TIMEOUT_MS)
 }
 
-/// Asks the owner whether it is there, and notes when it does not answer.
+/// Probes the owner and records when it does not respond. Returns whether it is alive.
 async fn probe_owner(node: &Node) -> bool {
     let (epoch, owner) = node.known_owner();
     let Some(owner) = owner else {
         return true;
     };
-    // On a connection of its own: one in use may have fallen silent by itself.
+    // Uses a new connection, as a pooled one may be broken.
     let client = Client::new(owner.address, 1);
     let answer =
         send_ownership_request(&client, epoch, OwnershipAction::Alive, PROBE_TIMEOUT_MS).await;
     let is_alive = match answer {
         Ok(OwnershipResponse::Alive) => true,
-        // Cut off from the store, unless the store is slow for everybody.
+        // Disconnected from the store, unless the store is slow for this node as well.
         Ok(OwnershipResponse::Unheard) => !is_store_prompt(node).await,
         _ => false,
     };
@@ -275,11 +279,11 @@
     client.exchange(OWNERSHIP_PATH, &request, limit).await
 }
 
-/// Tells whether the store answers this node as promptly as on a calm day.
+/// Returns whether the store responds to this node without delay.
 async fn is_store_prompt(node: &Node) -> bool {
     let from = node.ownership.borrow().next_offset;
     let started = Instant::now();
-    // What it reads is read again by the watch itself, which keeps the order of records.
+    // The result is discarded; only the watch loop applies records, in order.
     let read = node.store.read(OWNERSHIP_TOPIC, from, 0).await;
     read.is_ok() && started.elapsed() < Duration::from_millis(PROMPT_READ_MS)
 }
@@ -288,7 +292,7 @@
     !node.stopping.has_begun() && node.ownership.borrow().has_small_owner(node.cpu_millis())
 }
 
-/// Asks a small owner to give up, so that a larger node follows it.
+/// Asks a small owner to release the ownership to a larger node.
 async fn request_yield(node: &Node) {
     let (epoch, owner) = node.known_owner();
     let Some(owner) = owner else {
@@ -310,8 +314,8 @@
         .borrow()
         .claim_delay_ms(node.cpu_millis(), uptime_ms);
     let pause_ms = claim_delay_ms + rand::random_range(0..CLAIM_JITTER_MS);
-    // Another's claim ends the wait. A slow store's answer is not waited for, as the claim is made on
-    // a condition.
+    // Another node's claim ends the wait. A slow read may be abandoned, because the claim is
+    // conditional on the offset.
     let pause = Duration::from_millis(pause_ms);
     let is_read = timeout(pause, read_new_records(node, pause_ms)).await;
     if is_read == Ok(false) || !can_claim(node) {
@@ -323,14 +327,13 @@
         .store
         .append(OWNERSHIP_TOPIC, &[record.encode()], Some(at), None)
         .await;
-    // A claim that succeeded is read back, also when its answer was lost.
+    // A successful claim is read back from the log, even if the response was lost.
     info!(event = "claim", at = at, outcome:? = outcome; "");
 }
 
-/// Renews this node's ownership until the task is ended.
+/// Renews the ownership until the task is aborted.
 ///
-/// Begins with the take-over, which a slow store draws out: silence until its end would call for
-/// the next claim before the first owner has begun.
+/// Starts with the takeover: loading the state from a slow store may exceed the owner timeout.
 pub async fn renew(
     node: Arc<Node>,
     epoch: u64,
@@ -359,18 +362,18 @@
                 renewed_ms.store(sent_ms, Ordering::Relaxed);
                 RENEWAL_INTERVAL_MS
             }
-            // Somebody else has written, or an earlier renewal without answer: the watcher tells.
+            // Another writer, or an earlier renewal without a response; the watcher reads it.
             _ => RETRY_DELAY_MS,
         };
         sleep(Duration::from_millis(pause_ms)).await;
     }
 }
 
-/// Gives this node's ownership up, so that another node claims at once.
+/// Releases the ownership so that another node can claim it immediately.
 pub async fn release(node: &Node, epoch: u64) {
     let record = node.ownership_record(OwnershipKind::Release, epoch);
     for _ in 0..MAX_RELEASE_ATTEMPTS {
-        // On no condition: readers pass over the release of an epoch that is not in force.
+        // Unconditional: readers ignore the release of an outdated epoch.
         let outcome = node
             .store
             .append(OWNERSHIP_TOPIC, &[record.encode()], None, None)
