--- a/crates/controller/src/takeover.rs
+++ b/crates/controller/src/takeover.rs
@@ -1,4 +1,5 @@
-//! Taking the fleet over: earlier owners are shut out, what they stored is read, the duties begin.
+//! Takeover of the ownership: fences earlier owners, loads the stored state and starts the owner
+//! actor.
 
 use {
     crate::{
@@ -27,24 +28,22 @@
     tokio::time::sleep,
 };
 
-/// Messages that wait for the actor at most; a sender waits, a feed that may lose some does not.
+/// Mailbox capacity of the owner actor.
 const MAILBOX_CAPACITY: usize = 4_096;
 
-/// Time between ticks, in milliseconds: repeats, renewals and plans need no finer grain.
+/// Interval between ticks, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 100;
 
-/// Tries to shut earlier owners out before the take-over is given up.
+/// Maximum number of retries to fence earlier owners.
 const MAX_FENCE_RETRIES: u32 = 8;
 
-/// Time within which an order for a VM arrives once it is stored, in milliseconds: the longest that
-/// such a call takes.
+/// Maximum time from storing a VM order to its arrival at the VM service, in milliseconds.
 const VM_ORDER_TIMEOUT_MS: u64 = 1_200;
 
-/// Pause after a failed step of taking over, in milliseconds.
+/// Delay before a fencing attempt is repeated, in milliseconds.
 const RETRY_DELAY_MS: u64 = 100;
 
-/// Takes up the owner's duties: shuts earlier owners out of the store, reads what they stored, and
-/// starts the actor and its feeds.
+/// Fences earlier owners, loads the stored state, and starts the owner actor and its feeds.
 pub async fn take_over(node: &Arc<Node>, epoch: u64) {
     let started_ms = clock::steady_ms();
     let renewed_ms = Arc::new(AtomicU64::new(0));
@@ -70,7 +69,7 @@
     node.takeover_epoch.store(0, Ordering::Relaxed);
 }
 
-/// Shuts earlier owners out of the store, and reads what they stored.
+/// Fences earlier owners and loads the stored records.
 async fn fence_and_load(
     node: &Node,
     mut writer: Writer,
@@ -121,7 +120,7 @@
     }
     drop(waves);
     let jobs = engine.jobs().count();
-    // The actor gets the calls with its own reference, which exists only once it is spawned.
+    // The calls need a reference to the actor, so it is prepared first and spawned below.
     let prepared = OwnerActor::prepare_with_mailbox(mailbox::bounded(MAILBOX_CAPACITY));
     let actor = prepared.actor_ref().clone();
     let endpoint_calls = EndpointCalls::new(epoch);
@@ -172,11 +171,11 @@
     handle
 }
 
-/// Tells the engine by when earlier owners' orders for VMs were stored, where this node heard it.
+/// Tells the engine the latest time at which earlier owners' VM orders can have been stored.
 ///
-/// Two owners' orders for one VM must not follow each other closely. Times of day do not tell how
-/// old an order is, as clocks jump; without this every VM ordered lately rests for the whole time,
-/// and the pool whose turn it is gets its VMs seconds late.
+/// Orders of two owners for the same VM must not follow each other closely. Wall clock times cannot
+/// tell the age of an order, and without this bound every recently ordered VM would be held back
+/// for the maximum time.
 fn bound_vm_rests(node: &Node, engine: &mut Engine, records: &[Record], offsets: &[Option<u64>]) {
     let view = node.ownership.borrow();
     let holder_ms = node.settings.bounds.vm_holder_ms + VM_ORDER_TIMEOUT_MS;
