--- a/crates/controller/src/peer.rs
+++ b/crates/controller/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: callers' requests on their way to the owner, and asks about ownership.
+//! Messages between nodes: forwarded requests of callers, and requests about ownership.
 
 use {
     crate::members::Member,
@@ -8,129 +8,129 @@
     std::net::SocketAddr,
 };
 
-/// Path at which a node takes other nodes' requests.
+/// Path for requests forwarded to the owner.
 pub const OWNER_PATH: &str = "/owner";
 
-/// Path at which a node gives its configuration to one that has an older one.
+/// Path that returns a node's configuration.
 pub const CONFIG_PATH: &str = "/config";
 
-/// Asks for a newer configuration than this version.
+/// Requests a configuration newer than `version`.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct ConfigRequest {
-    /// Version that the sender has.
+    /// Configuration version of the sender.
     pub version: u64,
 }
 
-/// A caller's request for the owner.
+/// Request of a caller, forwarded to the owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct OwnerRequest {
-    /// Highest epoch that the sender has heard of; an owner of a lower one learns that it is over.
+    /// Highest epoch known to the sender; an owner with a lower one steps down.
     pub epoch: u64,
-    /// Version of the configuration by which the sender has judged the request.
+    /// Version of the configuration with which the sender authorized the request.
     pub config_version: u64,
-    /// What is asked for.
+    /// Forwarded request.
     pub ask: CallerRequest,
-    /// Node that passes the request on; nothing where it is the owner itself.
+    /// Node that forwards the request; `None` when it is the owner itself.
     #[serde(default)]
     pub sender: Option<Member>,
 }
 
-/// What a caller asks for.
+/// Request of a caller.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum CallerRequest {
-    /// Hand in a job.
+    /// Submits a job.
     Submit {
-        /// Id of the job.
+        /// Job id.
         job: String,
-        /// Queue as the sender's configuration has it.
+        /// Queue as configured at the sender.
         queue: Queue,
-        /// What the caller sent.
+        /// Submitted job.
         spec: Box<JobSpec>,
-        /// Client account of the caller; empty for a queue that needs no key.
+        /// Client account of the caller; empty for a public queue.
         account: CompactString,
-        /// Node that took the job from its caller and keeps its payload.
+        /// Node that received the job and keeps its payload.
         #[serde(default)]
         origin: Option<SocketAddr>,
     },
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel {
-        /// Id of the job.
+        /// Job id.
         job: String,
-        /// Client account of the caller; empty for a queue that needs no key.
+        /// Client account of the caller; empty for a public queue.
         account: CompactString,
     },
-    /// Tell a job's state.
+    /// Queries a job's state.
     State {
-        /// Id of the job.
+        /// Job id.
         job: String,
-        /// Client account of the caller; empty for a queue that needs no key.
+        /// Client account of the caller; empty for a public queue.
         account: CompactString,
     },
-    /// Count the jobs of a queue of which no task has started.
+    /// Counts the jobs of a queue that have not started any task.
     Pending {
-        /// Queue.
+        /// Queue to count.
         queue: Queue,
     },
 }
 
-/// The owner's answer.
+/// Response of the owner to a caller's request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OwnerResponse {
     /// The job is accepted and stored.
     Accepted,
-    /// The job is cancelled, or had ended before.
+    /// The job is cancelled or had already ended.
     Cancelled,
-    /// State of a job.
+    /// State of the job.
     State(JobState),
-    /// Number of jobs.
+    /// Number of pending jobs.
     Pending(usize),
-    /// No such job.
+    /// The job does not exist.
     Unknown,
-    /// Nothing was done, and it does not run.
+    /// The request was rejected and has no effect.
     Refused,
-    /// A task or a gang takes more than its account may ever have running; nothing was done.
+    /// A task or gang exceeds the quota of its account; the request has no effect.
     OverQuota,
-    /// The job belongs to another client account; nothing was done.
+    /// The job belongs to another client account; the request has no effect.
     OtherAccount,
-    /// The asked node has a newer configuration than the one by which the request was judged; nothing was
-    /// done.
+    /// The node has a newer configuration than the one that authorized the request; the request has
+    /// no effect.
     NewerConfig,
-    /// The asked node is not the owner; nothing was done.
+    /// The node is not the owner; the request has no effect.
     NotOwner,
-    /// Whether it was done is not known.
+    /// The outcome is unknown.
     Unclear,
 }
 
-/// Path at which a node is asked about its ownership.
+/// Path for requests about ownership.
 pub const OWNERSHIP_PATH: &str = "/ownership";
 
-/// What another node wants of the owner itself.
+/// Request to the owner about its ownership.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct OwnershipRequest {
-    /// Highest epoch that the sender has heard of.
+    /// Highest epoch known to the sender.
     pub epoch: u64,
-    /// What is asked for.
+    /// Requested action.
     pub ask: OwnershipAction,
 }
 
-/// What is asked of the owner itself.
+/// Action requested of the owner.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OwnershipAction {
-    /// Say whether it is there.
+    /// Confirm that the owner is alive.
     Alive,
-    /// Give ownership up, as the sender is much larger.
+    /// Release the ownership, as the sender is much larger.
     Yield,
 }
 
-/// The owner's answer about itself.
+/// Response to a request about ownership.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OwnershipResponse {
-    /// It is there.
+    /// The owner is alive.
     Alive,
-    /// It is there, and has been unable to say so in the log.
+    /// The owner is alive but could not renew its ownership in the log.
     Unheard,
-    /// It gives up.
+    /// The owner releases the ownership.
     Yielded,
-    /// The asked node is not the owner.
+    /// The node is not the owner.
     NotOwner,
 }
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Other nodes' requests for the owner.
+//! HTTP server for requests from other nodes.
 
 use {
     crate::{
@@ -28,19 +28,19 @@
     },
 };
 
-/// Path of the metrics, in the text format of Prometheus.
+/// Path of the metrics in the Prometheus text format.
 const METRICS_PATH: &str = "/metrics";
 
-/// Binds the address for other nodes.
+/// Binds the address for peers.
 ///
 /// # Errors
 ///
-/// Fails when it cannot be bound.
+/// Fails when the address cannot be bound.
 pub async fn bind(node: &Node) -> io::Result<Server> {
     Server::bind(node.peer_address).await
 }
 
-/// Answers other nodes.
+/// Serves peers until the node closes.
 pub async fn serve(node: Arc<Node>, server: Server) {
     let shutdown = node.closing.clone();
     let handler = |node: Arc<Node>, request| async move { handle_request(&node, request).await };
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads a message; returns the answer to give when there is none.
+/// Decodes the message in a request's body; fails with the response to send.
 async fn read_message<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<T, Response<Body>> {
@@ -92,19 +92,19 @@
         .map_err(|error| error_answer(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// Returns this node's owner duties, unless the sender has heard of a later epoch.
+/// Returns the local owner handle, unless the sender knows a later epoch.
 fn local_owner(node: &Node, epoch: u64) -> Option<Arc<OwnerHandle>> {
     let owner = node.owner.load_full()?;
     if epoch > owner.epoch {
-        // Another node has seen a later claim: this one is over, even if the store is out of reach.
+        // The sender has seen a later claim: step down even if the store is unreachable.
         owner.try_send(OwnerMessage::Deposed);
         return None;
     }
     Some(owner)
 }
 
-/// Asks this node's owner duties, if it has them, unless the request was judged by an older
-/// configuration than the active one.
+/// Passes a request to the local owner actor, unless it was authorized with an older configuration
+/// than the active one.
 pub async fn handle_locally(node: &Node, request: OwnerRequest) -> OwnerResponse {
     if request.config_version < node.config.load().version {
         return OwnerResponse::NewerConfig;
@@ -115,7 +115,7 @@
     }
 }
 
-/// Takes over the configuration by which another node has judged a request, if that is newer.
+/// Fetches the sender's configuration if it is newer than the owner's.
 async fn fetch_newer_config(node: &Node, request: &OwnerRequest, sender: SocketAddr) {
     let version = request.config_version;
     if node.owner.load().is_some() && version > node.config.load().version {
@@ -123,13 +123,13 @@
     }
 }
 
-/// Returns this node's configuration if it is newer than a version.
+/// Returns the active configuration if it is newer than `version`.
 fn config_newer_than(node: &Node, version: u64) -> Option<FleetConfig> {
     let config = node.config.load();
     (config.version > version).then(|| FleetConfig::clone(&config))
 }
 
-/// Returns the payload of a job that came in here a while ago.
+/// Returns the cached payload of a job submitted to this node.
 fn payload_response(node: &Node, job: &str) -> Response<Body> {
     let payload = job.parse().ok().and_then(|job| node.payloads.get(job));
     match payload {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Takes what came of calls that another node made for this node's owner duties.
+/// Passes results of delegated calls to the local owner actor.
 async fn accept_delegate_results(node: &Node, request: DelegateResults) -> DelegateReply {
     match local_owner(node, request.epoch) {
         Some(owner) if owner.epoch == request.epoch => {
@@ -152,8 +152,8 @@
 
 fn handle_ownership_request(node: &Node, request: &OwnershipRequest) -> OwnershipResponse {
     let Some(owner) = local_owner(node, request.epoch) else {
-        // Reading what is stored of a large fleet takes a while. Taken for one that is gone meanwhile, a
-        // new owner was succeeded by the next before it had begun, and that one in the same way.
+        // Loading the state of a large fleet takes a while. A new owner that counted as dead
+        // meanwhile would be replaced before its first action, and its successor likewise.
         let is_taking_over = request.ask == OwnershipAction::Alive
             && node.takeover_epoch.load(Ordering::Relaxed) == request.epoch;
         return if is_taking_over {
@@ -169,8 +169,8 @@
         }
         OwnershipAction::Alive => {
             let now_ms = clock::steady_ms();
-            // Renewals whose answers are lost say nothing: reads get through, and a successor would
-            // fare no better. Taken for a cut, they made owners follow each other every second.
+            // Renewals may fail while reads succeed. Treating that as a disconnect would replace
+            // the owner by one that fares no better.
             if owner.is_renewed_within(now_ms, SUSPICION_TIMEOUT_MS)
                 || node.is_store_reachable(now_ms)
             {
