--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: submit, state, cancel, count.
+//! HTTP server for callers: submits, queries, cancels and counts jobs.
 
 use {
     crate::{
@@ -19,40 +19,39 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// Time for the owner's answer when the caller does not say how long it waits, in milliseconds.
+/// Timeout of a request without a deadline header, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 3_000;
 
-/// Time kept of the caller's own for the way back, in milliseconds.
+/// Part of the caller's deadline reserved for sending the response, in milliseconds.
 const RESPONSE_MARGIN_MS: u64 = 100;
 
-/// Longest time for one ask, in milliseconds: a store slowed to a hundredth still lets the owner
-/// answer, and a connection that fell silent is given up in time for another.
+/// Maximum time for one attempt, in milliseconds. Long enough for an owner with a slow store, short
+/// enough to leave time for another attempt when a connection hangs.
 const ATTEMPT_TIMEOUT_MS: u64 = 1_000;
 
-/// Pause before the owner is asked again, in milliseconds.
+/// Delay between attempts to reach the owner, in milliseconds.
 const RETRY_DELAY_MS: u64 = 80;
 
-/// Time for which a caller is kept for a new owner, in milliseconds: a little less than the silence
-/// after which one comes, so that most are served and the others come back when there is one.
+/// Time for which a request is held while there is no owner, in milliseconds. Slightly less than
+/// the owner timeout: most requests are served, and the rest are retried once a new owner is there.
 const TAKEOVER_WAIT_MS: u64 = 1_300;
 
-/// When a refused caller may come back, in seconds: an owner's loss is made good within about two,
-/// and whole seconds are all that the header can say.
+/// Value of the `Retry-After` header, in whole seconds.
 const RETRY_AFTER_S: &str = "1";
 
-/// Bytes of a refused request's path that are logged at most.
+/// Maximum number of bytes of a denied request's path in the log.
 const MAX_LOGGED_PATH_BYTES: usize = 80;
 
-/// Binds the callers' address.
+/// Binds the address for callers.
 ///
 /// # Errors
 ///
-/// Fails when it cannot be bound.
+/// Fails when the address cannot be bound.
 pub async fn bind(node: &Node) -> io::Result<Server> {
     Server::bind(node.settings.callers).await
 }
 
-/// Answers callers until the node closes.
+/// Serves callers until the node closes.
 pub async fn serve(node: Arc<Node>, server: Server) {
     let shutdown = node.closing.clone();
     let handler = |node: Arc<Node>, request| async move { handle_request(&node, request).await };
@@ -84,11 +83,11 @@
     }
 }
 
-/// A request that may be made.
+/// Request that has been authorized.
 struct AuthorizedRequest {
     credentials: Credentials,
     access: Access,
-    /// Time that the caller waits.
+    /// Time that the caller waits for a response.
     timeout: Duration,
 }
 
@@ -100,8 +99,8 @@
     }
 }
 
-/// Decides whether a request may be made. A node that may have missed a configuration asks others for it
-/// where nobody else would notice.
+/// Authorizes a request. Fetches a newer configuration first if this node may have missed one and
+/// no other node would check the request again.
 async fn authorize_request(node: &Node, credentials: &Credentials) -> Result<Access, Denial> {
     let result = authorize(&node.config.load(), credentials);
     if !config_sync::should_fetch_newer(node, result.is_ok()) {
@@ -111,7 +110,7 @@
     authorize(&node.config.load(), credentials)
 }
 
-/// Answers a request that may not be made. Nothing was done for it.
+/// Builds the response to a denied request, which has no effect.
 fn denial_response(denial: Denial, credentials: &Credentials) -> Response<Body> {
     let (status, reason) = match denial {
         Denial::NoConfig => return unavailable("no configuration yet"),
@@ -165,7 +164,8 @@
         Ok(spec) => Box::new(spec),
         Err(mistake) => return error_answer(StatusCode::BAD_REQUEST, &mistake),
     };
-    // Before the owner is asked: the first start may follow before its answer.
+    // Cached before the owner is asked, since a delegate may fetch the payload before the owner
+    // responds.
     node.payloads.insert(job, &spec.payload);
     let build_request = |access: &Access| CallerRequest::Submit {
         job: job.to_string(),
@@ -243,11 +243,11 @@
     )
 }
 
-/// Asks the owner, counts the request and logs its outcome.
+/// Sends a request to the owner, logs its outcome and records metrics.
 ///
 /// # Errors
 ///
-/// Returns the answer to a caller who may not call by a newer configuration.
+/// Returns the response to send if a newer configuration denies the request.
 async fn request_owner(
     node: &Node,
     kind: &'static str,
@@ -262,19 +262,20 @@
         Err(denial) => return Err(denial_response(denial, &authorized.credentials)),
     };
     record_request_metrics(kind, answer, started);
-    // States are asked for all the time.
+    // State queries are too frequent to log.
     if kind != "state" || !matches!(answer, OwnerResponse::State(_)) {
         info!(
-            event = kind, job:? = access.job.as_ref().map(JobId::as_str), pool = access.queue.pool.as_str(),
-            account = access.account.as_str(), key:? = key.ok(), outcome:? = answer,
-            config_version = access.config_version, epoch = node.ownership.borrow().epoch;
+            event = kind, job:? = access.job.as_ref().map(JobId::as_str),
+            pool = access.queue.pool.as_str(), account = access.account.as_str(),
+            key:? = key.ok(), outcome:? = answer, config_version = access.config_version,
+            epoch = node.ownership.borrow().epoch;
             ""
         );
     }
     Ok(answer)
 }
 
-/// Returns the beginning of a path, for the log.
+/// Truncates a path for the log.
 fn truncated(path: &str) -> &str {
     let mut end = path.len().min(MAX_LOGGED_PATH_BYTES);
     while !path.is_char_boundary(end) {
@@ -283,20 +284,20 @@
     &path[..end]
 }
 
-/// The owner's answer, and by what the request was judged.
+/// Response of the owner and the authorization under which it was given.
 struct OwnerReply {
     answer: OwnerResponse,
     access: Access,
 }
 
-/// Asks the owner, and asks again while there is a new one to come or the outcome is not known.
+/// Sends a request to the owner, and retries while the outcome is unknown or a takeover is
+/// expected.
 ///
-/// Every ask may be repeated: a job's id makes a second submission the same job. A caller that is told
-/// "not known" cannot safely come back with a request that must not run twice, so the node finds
-/// out itself as long as the caller waits. One that has certainly not been heard is kept only as
-/// long as a take-over lasts, and then refused.
+/// Every request may be repeated, as the job id makes it idempotent. A caller that gets an unknown
+/// outcome cannot safely resubmit, so the node retries until the caller's deadline. A request that
+/// has certainly not reached an owner is held only for the duration of a takeover.
 ///
-/// Where the owner has a newer configuration, the request is judged again by that.
+/// If the owner has a newer configuration, the request is authorized again with that one.
 async fn request_until_resolved(
     node: &Node,
     authorized: &AuthorizedRequest,
@@ -319,7 +320,7 @@
                 config_sync::fetch_newer(node).await;
                 match authorize(&node.config.load(), &authorized.credentials) {
                     Ok(newer) => access = newer,
-                    // An earlier ask may have been accepted by the older one.
+                    // An earlier attempt may have been accepted under the older configuration.
                     Err(_) if may_have_been_applied => break,
                     Err(denial) => return Err(denial),
                 }
@@ -327,7 +328,7 @@
                     continue;
                 }
             }
-            // An earlier ask may still arrive, and be accepted.
+            // An earlier attempt may still arrive and be accepted.
             OwnerResponse::Refused if may_have_been_applied => {}
             answer => return Ok(OwnerReply { answer, access }),
         }
@@ -349,7 +350,7 @@
     Ok(OwnerReply { answer, access })
 }
 
-/// Asks the owner once, here or at another node.
+/// Sends a request to the owner once, locally or over the network.
 async fn try_owner(
     node: &Node,
     ask: CallerRequest,
@@ -400,7 +401,7 @@
     }
 }
 
-/// Counts a caller's request by its outcome, with the time that the answer took.
+/// Counts a request by outcome and records its duration.
 fn record_request_metrics(kind: &'static str, answer: OwnerResponse, started: Instant) {
     let outcome = match answer {
         OwnerResponse::Accepted
