--- a/crates/controller/src/access.rs
+++ b/crates/controller/src/access.rs
@@ -1,54 +1,54 @@
-//! Who may call what: the queue and the client account of a caller's request.
+//! Authorization of callers' requests by queue and API key.
 
 use {
     compact_str::CompactString,
     lynxwheel_engine::{FleetConfig, JobId, KeyDigest, KeyMistake, Queue},
 };
 
-/// The part of a caller's request that decides whether it may call.
+/// Parts of a request that determine its authorization.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// Host that the caller names.
+    /// Host named in the request.
     pub host: String,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// Key, or why there is none.
+    /// Digest of the API key, or why there is none.
     pub key: Result<KeyDigest, KeyMistake>,
 }
 
-/// A request that may be made, by one version of the configuration.
+/// Authorized request, by one version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Access {
     /// Version of the configuration.
     pub config_version: u64,
-    /// Queue.
+    /// Requested queue.
     pub queue: Queue,
-    /// Client account; empty for a queue that needs no key.
+    /// Client account; empty for a public queue.
     pub account: CompactString,
-    /// Job that the path names; nothing for the queue itself.
+    /// Job named in the path; `None` for the queue itself.
     pub job: Option<JobId>,
 }
 
-/// Why a request may not be made.
+/// Reason for denying a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// No configuration is known yet.
+    /// No configuration is active yet.
     NoConfig,
-    /// No queue has this host and path.
+    /// No queue matches the host and path.
     UnknownQueue,
-    /// The request carries no key of the right form.
+    /// The key is missing or malformed.
     InvalidKey(KeyMistake),
-    /// The key stands for no account.
+    /// No account has the key.
     UnknownKey,
-    /// What follows the queue's path is no id of a job.
+    /// The path does not end in a job id.
     InvalidJobId,
 }
 
-/// Decides whether a request may be made.
+/// Authorizes a request.
 ///
 /// # Errors
 ///
-/// Says why not.
+/// Returns the reason for denying it.
 pub fn authorize(config: &FleetConfig, credentials: &Credentials) -> Result<Access, Denial> {
     if config.version == 0 {
         return Err(Denial::NoConfig);
--- a/crates/controller/tests/access.rs
+++ b/crates/controller/tests/access.rs
@@ -1,4 +1,4 @@
-//! Who may call what, by which version of the configuration.
+//! Authorization of requests by queue, key and configuration version.
 
 use {
     lynxwheel_controller::{Access, Credentials, Denial, authorize},
@@ -16,7 +16,7 @@
     }
 }
 
-/// Returns a configuration in which these keys are the account's.
+/// Returns a configuration with one account that has these keys.
 fn config(version: u64, keys: &[&str]) -> FleetConfig {
     let account = ClientAccount {
         name: "hall".into(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// Returns for which account a request is taken.
+/// Returns the account under which a request is authorized.
 fn account(
     config: &FleetConfig,
     path: &str,
@@ -64,21 +64,21 @@
 
 cases! {
     known_key_selects_its_account: &format!("/maps/{JOB}"), Ok("k-2") => Ok("hall");
-    /// Guards against a job that runs for a caller with a key that no configuration ever held.
+    /// Guards against running jobs for callers with a key that was never configured.
     unknown_key_is_denied: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
     key_prefix_is_denied: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
     missing_key_is_denied: &format!("/maps/{JOB}"), Err(KeyMistake::Missing)
         => Err(Denial::InvalidKey(KeyMistake::Missing));
-    /// Guards against a queue's count being told to strangers.
+    /// Guards against disclosing a queue's count to callers without a key.
     pending_count_requires_key: "/maps/", Err(KeyMistake::Missing) => Err(Denial::InvalidKey(KeyMistake::Missing));
     public_queue_requires_no_key: &format!("/open/{JOB}"), Err(KeyMistake::Missing) => Ok("");
-    /// Guards against a key on a public queue charging its account.
+    /// Guards against charging an account for requests to a public queue.
     key_on_public_queue_is_ignored: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
     unknown_queue_is_reported_before_unknown_key: "/none/", Ok("k-3") => Err(Denial::UnknownQueue);
     invalid_job_id_is_denied: "/maps/x", Ok("k-1") => Err(Denial::InvalidJobId);
 }
 
-/// Guards against a decision by a version that is not the one named with it.
+/// Guards against reporting a version other than the one used for the decision.
 #[test]
 fn each_config_version_uses_its_own_keys() {
     let versions = [
