--- a/crates/controller/src/delegate_messages.rs
+++ b/crates/controller/src/delegate_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between an owner and the nodes that call endpoints for it.
+//! Messages between the owner and delegates, the nodes that call endpoints on its behalf.
 
 use {
     crate::calls::{CallResult, EndpointCall},
@@ -7,56 +7,56 @@
     std::net::SocketAddr,
 };
 
-/// Path at which a node takes an owner's calls.
+/// Path at which a delegate accepts calls.
 pub const DELEGATE_CALLS_PATH: &str = "/carry";
 
-/// Path at which an owner takes what came of them.
+/// Path at which the owner accepts results.
 pub const DELEGATE_RESULTS_PATH: &str = "/carried";
 
-/// Path at which a node gives the payload of a job that came in there; the job's id follows.
+/// Prefix of the path that returns the payload of a job; the job id follows.
 pub const PAYLOAD_PATH: &str = "/payload/";
 
-/// Number of a call within one ownership.
+/// Number of a call, unique within an epoch.
 pub type CallNumber = u64;
 
-/// A call to make.
+/// Call to be executed by a delegate.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct DelegatedCall {
-    /// Number.
+    /// Number under which the result is reported.
     pub number: CallNumber,
-    /// Endpoint.
+    /// Endpoint to call.
     pub to: EndpointAddress,
-    /// Call.
+    /// Call to execute.
     pub call: EndpointCall,
 }
 
-/// Calls to make for an owner.
+/// Calls sent from the owner to a delegate.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct DelegateRequest {
-    /// Epoch of the owner: the fencing token of the calls.
+    /// Epoch of the owner, used as the fencing token of the calls.
     pub epoch: u64,
-    /// Address at which the owner takes the results.
+    /// Address to which the results are sent.
     pub owner: SocketAddr,
-    /// Calls.
+    /// Calls to execute.
     pub calls: Vec<DelegatedCall>,
 }
 
-/// Results of calls that were made for an owner.
+/// Results sent from a delegate to the owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct DelegateResults {
     /// Epoch of the owner.
     pub epoch: u64,
-    /// Node that made the calls.
+    /// Address of the delegate.
     pub carrier: SocketAddr,
-    /// Numbers of the calls, with what came of each.
+    /// Call numbers and results.
     pub results: Vec<(CallNumber, CallResult)>,
 }
 
-/// Answer to calls or to results.
+/// Response to calls or results.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DelegateReply {
-    /// Taken.
+    /// The message was accepted.
     Taken,
-    /// Not taken: of these calls none will be made.
+    /// The message was refused; none of its calls will be executed.
     NotTaken,
 }
--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -1,4 +1,4 @@
-//! The owner's side of calls that other nodes make for it.
+//! Owner side of delegated endpoint calls.
 
 use {
     crate::{
@@ -24,14 +24,14 @@
     tokio::{sync::Notify, task::JoinSet},
 };
 
-/// Time for a node's answer that it has taken calls, in milliseconds: calm answers take some 5 ms.
+/// Timeout for a delegate to accept calls, in milliseconds.
 const ACCEPT_TIMEOUT_MS: u64 = 500;
 
-/// Time beyond an endpoint's own wait within which a result comes, in milliseconds. A node calls an
-/// endpoint for half a second at most, and a slow one takes a few tenths to tell of it.
+/// Timeout for a result beyond the endpoint's own wait, in milliseconds: the longest endpoint call
+/// plus the delivery from a slow delegate.
 const RESULT_TIMEOUT_MS: u64 = 1_500;
 
-/// Calls on their way to one node.
+/// Calls queued for one delegate.
 #[derive(Debug, Default)]
 struct Outbox {
     calls: Mutex<Vec<DelegatedCall>>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A node that calls for this owner.
+/// Node that executes calls for this owner.
 #[derive(Debug)]
 struct Delegate {
     address: SocketAddr,
@@ -60,7 +60,7 @@
     pending_calls: PendingCalls,
 }
 
-/// Nodes that call for this owner, and the calls whose results are to come.
+/// Delegates of an owner and the calls pending at each of them.
 #[derive(Debug)]
 pub struct DelegatePool {
     epoch: u64,
@@ -75,7 +75,7 @@
 }
 
 impl DelegatePool {
-    /// Creates the carriers of an owner, of which none is known yet.
+    /// Creates a pool without delegates.
     #[must_use]
     pub fn new(
         epoch: u64,
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Hands a call over to the node that calls its endpoint, or gives it back to be made here.
+    /// Queues a call for the delegate assigned to its endpoint, or returns it if it should be
+    /// executed locally.
     pub fn delegate(
         &mut self,
         endpoint: EndpointKey,
@@ -149,7 +150,7 @@
         &mut self.delegates[index]
     }
 
-    /// Takes in results, and returns what the engine is told.
+    /// Applies results from a delegate and returns the resulting engine events.
     pub fn apply_results(
         &mut self,
         address: SocketAddr,
@@ -168,8 +169,8 @@
         index.ok().map(|index| &mut self.delegates[index])
     }
 
-    /// Takes in that a node took none of these calls. Returns those to be made here, and what the
-    /// engine is told of others that the node had taken.
+    /// Handles a delegate's refusal of calls. Returns the calls to execute locally, and engine
+    /// events for other calls pending at that delegate.
     pub fn handle_refusal(
         &mut self,
         address: SocketAddr,
@@ -187,7 +188,8 @@
         (local, self.mark_lost(address, now_ms))
     }
 
-    /// Takes in that a node is not to be relied on: nobody knows what came of the calls that it took.
+    /// Excludes a delegate for a while and returns engine events for its pending calls, whose
+    /// outcomes are unknown.
     pub fn mark_lost(&mut self, address: SocketAddr, now_ms: u64) -> Vec<Event> {
         self.assignments.mark_lost(address, now_ms);
         let epoch = self.epoch;
@@ -199,8 +201,8 @@
         delegate.pending_calls.abandon_all()
     }
 
-    /// Takes in which nodes are there and which endpoints are called, and gives up nodes from which a
-    /// result is overdue; returns what the engine is told.
+    /// Updates membership and active endpoints, and drops delegates with overdue results. Returns
+    /// the resulting engine events.
     pub fn tick(
         &mut self,
         members: &[Member],
@@ -222,14 +224,14 @@
         events
     }
 
-    /// Returns how many endpoints other nodes call, and how many nodes do.
+    /// Returns the number of endpoints called by delegates, and the number of delegates in use.
     #[must_use]
     pub fn delegated_counts(&self) -> (usize, usize) {
         self.assignments.delegated_counts()
     }
 }
 
-/// Sends the calls of an outbox to a node, those that have gathered meanwhile in one message.
+/// Sends queued calls to a delegate, batching those that accumulate while a request is in flight.
 async fn send_calls(
     outbox: Arc<Outbox>,
     client: Client,
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -1,7 +1,8 @@
-//! Calls that this node makes for an owner on another one.
+//! Delegate side of endpoint calls: executes them for an owner on another node.
 //!
-//! Nothing is decided or kept here: each call carries the owner's fencing token, and its result goes
-//! back. What the owner does not hear of counts as unknown there, and is asked about again.
+//! The delegate keeps no durable state: each call carries the owner's fencing token, and its result
+//! is reported to the owner. Calls without a reported result count as unknown there and are
+//! resolved by the owner.
 
 use {
     crate::{
@@ -31,28 +32,28 @@
     },
 };
 
-/// Calls under way for an owner at most; an owner that is turned away makes them itself.
+/// Maximum number of calls in flight for an owner; the owner executes refused calls itself.
 const MAX_IN_FLIGHT_CALLS: usize = 4_096;
 
-/// Time for which results are gathered before they are sent, in milliseconds.
+/// Time for which results are collected into one message, in milliseconds.
 const RESULT_BATCH_DELAY_MS: u64 = 4;
 
-/// Time for another node's answer with a payload, in milliseconds.
+/// Timeout for fetching a payload, in milliseconds.
 const PAYLOAD_TIMEOUT_MS: u64 = 250;
 
-/// Time for the owner's answer to results, in milliseconds.
+/// Timeout for delivering results, in milliseconds.
 const RESULTS_TIMEOUT_MS: u64 = 500;
 
-/// Tries to send results. After that the owner has long taken them for unknown.
+/// Maximum number of attempts to deliver results. The owner has timed out the calls by then.
 const MAX_RESULTS_ATTEMPTS: u32 = 3;
 
-/// Pause between two tries, in milliseconds.
+/// Delay between attempts, in milliseconds.
 const RETRY_DELAY_MS: u64 = 50;
 
-/// Time between two looks for connections that are not used any more, in milliseconds.
+/// Interval at which unused endpoint connections are closed, in milliseconds.
 const PRUNE_INTERVAL_MS: u64 = 1_000;
 
-/// Calls made for the owner of one epoch.
+/// Calls in flight and undelivered results for the owner of one epoch.
 #[derive(Debug)]
 struct DelegateSession {
     epoch: u64,
@@ -96,14 +97,14 @@
     }
 }
 
-/// What this node does for owners on other nodes.
+/// Executes endpoint calls for owners on other nodes.
 #[derive(Debug, Default)]
 pub struct DelegateWorker {
     current: Mutex<Option<Arc<DelegateSession>>>,
 }
 
 impl DelegateWorker {
-    /// Takes calls of an owner, unless a later one is known.
+    /// Starts executing calls, unless a newer epoch is known.
     pub fn accept(&self, node: &Arc<Node>, request: DelegateRequest) -> DelegateReply {
         let (known_epoch, _) = node.known_owner();
         if request.epoch < known_epoch || node.stopping.has_begun() {
@@ -126,7 +127,7 @@
         DelegateReply::Taken
     }
 
-    /// Returns what is carried for an epoch; nothing for one that is over.
+    /// Returns the session of an epoch, starting it if needed; `None` if the epoch is outdated.
     fn session(
         &self,
         node: &Arc<Node>,
@@ -151,7 +152,7 @@
     }
 }
 
-/// Makes a call, and keeps its result for the owner.
+/// Executes a call and queues its result for delivery.
 async fn execute_call(node: &Node, session: &DelegateSession, delegated: DelegatedCall) {
     let DelegatedCall {
         number,
@@ -170,7 +171,7 @@
     session.add_result(number, result);
 }
 
-/// Adds the payload that the owner left out of a start; tells whether it is there.
+/// Restores the payload that the owner stripped from a start. Returns whether it is available.
 async fn attach_payload(node: &Node, order: &mut StartOrder) -> bool {
     let Some(origin) = order.origin else {
         return true;
@@ -214,7 +215,7 @@
     Ok(payload)
 }
 
-/// Sends results to the owner until its epoch is over.
+/// Delivers results to the owner until its epoch ends.
 async fn send_results(node: Arc<Node>, session: Arc<DelegateSession>) {
     let prune_interval = Duration::from_millis(PRUNE_INTERVAL_MS);
     while !session.is_over.load(Ordering::Relaxed) {
@@ -242,7 +243,7 @@
     info!(event = "carried", epoch = session.epoch, owner:% = session.owner; "");
 }
 
-/// Sends results; tells whether the owner may still be there.
+/// Delivers results. Returns `false` if the owner's epoch has ended.
 async fn deliver(node: &Node, session: &DelegateSession, request: &DelegateResults) -> bool {
     let client = node.peers.get(session.owner);
     let limit = Duration::from_millis(RESULTS_TIMEOUT_MS);
--- a/crates/controller/src/pending.rs
+++ b/crates/controller/src/pending.rs
@@ -1,4 +1,4 @@
-//! Calls that other nodes make and whose results are to come.
+//! Calls accepted by a delegate that await their results.
 
 use {
     crate::{
@@ -8,7 +8,7 @@
     lynxwheel_engine::{EndpointKey, Event},
 };
 
-/// A call whose result is to come.
+/// Call that awaits its result.
 #[derive(Debug)]
 struct PendingCall {
     number: CallNumber,
@@ -17,8 +17,8 @@
     due_ms: u64,
 }
 
-/// Calls that one node has been given. Each of them has one result: what the node tells, or that nobody
-/// knows. What comes after that is passed over, as the engine may have asked again meanwhile.
+/// Pending calls of one delegate. Each call has exactly one result: the reported one, or an unknown
+/// outcome after a timeout. Later results are ignored, as the engine may have repeated the call.
 #[derive(Debug, Default)]
 pub struct PendingCalls {
     /// Sorted by number.
@@ -26,7 +26,7 @@
 }
 
 impl PendingCalls {
-    /// Adds a call, with a number above all before, and when its result is due.
+    /// Adds a call. Numbers must be increasing.
     pub fn add(
         &mut self,
         number: CallNumber,
@@ -47,7 +47,7 @@
         index.ok().map(|index| self.calls.remove(index))
     }
 
-    /// Takes in results, and returns what the engine is told.
+    /// Applies results and returns the resulting engine events.
     pub fn apply_results(&mut self, results: Vec<(CallNumber, CallResult)>) -> Vec<Event> {
         results
             .into_iter()
@@ -58,12 +58,13 @@
             .collect()
     }
 
-    /// Takes a call back that was not made, and returns its endpoint; none when it was given up.
+    /// Removes a call that was not executed and returns its endpoint; `None` if the call was
+    /// abandoned.
     pub fn withdraw(&mut self, number: CallNumber) -> Option<EndpointKey> {
         self.remove(number).map(|call| call.endpoint)
     }
 
-    /// Gives all calls up, and returns what the engine is told: nobody knows what came of them.
+    /// Removes all calls and returns engine events with unknown outcomes.
     pub fn abandon_all(&mut self) -> Vec<Event> {
         let calls = std::mem::take(&mut self.calls);
         calls
@@ -72,13 +73,13 @@
             .collect()
     }
 
-    /// Tells whether a result is overdue.
+    /// Returns whether any result is overdue.
     #[must_use]
     pub fn is_overdue(&self, now_ms: u64) -> bool {
         self.calls.iter().any(|call| call.due_ms <= now_ms)
     }
 
-    /// Returns the number of calls.
+    /// Returns the number of pending calls.
     #[must_use]
     pub fn count(&self) -> usize {
         self.calls.len()
--- a/crates/controller/tests/pending.rs
+++ b/crates/controller/tests/pending.rs
@@ -1,4 +1,4 @@
-//! Calls that other nodes make for an owner: each has one result.
+//! Pending calls of a delegate: each has exactly one result.
 
 use {
     lynxwheel_controller::{CallResult, CallSubject, PendingCalls},
@@ -9,7 +9,7 @@
     "5c0e7a21d94b36f8.0.0.1".parse().expect("a task's name")
 }
 
-/// Returns two calls: the start of a run on endpoint 7, and the renewal of endpoint 8.
+/// Returns two calls: the start of a run on endpoint 7 and a renewal at endpoint 8.
 fn calls() -> PendingCalls {
     let mut calls = PendingCalls::default();
     calls.add(1, 7, CallSubject::Start(task(), 1), 1_500);
@@ -42,8 +42,8 @@
     assert!(calls.apply_results(vec![(1, refused())]).is_empty());
 }
 
-/// A task would run twice. The node that was to start it did not tell in time, so the start counts as
-/// unknown and is repeated; then the first, refused one is told, and taken for that of the repeat.
+/// Guards against a task that runs twice: a late result of a start whose outcome counted as unknown
+/// must not be taken for the result of the repeated start.
 #[test]
 fn result_of_abandoned_call_is_ignored() {
     let mut calls = calls();
