--- a/crates/controller/src/assignments.rs
+++ b/crates/controller/src/assignments.rs
@@ -1,32 +1,31 @@
-//! Which node calls which endpoint for the owner.
+//! Assignment of endpoints to the nodes that call them.
 //!
-//! One small node can decide for a large fleet, but not call all of it. An owner calls as many endpoints
-//! as its processor and its link carry beside its decisions; the others are shared out among the nodes
-//! that were heard of lately, the largest first and where there is one in the endpoint's own zone.
+//! The owner calls as many endpoints as its CPU and link allow beside its other work. The rest are
+//! assigned to live nodes, preferring the endpoint's zone and then the largest node.
 
 use {crate::members::Member, lynxwheel_engine::EndpointKey, std::net::SocketAddr};
 
-/// Endpoints that a node calls, for each whole core.
+/// Endpoints that a delegate can call per core.
 const DELEGATE_ENDPOINTS_PER_CORE: u32 = 400;
 
-/// Endpoints that an owner calls by itself, for each whole core: it has decisions to make beside.
+/// Endpoints that the owner can call per core, beside its decisions.
 const OWNER_ENDPOINTS_PER_CORE: u32 = 240;
 
-/// Endpoints that a node calls, for each megabit a second of its link: a busy one takes some 25 kbit/s
-/// of it, which leaves three quarters to what else the node does.
+/// Endpoints that a delegate can call per Mbit/s of link bandwidth, using about a quarter of the
+/// link.
 const DELEGATE_ENDPOINTS_PER_MBPS: u32 = 10;
 
-/// Endpoints that an owner calls by itself, for each megabit a second of its link: what it stores, and what
-/// it tells other nodes, takes the greater part.
+/// Endpoints that the owner can call per Mbit/s of link bandwidth, most of which it needs for the
+/// store and for other nodes.
 const OWNER_ENDPOINTS_PER_MBPS: u32 = 2;
 
-/// Thousandths of a core in a whole one.
+/// One core, in thousandths.
 const CORE_MILLIS: u32 = 1_000;
 
-/// Time for which a node that failed to call for the owner is not asked to again, in milliseconds.
+/// Time for which a failed delegate gets no endpoints, in milliseconds.
 const LOST_DELEGATE_EXCLUSION_MS: u64 = 3_000;
 
-/// A node that may call endpoints for the owner.
+/// Node that can call endpoints for the owner.
 #[derive(Clone, Debug)]
 struct Delegate {
     member: Member,
@@ -35,26 +34,26 @@
     excluded_until_ms: u64,
 }
 
-/// Returns how many endpoints a node can call.
+/// Returns the number of endpoints that a node can call.
 fn capacity(cpu_millis: u32, link_mbps: u32, (per_core, per_mbps): (u32, u32)) -> usize {
     let by_cpu = cpu_millis.saturating_mul(per_core) / CORE_MILLIS;
     let by_link = link_mbps.saturating_mul(per_mbps);
     usize::try_from(by_cpu.min(by_link)).unwrap_or(usize::MAX)
 }
 
-/// Endpoints shared out among nodes.
+/// Endpoints and the nodes that call them.
 #[derive(Clone, Debug)]
 pub struct EndpointAssignments {
     owner_capacity: usize,
     owner_endpoints: usize,
     /// Sorted by address.
     delegates: Vec<Delegate>,
-    /// Endpoints with the node that calls them, or none for the owner itself; sorted by key.
+    /// Endpoints with their delegate, or `None` for the owner itself; sorted by key.
     assigned: Vec<(EndpointKey, Option<SocketAddr>)>,
 }
 
 impl EndpointAssignments {
-    /// Creates the shares of an owner that calls every endpoint by itself.
+    /// Creates an empty assignment for an owner without delegates.
     #[must_use]
     pub fn new(cpu_millis: u32, link_mbps: u32) -> Self {
         Self {
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Takes in which nodes are there; what those that are gone called is shared out again.
+    /// Updates the available delegates, and unassigns endpoints of delegates that are gone.
     pub fn set_members(&mut self, members: &[Member]) {
         let mut delegates: Vec<Delegate> = members
             .iter()
@@ -97,7 +96,7 @@
                 retained.push((key, None));
                 continue;
             };
-            // A node that has turned slow gives up what goes beyond what it carries now.
+            // A delegate whose capacity has dropped keeps only what it can call.
             if let Ok(index) = self.delegate_index(address)
                 && self.delegates[index].endpoints < self.delegates[index].capacity
             {
@@ -108,7 +107,7 @@
         self.assigned = retained;
     }
 
-    /// Takes in that a node did not call for the owner; what it called is shared out again.
+    /// Excludes a failed delegate for a while and unassigns its endpoints.
     pub fn mark_lost(&mut self, address: SocketAddr, now_ms: u64) {
         if let Ok(index) = self.delegate_index(address) {
             self.delegates[index].excluded_until_ms = now_ms + LOST_DELEGATE_EXCLUSION_MS;
@@ -117,7 +116,7 @@
         self.assigned.retain(|(_, known)| *known != Some(address));
     }
 
-    /// Forgets endpoints that are not called any more.
+    /// Removes endpoints that no longer have to be called.
     pub fn retain(&mut self, is_active: impl Fn(EndpointKey) -> bool) {
         let mut assigned = std::mem::take(&mut self.assigned);
         assigned.retain(|(key, address)| {
@@ -146,7 +145,8 @@
             .binary_search_by_key(&address, |delegate| delegate.member.address)
     }
 
-    /// Returns the node that calls an endpoint; none for the owner itself.
+    /// Returns the delegate that calls an endpoint, assigning one if needed; `None` for the owner
+    /// itself.
     pub fn assign(&mut self, key: EndpointKey, zone: &str, now_ms: u64) -> Option<SocketAddr> {
         let index = match self
             .assigned
@@ -163,7 +163,7 @@
         let delegate = self.delegates.iter_mut().filter(|candidate| {
             candidate.endpoints < candidate.capacity && now_ms >= candidate.excluded_until_ms
         });
-        // Few nodes with many endpoints each: what goes to one node goes there in one message.
+        // Fills one delegate before the next, so that more calls share a message.
         let best = delegate.max_by_key(|delegate| {
             let is_same_zone = delegate.member.zone == zone;
             (is_same_zone, delegate.capacity, delegate.endpoints)
@@ -174,7 +174,7 @@
         Some(address)
     }
 
-    /// Returns how many endpoints other nodes call, and how many nodes do.
+    /// Returns the number of endpoints called by delegates, and the number of delegates in use.
     #[must_use]
     pub fn delegated_counts(&self) -> (usize, usize) {
         let active = self
--- a/crates/controller/src/members.rs
+++ b/crates/controller/src/members.rs
@@ -1,35 +1,35 @@
-//! Nodes that were heard of lately, from the requests that they pass on.
+//! Live nodes, as seen from the requests that they forward.
 
 use {
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
 
-/// Age up to which a node that was heard of counts as there, in milliseconds: every node passes some
-/// request on each second while callers come.
+/// Time after which a silent node no longer counts as live, in milliseconds. With callers present,
+/// every node forwards requests each second.
 pub const MEMBER_TIMEOUT_MS: u64 = 5_000;
 
-/// A node, as it says of itself with every request that it passes on.
+/// Description of a node, sent with each forwarded request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Address at which it takes other nodes' requests.
+    /// Address at which peers reach the node.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the node.
     pub zone: String,
-    /// Processor that it has at the moment, in thousandths of a core.
+    /// Effective CPU capacity, in thousandths of a core.
     pub cpu_millis: u32,
-    /// Bandwidth of its link, in megabits a second.
+    /// Link bandwidth, in megabits per second.
     pub link_mbps: u32,
 }
 
-/// Nodes heard of, sorted by address.
+/// Nodes with the time of their last request, sorted by address.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     members: Vec<(Member, u64)>,
 }
 
 impl Members {
-    /// Takes in that a node was heard of.
+    /// Records a request forwarded by a node.
     pub fn record(&mut self, member: Member, now_ms: u64) {
         let index = self
             .members
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the nodes that count as there, and forgets the others.
+    /// Removes nodes that have timed out and returns the others.
     pub fn live(&mut self, now_ms: u64) -> Vec<Member> {
         self.members
             .retain(|(_, last_heard_ms)| now_ms < last_heard_ms + MEMBER_TIMEOUT_MS);
--- a/crates/controller/tests/assignments.rs
+++ b/crates/controller/tests/assignments.rs
@@ -1,14 +1,14 @@
-//! Which node calls which endpoint for an owner.
+//! Assignment of endpoints to the nodes that call them.
 
 use {
     lynxwheel_controller::{EndpointAssignments, MEMBER_TIMEOUT_MS, Member, Members},
     std::net::SocketAddr,
 };
 
-/// A node with half a core on a fast link: 200 endpoints for others, 120 as the owner.
+/// Node with half a core and a fast link: calls 200 endpoints as a delegate and 120 as the owner.
 const LARGE: (u32, u32) = (500, 200);
 
-/// A node whose processor would carry more than its link.
+/// Node whose link limits its capacity more than its CPU.
 const NARROW: (u32, u32) = (500, 2);
 
 fn address(number: u8) -> SocketAddr {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Shares `endpoints` in zone `a` out, and returns how many each node gets, the owner first.
+/// Assigns `endpoints` in zone `a`, and returns the number per node, the owner first.
 fn assign_all(assignments: &mut EndpointAssignments, endpoints: u32, nodes: u8) -> Vec<usize> {
     let mut counts = vec![0; usize::from(nodes) + 1];
     for key in 0..endpoints {
@@ -52,16 +52,15 @@
     owner_calls_all_endpoints_of_a_small_fleet:
         (250, 1_000), vec![member(1, "a", LARGE)], 50 => [50, 0];
 
-    /// Starts wait for seconds in every turn: one small node decides for a thousand endpoints, and
-    /// cannot call all of them.
+    /// Guards against delayed starts when an owner cannot call all endpoints of a large fleet
+    /// itself.
     delegates_call_most_endpoints_of_a_large_fleet:
         LARGE, vec![member(1, "a", LARGE), member(2, "a", LARGE)], 500 => [120, 180, 200];
 
     delegates_in_the_endpoint_zone_are_preferred:
         LARGE, vec![member(1, "b", LARGE), member(2, "a", LARGE)], 300 => [120, 0, 180];
 
-    /// The owner's renewals get no answers and it is succeeded every second: its link is full of calls,
-    /// while its processor is idle.
+    /// Guards against an owner that misses its renewals because endpoint calls saturate its link.
     link_bandwidth_limits_capacity:
         NARROW, vec![member(1, "a", NARROW), member(2, "a", NARROW)], 40 => [4, 16, 20];
 
@@ -78,7 +77,7 @@
     assignments
 }
 
-/// A node that calls endpoints loses power; its share must go on at once, and not come back to it.
+/// Guards against assigning the endpoints of a failed delegate to it again.
 #[test]
 fn endpoints_of_a_lost_delegate_are_reassigned() {
     let mut assignments = large_fleet_assignments();
