--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints, as the owner or another node for it makes them, and what comes of them.
+//! Calls to endpoints and their results.
 
 use {
     log::info,
@@ -9,38 +9,38 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A call to an endpoint.
+/// Call to an endpoint.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum EndpointCall {
-    /// Start a run.
+    /// Starts a run.
     Start(Box<StartOrder>),
-    /// Stop a run.
+    /// Stops a run.
     Stop(TaskRef, u32),
-    /// Renew the lease and ask for the report.
+    /// Requests a status report and renews the lease if a deadline is given.
     Renew {
-        /// End of the lease on the endpoint's clock, if it is to be renewed.
+        /// New end of the lease on the endpoint's clock.
         deadline_ms: Option<u64>,
-        /// Ends up to this number may be forgotten.
+        /// Run ends up to this number may be forgotten by the endpoint.
         acknowledged: u64,
-        /// Time that the endpoint may wait for an end, in milliseconds.
+        /// Maximum time for which the endpoint waits for a run to end, in milliseconds.
         wait_ms: u64,
     },
-    /// Let a run work at a share of its speed, in percent.
+    /// Limits a run to a percentage of its speed.
     Pace(TaskRef, u32, u8),
 }
 
-/// What came of a call to an endpoint.
+/// Result of a call to an endpoint.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum CallResult {
-    /// Of a start or a stop.
+    /// Result of a start or stop.
     Ordered(CallOutcome<u64>),
-    /// Of a renewal.
+    /// Result of a renewal.
     Renewed(CallOutcome<EndpointReport>),
-    /// Of a change of pace: whether it was carried out.
+    /// Whether a change of pace was applied.
     Paced(bool),
 }
 
-/// What a call was about, to tell the engine what came of it.
+/// Identifies the call that a result belongs to.
 #[derive(Clone, Copy, Debug)]
 pub enum CallSubject {
     /// Start of a run.
@@ -54,7 +54,7 @@
 }
 
 impl EndpointCall {
-    /// Returns what the call is about.
+    /// Returns the subject of the call.
     #[must_use]
     pub fn subject(&self) -> CallSubject {
         match self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the time that the endpoint may take before it answers, in milliseconds.
+    /// Returns how long the endpoint may delay its response, in milliseconds.
     #[must_use]
     pub fn wait_ms(&self) -> u64 {
         match self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Makes the call.
+    /// Executes the call and logs its outcome.
     pub async fn execute(&self, calls: &EndpointCalls, to: &EndpointAddress) -> CallResult {
         match self {
             Self::Start(order) => {
@@ -125,7 +125,7 @@
 }
 
 impl CallSubject {
-    /// Returns what the engine is told of a result; nothing when the result is none of such a call.
+    /// Converts a result into an engine event; `None` if its kind does not match the call.
     #[must_use]
     pub fn result_event(self, endpoint: EndpointKey, result: CallResult) -> Option<Event> {
         match (self, result) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Returns what the engine is told when nobody knows what came of the call.
+    /// Returns the engine event for a call whose outcome is unknown.
     #[must_use]
     pub fn unknown_outcome_event(self, endpoint: EndpointKey) -> Option<Event> {
         let result = match self {
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Carrying out what the engine asks for: each call in a task of its own or by another node, its
-//! outcome an event.
+//! Execution of the engine's effects, by this node or by delegates. Outcomes are returned to the
+//! engine as events.
 
 use {
     crate::{
@@ -19,10 +19,10 @@
     tokio::time::sleep,
 };
 
-/// Pause before a wave's status is published again, in milliseconds.
+/// Delay before publishing a wave's status is retried, in milliseconds.
 const PUBLISH_RETRY_DELAY_MS: u64 = 250;
 
-/// Calls of one owner.
+/// Executes the effects of one owner.
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Nodes that call endpoints for this owner.
@@ -30,7 +30,7 @@
     calls: LocalCalls,
 }
 
-/// Calls that this node makes itself.
+/// Calls executed by the owner's own node.
 #[derive(Clone, Debug)]
 pub struct LocalCalls {
     actor: ActorRef<OwnerActor>,
@@ -41,13 +41,13 @@
 }
 
 impl Dispatcher {
-    /// Creates the calls of an owner.
+    /// Creates the dispatcher of an owner.
     #[must_use]
     pub fn new(delegates: DelegatePool, calls: LocalCalls) -> Self {
         Self { delegates, calls }
     }
 
-    /// Carries an effect out, without waiting for it.
+    /// Starts executing an effect without waiting for its outcome.
     pub fn execute(&mut self, effect: Effect, endpoints: &Endpoints, now: Now) {
         let (key, call) = match effect {
             Effect::Start(order) => (order.endpoint, EndpointCall::Start(order)),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Makes a call to an endpoint from this node, without waiting for it.
+    /// Starts a call to an endpoint from this node without waiting for its outcome.
     pub fn call_locally(&self, key: EndpointKey, to: EndpointAddress, call: EndpointCall) {
         let calls = self.calls.clone();
         tokio::spawn(async move {
@@ -103,14 +103,14 @@
         });
     }
 
-    /// Closes connections to endpoints that are not used any more.
+    /// Closes unused connections to endpoints.
     pub fn prune_connections(&self) {
         self.calls.endpoints.prune();
     }
 }
 
 impl LocalCalls {
-    /// Creates the calls of an owner that its own node makes.
+    /// Creates the local calls of an owner.
     #[must_use]
     pub fn new(
         actor: ActorRef<OwnerActor>,
@@ -154,7 +154,7 @@
                 self.send_event(Event::VmAnswer { vm, outcome }).await;
             }
             Effect::PublishWave { wave, is_completed } => self.publish(wave, is_completed).await,
-            // The actor answers callers and resigns by itself.
+            // Replies and resignation are handled by the actor.
             _ => {}
         }
     }
@@ -174,7 +174,7 @@
     }
 
     async fn send_event(&self, event: Event) {
-        // The actor ends with the ownership; its successor asks the endpoints itself.
+        // Fails only after the actor has stopped; the successor queries the endpoints itself.
         drop(self.actor.tell(OwnerMessage::event(event)).send().await);
     }
 
