--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -1,4 +1,4 @@
-//! Storing batches, one after the other, under the owner's epoch.
+//! Ordered and fenced appends of the engine's records.
 
 use {
     log::warn,
@@ -15,17 +15,17 @@
     tokio::time::sleep,
 };
 
-/// Topic of the engine's records; it keeps the newest of each key for good.
+/// Topic of the engine's records, compacted by key.
 pub const STATE_TOPIC: &str = "keyed.lynxwheel";
 
-/// Name under which owners write.
+/// Producer name shared by all owners.
 const PRODUCER_NAME: &str = "owner";
 
-/// Shortest and longest pause before an append is repeated, in milliseconds.
+/// Bounds of the exponential backoff between attempts, in milliseconds.
 const MIN_RETRY_DELAY_MS: u64 = 40;
 const MAX_RETRY_DELAY_MS: u64 = 400;
 
-/// Bytes that a record's frame adds.
+/// Framing overhead of a record, in bytes.
 const FRAME_OVERHEAD_BYTES: usize = 8;
 
 fn outcome_label(outcome: AppendOutcome) -> &'static str {
@@ -38,13 +38,13 @@
     }
 }
 
-/// Numbers the appends of one owner.
+/// Assigns sequence numbers to the appends of one epoch.
 #[derive(Clone, Debug)]
 pub struct Writer {
     epoch: u64,
     sequence: u64,
     max_request_bytes: usize,
-    /// Offset up to which the records are known to be stored.
+    /// Offset below which records are known to be stored.
     stored_end: Arc<AtomicU64>,
 }
 
@@ -68,15 +68,15 @@
         }
     }
 
-    /// Returns the offset up to which the records are known to be stored, as it moves on.
+    /// Returns the shared offset below which records are known to be stored.
     #[must_use]
     pub fn stored_end(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.stored_end)
     }
 
-    /// Shuts lower epochs out: an append without records sets the epoch.
+    /// Fences lower epochs with an empty append.
     ///
-    /// Returns whether it is set, or nothing while that is not known.
+    /// Returns whether the epoch is in force; `None` if the outcome is unknown.
     pub async fn fence(&mut self, store: &StoreClient) -> Option<bool> {
         let producer = Producer {
             name: PRODUCER_NAME,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Numbers the appends that store these records.
+    /// Encodes records into numbered appends of limited size.
     pub fn commit(&mut self, records: &[Record]) -> Commit {
         let mut appends: Vec<(u64, Vec<Vec<u8>>)> = Vec::new();
         let mut bytes = usize::MAX;
@@ -121,14 +121,14 @@
 }
 
 impl Commit {
-    /// Returns the bytes of the records.
+    /// Returns the total size of the records, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let records = self.appends.iter().flat_map(|(_, records)| records);
         records.map(Vec::len).sum()
     }
 
-    /// Stores the batch, however long the store is away; tells whether this owner may go on.
+    /// Stores the batch, retrying until it succeeds. Returns `false` if a newer epoch is in force.
     pub async fn store(&self, store: &StoreClient) -> bool {
         for (sequence, records) in &self.appends {
             if !self.append(store, *sequence, records).await {
@@ -155,12 +155,12 @@
                     self.stored_end.fetch_max(end, Ordering::Relaxed);
                     return true;
                 }
-                // The epoch is ours alone, so a store that is ahead has this append, and perhaps some
-                // that were sent after it.
+                // Only this writer uses the epoch, so the store already has this append and perhaps
+                // later ones.
                 AppendOutcome::OutOfSequence { expected } if expected > sequence => {
                     return true;
                 }
-                // One that was sent before this one is still under way.
+                // An earlier append is still in flight.
                 AppendOutcome::OutOfSequence { expected } if expected < sequence => {
                     sleep(Duration::from_millis(MIN_RETRY_DELAY_MS)).await;
                 }
@@ -177,7 +177,7 @@
                         ""
                     );
                     sleep(Duration::from_millis(pause_ms)).await;
-                    // Silence was waited for already; refusals call for fewer tries.
+                    // An unknown outcome has already waited for the timeout.
                     if outcome != AppendOutcome::Unknown {
                         pause_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
                     }
--- a/crates/controller/src/in_flight.rs
+++ b/crates/controller/src/in_flight.rs
@@ -1,20 +1,20 @@
-//! Batches that are being stored, in the order in which they were cut.
+//! Batches in flight to the store, in order.
 
 use {lynxwheel_engine::Batch, std::collections::VecDeque};
 
-/// Age of the newest batch under way from which on another is sent after it, in milliseconds. A calm
-/// store answers within 10 ms, and load makes batches larger then; a slow one kept what had happened
-/// meanwhile for up to two of its answers, some 0.9 s at a hundredth of its speed.
+/// Age of the newest batch in flight at which the next one is sent without waiting for it, in
+/// milliseconds. A fast store responds earlier, so that load makes batches larger rather than more
+/// frequent; with a slow store, changes need not wait for two responses.
 pub const PIPELINE_DELAY_MS: u64 = 80;
 
-/// Time in which no batch under way is stored after which the store counts as away, in milliseconds.
+/// Time without any batch stored after which the store counts as unavailable, in milliseconds.
 pub const STORE_UNAVAILABLE_MS: u64 = 900;
 
-/// Batches under way at most: the store knows its answers to the last five appends of a writer, and
-/// what is sent again has to be among them.
+/// Maximum number of batches in flight. The store remembers its responses to the last five appends
+/// of a writer, and a repeated append must be among them.
 pub const MAX_IN_FLIGHT_BATCHES: usize = 4;
 
-/// A batch that is being stored.
+/// Batch in flight.
 #[derive(Debug)]
 struct InFlightBatch {
     number: u64,
@@ -23,7 +23,7 @@
     is_stored: bool,
 }
 
-/// Batches that are being stored.
+/// Batches in flight, oldest first.
 #[derive(Debug, Default)]
 pub struct InFlightBatches {
     batches: VecDeque<InFlightBatch>,
@@ -32,23 +32,21 @@
 }
 
 impl InFlightBatches {
-    /// Tells whether no batch is under way.
+    /// Returns whether no batch is in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.batches.is_empty()
     }
 
-    /// Tells whether another batch may be sent after those under way.
+    /// Returns whether another batch may be sent.
     #[must_use]
     pub fn has_capacity(&self, now_ms: u64) -> bool {
         let is_due = |newest: &InFlightBatch| now_ms >= newest.sent_ms + PIPELINE_DELAY_MS;
         self.batches.len() < MAX_IN_FLIGHT_BATCHES && self.batches.back().is_none_or(is_due)
     }
 
-    /// Tells whether the store is away: for so long it has stored nothing of what was sent.
-    ///
-    /// One slowed to a hundredth stores a batch each half a second, though each of several that are
-    /// under way at once waits for longer.
+    /// Returns whether the store is unavailable, having stored nothing for too long since the
+    /// oldest batch was sent.
     #[must_use]
     pub fn is_store_unavailable(&self, now_ms: u64) -> bool {
         let is_late = |oldest: &InFlightBatch| {
@@ -58,7 +56,7 @@
         self.batches.front().is_some_and(is_late)
     }
 
-    /// Adds a batch, and returns its number.
+    /// Adds a batch and returns its number.
     pub fn add(&mut self, batch: Batch, now_ms: u64) -> u64 {
         self.last_number += 1;
         self.batches.push_back(InFlightBatch {
@@ -70,17 +68,16 @@
         self.last_number
     }
 
-    /// Lets a batch without records wait for the newest one under way.
+    /// Appends a batch without records to the newest batch in flight.
     pub fn append_to_newest(&mut self, batch: Batch) {
         if let Some(newest) = self.batches.back_mut() {
             newest.batch.join(batch);
         }
     }
 
-    /// Takes in that a batch is stored, and returns those that are so with all before them.
+    /// Marks a batch as stored and returns the batches that are complete, in order.
     ///
-    /// An answer may overtake that to an earlier append. What a batch releases may rest on earlier
-    /// ones, so it waits for them.
+    /// Responses may arrive out of order, and the effects of a batch may depend on earlier batches.
     pub fn mark_stored(&mut self, number: u64, now_ms: u64) -> Vec<Batch> {
         self.last_stored_ms = now_ms;
         if let Some(batches) = self
--- a/crates/controller/tests/in_flight.rs
+++ b/crates/controller/tests/in_flight.rs
@@ -1,4 +1,4 @@
-//! Which batches are under way at once, and when what they release may go out.
+//! Batches in flight to the store, and when their effects are released.
 
 use {
     lynxwheel_controller::{
@@ -29,7 +29,7 @@
 }
 
 cases! {
-    /// Answers of a slowed store take half a second; one that answers nothing for longer is away.
+    /// A slow store takes half a second to respond; one that is silent for longer is unavailable.
     silent_store_counts_as_unavailable: {
         let mut in_flight = InFlightBatches::default();
         assert!(!in_flight.is_store_unavailable(1_000));
@@ -42,7 +42,7 @@
         assert!(in_flight.is_store_unavailable(1_500 + STORE_UNAVAILABLE_MS));
     };
 
-    /// A calm store answers within 10 ms: load makes batches larger, not more frequent.
+    /// A fast store responds within 10 ms, so that load makes batches larger, not more frequent.
     fast_store_gets_one_batch_at_a_time: {
         let mut in_flight = InFlightBatches::default();
         assert!(in_flight.has_capacity(1_000));
@@ -52,16 +52,14 @@
         assert!(in_flight.has_capacity(1_011));
     };
 
-    /// Every answer of the store takes 400 ms. What happened right after a batch was cut waited for
-    /// two of them, so that a job of two steps lost a second of its slack at each.
+    /// Guards against changes that wait for two responses of a slow store.
     slow_store_gets_next_batch_before_it_responds: {
         let mut in_flight = InFlightBatches::default();
         in_flight.add(batch("a"), 1_000);
         assert!(in_flight.has_capacity(1_000 + PIPELINE_DELAY_MS));
     };
 
-    /// The store is away. It knows its answers to the last five appends only, so no more than these
-    /// may have to be sent again.
+    /// The store remembers its last five responses; no more batches may have to be repeated.
     unavailable_store_gets_limited_batches: {
         let mut in_flight = InFlightBatches::default();
         let mut now_ms = 1_000;
@@ -70,11 +68,14 @@
             now_ms += PIPELINE_DELAY_MS;
         }
         assert!(!in_flight.has_capacity(now_ms + 60_000));
-        assert_eq!(now_ms, 1_000 + PIPELINE_DELAY_MS * u64::try_from(MAX_IN_FLIGHT_BATCHES).unwrap());
+        assert_eq!(
+            now_ms,
+            1_000 + PIPELINE_DELAY_MS * u64::try_from(MAX_IN_FLIGHT_BATCHES).unwrap(),
+        );
     };
 
-    /// The answer to the first append is lost, that to the second arrives. A run that the second
-    /// batch starts may rest on what the first one says: nothing goes out before both are stored.
+    /// Guards against releasing effects of a batch before an earlier one, on which they may depend,
+    /// is stored.
     batch_stored_out_of_order_waits_for_earlier_ones: {
         let mut in_flight = InFlightBatches::default();
         let first = in_flight.add(batch("a"), 1_000);
