--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -1,7 +1,8 @@
-//! Configurations that one node takes over from another.
+//! Configuration synchronization between nodes.
 //!
-//! Every node reads configurations from the store. One that the store turns away takes a newer one over
-//! from the owner, and an owner from the node that sends it a request, or from nodes heard of lately.
+//! Every node reads the configuration from the store. A node that cannot reach the store gets newer
+//! versions from the owner; an owner gets them from nodes that forward requests, or from other live
+//! nodes.
 
 use {
     crate::{
@@ -16,25 +17,25 @@
     tokio::time::timeout,
 };
 
-/// Time for another node's configuration, in milliseconds.
+/// Timeout for fetching a configuration from a peer, in milliseconds.
 const FETCH_TIMEOUT_MS: u64 = 300;
 
-/// Nodes that are asked for a newer configuration at most.
+/// Maximum number of peers asked for a newer configuration.
 const MAX_PEERS_ASKED: usize = 3;
 
-/// Time between two asks for a newer configuration, in milliseconds.
+/// Minimum interval between fetches of a newer configuration, in milliseconds.
 const FETCH_INTERVAL_MS: u64 = 300;
 
-/// Age up to which the last read of what operators write counts as fresh, in milliseconds: the longest
-/// wait of a poll, and some slack.
+/// Age up to which the last read of the operator topic counts as recent, in milliseconds: the
+/// maximum poll wait plus slack.
 const FRESH_READ_MS: u64 = 1_000;
 
-/// Takes over the configuration of another node if that is newer; tells whether this node's is as new
-/// as `version` then.
+/// Fetches a peer's configuration and activates it if newer. Returns whether the active
+/// configuration is at least `version` afterwards.
 pub async fn fetch_from(node: &Node, peer: SocketAddr, version: u64) -> bool {
     let limit = Duration::from_millis(FETCH_TIMEOUT_MS);
-    // Requests that come meanwhile wait for the same answer, but not in a long row for peers that give
-    // none: their callers' deadlines would pass.
+    // Concurrent requests share one fetch. The wait is limited, so that unresponsive peers do not
+    // exhaust the callers' deadlines.
     let fetching = timeout(limit, node.config_fetch.lock()).await;
     if fetching.is_err() || node.config.load().version >= version {
         return node.config.load().version >= version;
@@ -57,8 +58,8 @@
     node.config.load().version >= version
 }
 
-/// Takes over a newer configuration from the owner, or, where that is not known, from nodes that were
-/// heard of lately: an owner that the store turns away knows no successor.
+/// Fetches a newer configuration from the owner or, when it is unknown or this node itself, from
+/// live nodes.
 pub async fn fetch_newer(node: &Node) {
     let next = node.config.load().version + 1;
     let (_, owner) = node.known_owner();
@@ -67,7 +68,7 @@
         return;
     }
     let mut members = node.live_members(clock::steady_ms());
-    // The store may turn some of them away, too.
+    // Some of them may be cut off from the store as well.
     members.shuffle(&mut rand::rng());
     for member in members.iter().take(MAX_PEERS_ASKED) {
         if fetch_from(node, member.address, next).await {
@@ -76,10 +77,11 @@
     }
 }
 
-/// Tells whether others are to be asked for a newer configuration before a request is answered, and counts
-/// as asked then.
+/// Returns whether to fetch a newer configuration before answering a request, and records the
+/// attempt.
 ///
-/// A request that may be made is judged again by the owner, unless this node is the owner itself.
+/// An authorized request needs no fetch here unless this node is the owner, since the owner checks
+/// the configuration version again.
 pub fn should_fetch_newer(node: &Node, is_authorized: bool) -> bool {
     let is_rechecked_by_owner = is_authorized && node.owner.load().is_none();
     if is_rechecked_by_owner || !may_be_stale(node) {
@@ -93,7 +95,7 @@
         .is_ok()
 }
 
-/// Tells whether a newer configuration may be active that this node has not read.
+/// Returns whether this node may have missed a newer configuration.
 fn may_be_stale(node: &Node) -> bool {
     let read_ms = node.config_read_ms.load(Ordering::Relaxed);
     clock::steady_ms() > read_ms + FRESH_READ_MS
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Feeds from the platform: what operators write, who is in the registry, which VMs there are.
+//! Feeds from the platform: operator records, the endpoint registry and the list of VMs.
 
 use {
     crate::{
@@ -15,24 +15,24 @@
     tokio::time::sleep,
 };
 
-/// Longest wait of a poll for what operators write, in milliseconds. A channel may fall silent
-/// without an error; a poll that ends is the only sign of life.
+/// Maximum wait of a poll of the operator topic, in milliseconds. Kept short to detect connections
+/// that hang without an error.
 const OPERATOR_POLL_WAIT_MS: u64 = 700;
 
-/// Longest wait of a poll for the registry, in milliseconds.
+/// Maximum wait of a poll of the registry, in milliseconds.
 const REGISTRY_POLL_WAIT_MS: u64 = 700;
 
-/// Pause between polls of the registry, in milliseconds: endpoints write all the time, and one
-/// answer brings what several wrote.
+/// Pause between polls of the registry, in milliseconds. Endpoints write constantly; pausing
+/// batches their records.
 const REGISTRY_PAUSE_MS: u64 = 120;
 
-/// Time between lists of the VMs, in milliseconds.
+/// Interval between requests for the list of VMs, in milliseconds.
 const VM_LIST_INTERVAL_MS: u64 = 700;
 
-/// Pause after a failed call, in milliseconds.
+/// Delay after a failed call, in milliseconds.
 const RETRY_DELAY_MS: u64 = 150;
 
-/// A topic that is followed record by record.
+/// Reader of a keyed topic.
 struct TopicReader {
     topic: &'static str,
     from: Option<u64>,
@@ -48,8 +48,9 @@
         }
     }
 
-    /// Returns the next records: the newest of each key at first, or when some have expired, with
-    /// `true`; later what was written since, with `false`.
+    /// Returns the next records, and whether they are a snapshot. The first call, and any call
+    /// after a trim, returns a snapshot with the latest record of each key; other calls return new
+    /// records.
     async fn next(&mut self, node: &Node, wait_ms: u64) -> (Vec<KeyedRecord>, bool) {
         let outcome = match self.from {
             None => self.load(node).await,
@@ -97,7 +98,7 @@
                     .filter_map(|record| KeyedRecord::decode(record));
                 Ok((decoded.collect(), false))
             }
-            // What was missed is among the newest records.
+            // The snapshot includes the latest of the trimmed records.
             Read::Trimmed { .. } => self.load(node).await,
             Read::Missing => {
                 sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
@@ -107,7 +108,7 @@
     }
 }
 
-/// Follows what operators write, for as long as the process lives.
+/// Follows the operator topic until the process exits.
 pub async fn follow_operator_topic(node: Arc<Node>) {
     let mut reader = TopicReader::new(OPERATOR_TOPIC);
     loop {
@@ -134,7 +135,7 @@
     }
 }
 
-/// Follows the registry for an owner.
+/// Passes changes of the endpoint registry to the owner actor.
 pub async fn follow_registry(node: Arc<Node>, owner: Arc<OwnerHandle>) {
     let mut reader = TopicReader::new(SERVERS_TOPIC);
     let mut listed: Vec<String> = Vec::new();
@@ -162,7 +163,7 @@
                 };
                 owner.send(OwnerMessage::event(event)).await;
             } else if let Ok(index) = index {
-                // Removed, or overwritten by something that cannot be read.
+                // Deleted, or replaced by a record that cannot be decoded.
                 let id = listed.remove(index);
                 owner
                     .send(OwnerMessage::event(Event::Unlisted(id.as_str().into())))
@@ -173,7 +174,7 @@
     }
 }
 
-/// Follows the list of VMs for an owner.
+/// Passes the list of VMs to the owner actor.
 pub async fn follow_vms(calls: VmCalls, owner: Arc<OwnerHandle>) {
     let mut is_lost = false;
     loop {
