--- a/crates/controller/src/payloads.rs
+++ b/crates/controller/src/payloads.rs
@@ -1,8 +1,7 @@
-//! Payloads of jobs, kept for a while by the nodes that took them from their callers.
+//! Cache of job payloads.
 //!
-//! Every start of a task carries its job's payload to the endpoint. Sent by the owner to each node that
-//! calls endpoints for it, the payloads filled a narrow link by themselves; so these nodes fetch them,
-//! once a job, from where the job came in.
+//! The owner strips payloads from starts that it sends to delegates, as they would saturate a
+//! narrow link. Each delegate fetches a payload once per job from the node that received the job.
 
 use {
     compact_str::CompactString,
@@ -14,21 +13,20 @@
     tokio::sync::OnceCell,
 };
 
-/// Payloads kept at most, in bytes: some seconds of a busy node's share, and little of a small node's
-/// memory.
+/// Maximum total size, in bytes.
 const MAX_BYTES: usize = 2 * 1024 * 1024;
 
-/// Payloads kept at most.
+/// Maximum number of payloads.
 const MAX_PAYLOADS: usize = 4_096;
 
-/// A payload that is here, or on its way.
+/// Payload that is cached or being fetched.
 pub type PayloadCell = Arc<OnceCell<CompactString>>;
 
 #[derive(Debug, Default)]
 struct Entries {
     /// Sorted by job.
     cells: Vec<(JobId, PayloadCell)>,
-    /// Jobs in the order in which they came.
+    /// Jobs in order of insertion.
     insertion_order: VecDeque<JobId>,
     bytes: usize,
 }
@@ -62,14 +60,14 @@
     }
 }
 
-/// Payloads by job, the oldest of which are forgotten first.
+/// Payloads by job, evicted in order of insertion.
 #[derive(Debug, Default)]
 pub struct PayloadCache {
     entries: Mutex<Entries>,
 }
 
 impl PayloadCache {
-    /// Keeps a payload.
+    /// Caches a payload.
     pub fn insert(&self, job: JobId, payload: &CompactString) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         let cell = entries.cell(job);
@@ -79,7 +77,7 @@
         }
     }
 
-    /// Returns a payload that is here.
+    /// Returns a payload if it is cached.
     #[must_use]
     pub fn get(&self, job: JobId) -> Option<CompactString> {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
@@ -91,8 +89,7 @@
             .and_then(|index| entries.cells[index].1.get().cloned())
     }
 
-    /// Returns the place of a payload that may have to be fetched: whoever comes first does, and the
-    /// others wait for it.
+    /// Returns the cell of a payload, to be filled by the first caller while others wait.
     pub fn cell(&self, job: JobId) -> PayloadCell {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         let cell = entries.cell(job);
@@ -100,7 +97,7 @@
         cell
     }
 
-    /// Counts a payload that was fetched.
+    /// Accounts for the size of a fetched payload.
     pub fn record_fetched(&self, payload: &CompactString) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         entries.bytes += payload.len();
--- a/crates/controller/src/speed.rs
+++ b/crates/controller/src/speed.rs
@@ -1,47 +1,44 @@
-//! How fast this node's processor is, beside how fast it usually is.
+//! Detection of a slowed CPU by timing a fixed benchmark.
 //!
-//! A VM may turn several times slower for seconds, by what runs beside it. An owner to which that
-//! happens goes on renewing in time and falls behind with all else: on a fleet of 350 endpoints nearly
-//! every job of such a spell was late. Load says little about it, as a burst keeps a sound node just as
-//! busy; the time that a fixed piece of work takes says it at once.
+//! Contention on the host may slow a VM down several times for seconds. An owner on such a VM keeps
+//! renewing its ownership while falling behind with its work. CPU load does not reveal this, as
+//! bursts keep a healthy node just as busy.
 
 use std::{
     hint::black_box,
     time::{Duration, Instant},
 };
 
-/// Time between two measurements, in milliseconds: a slow spell is noticed within 1.5 s, for below a
-/// thousandth of the processor.
+/// Interval between measurements, in milliseconds.
 pub const MEASUREMENT_INTERVAL_MS: u64 = 400;
 
-/// Steps of the piece of work: long enough to stand far above the grain of the clock.
+/// Iterations of the benchmark; long enough to exceed the clock's resolution.
 const BENCHMARK_STEPS: u64 = 50_000;
 
-/// Factor of Knuth's linear congruential generator, as a step that cannot be left out.
+/// Multiplier of Knuth's MMIX linear congruential generator.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 
-/// Times as long as usual from which on the node counts as slowed, in percent: sound nodes that share a
-/// busy host vary by less.
+/// Ratio of the current time to the baseline from which the node counts as slowed, in percent.
 const SLOWDOWN_PERCENT: u64 = 250;
 
-/// Measurements of which the shortest counts: a single one may have been interrupted.
+/// Number of recent samples, the fastest of which counts; a single one may have been preempted.
 const MAX_SAMPLES: usize = 3;
 
-/// Part of the difference by which a shorter and a longer time than usual change what is usual. It
-/// rises slowly, so that a slow spell of some seconds stays one.
+/// Divisors that smooth the baseline. It rises slowly, so that a slowdown of a few seconds is not
+/// absorbed.
 const FALL_DIVISOR: u64 = 4;
 const RISE_DIVISOR: u64 = 64;
 
-/// Speed of a processor, by the times that the work took.
+/// CPU speed estimated from benchmark times.
 #[derive(Clone, Debug, Default)]
 pub struct CpuSpeed {
     baseline_us: u64,
-    /// The last times, the newest at the end.
+    /// Recent samples, newest last.
     samples_us: Vec<u64>,
 }
 
 impl CpuSpeed {
-    /// Takes in how long the work took.
+    /// Records the duration of a benchmark run.
     pub fn record(&mut self, elapsed: Duration) {
         let sample_us = u64::try_from(elapsed.as_micros())
             .unwrap_or(u64::MAX)
@@ -53,12 +50,12 @@
         self.baseline_us = match self.baseline_us {
             0 => sample_us,
             base_us if sample_us < base_us => base_us - (base_us - sample_us) / FALL_DIVISOR,
-            // Cut off, so that one very long time does not count as much as many.
+            // Capped, so that a single outlier has little effect.
             base_us => base_us + (sample_us.min(2 * base_us) - base_us) / RISE_DIVISOR,
         };
     }
 
-    /// Returns what is left of a processor share at the moment: all of it, unless the node is slowed.
+    /// Returns the effective part of a CPU share: all of it, unless the node is slowed.
     #[must_use]
     pub fn effective_cpu_millis(&self, cpu_millis: u32) -> u32 {
         let current_us = match self.samples_us.iter().min() {
@@ -73,7 +70,7 @@
     }
 }
 
-/// Does the piece of work, and returns how long it took.
+/// Runs the benchmark and returns its duration.
 #[must_use]
 pub fn run_benchmark() -> Duration {
     let started = Instant::now();
--- a/crates/controller/tests/payloads.rs
+++ b/crates/controller/tests/payloads.rs
@@ -1,4 +1,4 @@
-//! Payloads of jobs that a node keeps for a while.
+//! Cache of job payloads.
 
 use {
     compact_str::CompactString,
@@ -27,7 +27,7 @@
     assert_eq!(payloads.get(job(2)), None);
 }
 
-/// A small node takes hundreds of jobs a second for hours; what it keeps must not grow with them.
+/// Guards against memory that grows with the number of submitted jobs.
 #[test]
 fn oldest_payloads_are_evicted() {
     let payloads = PayloadCache::default();
@@ -49,8 +49,7 @@
     assert!(payloads.get(job(1)).is_some());
 }
 
-/// A link is filled by payloads: eight tasks of a job begin on a node in one moment, and each of them
-/// fetched the payload by itself.
+/// Guards against saturating the link when several tasks of a job start on a node at once.
 #[test]
 fn concurrent_starts_fetch_payload_once() {
     let payloads = PayloadCache::default();
--- a/crates/controller/tests/speed.rs
+++ b/crates/controller/tests/speed.rs
@@ -1,8 +1,8 @@
-//! When a node counts as slowed, and how much of its processor is left then.
+//! Detection of slowed nodes and their remaining CPU capacity.
 
 use {lynxwheel_controller::CpuSpeed, std::time::Duration};
 
-/// Returns what is left of half a core after the work took these times, in microseconds.
+/// Returns the effective capacity of half a core after these samples, in microseconds.
 fn cpu_millis_after(times_us: &[u64]) -> u32 {
     let mut speed = CpuSpeed::default();
     for &sample_us in times_us {
@@ -24,15 +24,13 @@
 
     steady_node_has_full_capacity: [75, 80, 74, 90] => 500;
 
-    /// The owner's VM turns three times slower. It goes on renewing, so nobody succeeds it, and from
-    /// then on nearly every job is late.
+    /// Guards against keeping an owner whose VM has become three times slower.
     slowed_node_has_reduced_capacity: [75, 75, 75, 225, 228, 231] => 173;
 
-    /// The work was interrupted once, by something else on the VM.
+    /// The benchmark was preempted once.
     single_slow_sample_is_ignored: [75, 74, 76, 900, 75] => 500;
 
-    /// The host of the VM has a quiet moment, in which the work takes half of its usual time. Taken for
-    /// what is usual, it made a slowed node of a sound one, and the fleet changed its owner for nothing.
+    /// Guards against treating a healthy node as slowed after a single unusually fast sample.
     single_fast_sample_does_not_set_the_baseline: [75, 76, 30, 75, 76, 75, 140, 140, 140] => 500;
 
     recovered_node_has_full_capacity: [75, 75, 75, 225, 228, 231, 76] => 500;
