--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -83,7 +83,7 @@
                     event = "start_task", task:% = order.task, run = order.run,
                     endpoint = to.id.as_str(), deadline_ms = order.deadline_ms,
                     outcome:? = outcome;
-                    ""
+                    "run start sent"
                 );
                 CallResult::Ordered(outcome)
             }
@@ -92,7 +92,7 @@
                 info!(
                     event = "stop_task", task:% = task, run = *run, endpoint = to.id.as_str(),
                     outcome:? = outcome;
-                    ""
+                    "run stop sent"
                 );
                 CallResult::Ordered(outcome)
             }
@@ -106,7 +106,7 @@
                     info!(
                         event = "renewal_failed", endpoint = to.id.as_str(), peer:% = to.address,
                         outcome:? = outcome;
-                        ""
+                        "lease renewal failed"
                     );
                 }
                 CallResult::Renewed(outcome)
@@ -116,7 +116,7 @@
                 info!(
                     event = "pace", task:% = task, run = *run, percent = *percent,
                     is_done = is_done;
-                    ""
+                    "run pace changed"
                 );
                 CallResult::Paced(is_done)
             }
--- a/crates/controller/src/clock.rs
+++ b/crates/controller/src/clock.rs
@@ -19,7 +19,10 @@
             seconds * 1_000 + nanoseconds / 1_000_000
         }
         Err(error) => {
-            log::error!(event = "clock_failed", reason = error.to_string().as_str(); "");
+            log::error!(
+                event = "clock_failed", reason = error.to_string().as_str();
+                "reading the clock failed"
+            );
             0
         }
     }
--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -165,7 +165,10 @@
                     sleep(Duration::from_millis(MIN_RETRY_DELAY_MS)).await;
                 }
                 AppendOutcome::Fenced | AppendOutcome::OutOfSequence { .. } => {
-                    warn!(event = "append_refused", epoch = self.epoch, outcome:? = outcome; "");
+                    warn!(
+                        event = "append_refused", epoch = self.epoch, outcome:? = outcome;
+                        "append rejected, stopping the owner"
+                    );
                     return false;
                 }
                 AppendOutcome::Moved { .. }
@@ -174,7 +177,7 @@
                     warn!(
                         event = "append_repeated", epoch = self.epoch, sequence = sequence,
                         outcome:? = outcome, pause_ms = pause_ms;
-                        ""
+                        "append failed, retrying"
                     );
                     sleep(Duration::from_millis(pause_ms)).await;
                     // An unknown outcome has already waited for the timeout.
--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -51,7 +51,10 @@
         Ok(None) => {}
         Err(error) => {
             let reason = error.reason.as_str();
-            info!(event = "config_fetch_failed", peer:% = peer, reason = reason; "");
+            info!(
+                event = "config_fetch_failed", peer:% = peer, reason = reason;
+                "fetching the configuration from a peer failed"
+            );
         }
     }
     drop(fetching);
--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -197,7 +197,11 @@
             return Vec::new();
         };
         drop(delegate.outbox.take());
-        warn!(event = "carrier_lost", epoch = epoch, peer:% = address, calls = delegate.pending_calls.count(); "");
+        warn!(
+            event = "carrier_lost", epoch = epoch, peer:% = address,
+            calls = delegate.pending_calls.count();
+            "delegate excluded"
+        );
         delegate.pending_calls.abandon_all()
     }
 
@@ -262,7 +266,7 @@
                     event = "carry_failed", epoch = epoch, peer:% = client.peer(),
                     calls = request.calls.len(), reason = error.reason.as_str(),
                     may_have_run = error.may_have_run;
-                    ""
+                    "sending calls to delegate failed"
                 );
                 if error.may_have_run {
                     OwnerMessage::DelegateLost(client.peer())
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -144,7 +144,7 @@
             }
             known.end();
         }
-        info!(event = "carrying", epoch = epoch, owner:% = owner; "");
+        info!(event = "carrying", epoch = epoch, owner:% = owner; "delegate session started");
         let session = Arc::new(DelegateSession::new(epoch, owner));
         *current = Some(Arc::clone(&session));
         tokio::spawn(send_results(Arc::clone(node), Arc::clone(&session)));
@@ -190,7 +190,7 @@
             info!(
                 event = "payload_missing", job = job.as_str(), peer:% = origin,
                 reason = reason.as_str();
-                ""
+                "fetching the payload failed"
             );
             false
         }
@@ -240,7 +240,10 @@
             session.is_over.store(true, Ordering::Relaxed);
         }
     }
-    info!(event = "carried", epoch = session.epoch, owner:% = session.owner; "");
+    info!(
+        event = "carried", epoch = session.epoch, owner:% = session.owner;
+        "delegate session ended"
+    );
 }
 
 /// Delivers results. Returns `false` if the owner's epoch has ended.
@@ -258,7 +261,7 @@
                 info!(
                     event = "results_lost", epoch = session.epoch, peer:% = session.owner,
                     results = request.results.len(), reason = error.reason.as_str();
-                    ""
+                    "delivering results to the owner failed"
                 );
                 sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -138,7 +138,7 @@
                 let outcome = calls.move_to(&vm, &pool).await;
                 info!(
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
-                    ""
+                    "VM move ordered"
                 );
                 self.send_event(Event::VmAnswer { vm, outcome }).await;
             }
@@ -149,7 +149,7 @@
                 let outcome = calls.maintain(&vm, wave).await;
                 info!(
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
-                    ""
+                    "VM maintenance ordered"
                 );
                 self.send_event(Event::VmAnswer { vm, outcome }).await;
             }
@@ -162,12 +162,12 @@
     async fn request_advice(&self, step: TaskRef, endpoints: &[CompactString]) {
         let answer = match &self.advice {
             Some(calls) => calls.ask(&step, endpoints).await,
-            None => Err("no such service in the settings".into()),
+            None => Err("no advice service is configured".into()),
         };
         info!(
             event = "advice", step:% = step, asked = endpoints.len(),
             outcome:? = answer.as_ref().map(|(tickets, _)| tickets.len());
-            ""
+            "advice requested"
         );
         let answer = answer.ok();
         self.send_event(Event::Advised { step, answer }).await;
@@ -187,7 +187,7 @@
             info!(
                 event = "wave_status", wave = wave, is_completed = is_completed,
                 outcome:? = outcome;
-                ""
+                "wave status sent"
             );
             if matches!(outcome, AppendOutcome::Stored { .. }) {
                 return;
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -60,14 +60,20 @@
             Ok(records) => {
                 if self.is_lost {
                     self.is_lost = false;
-                    info!(event = "feed_regained", topic = self.topic; "");
+                    info!(
+                        event = "feed_regained", topic = self.topic;
+                        "reading the topic succeeded again"
+                    );
                 }
                 records
             }
             Err(reason) => {
                 if !self.is_lost {
                     self.is_lost = true;
-                    warn!(event = "feed_lost", topic = self.topic, reason = reason.as_str(); "");
+                    warn!(
+                        event = "feed_lost", topic = self.topic, reason = reason.as_str();
+                        "reading the topic failed"
+                    );
                 }
                 sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 (Vec::new(), false)
@@ -120,13 +126,16 @@
                         warn!(
                             event = "account_left_out", version = config.version,
                             account = account.as_str(), field = field.as_str();
-                            ""
+                            "account skipped: invalid field"
                         );
                     }
                     node.activate_config(config);
                 }
                 Some(OperatorRecord::Wave(order)) => node.record_wave_order(order),
-                None => warn!(event = "operator_record_unread", key = record.key.as_str(); ""),
+                None => warn!(
+                    event = "operator_record_unread", key = record.key.as_str();
+                    "operator record cannot be decoded"
+                ),
             }
         }
         if !reader.is_lost {
@@ -181,14 +190,17 @@
         match calls.list().await {
             Ok(vms) => {
                 if is_lost {
-                    info!(event = "vm_list_regained"; "");
+                    info!(event = "vm_list_regained"; "reading the list of VMs succeeded again");
                 }
                 is_lost = false;
                 owner.send(OwnerMessage::event(Event::Vms(vms))).await;
             }
             Err(error) => {
                 if !is_lost {
-                    warn!(event = "vm_list_lost", reason = error.to_string().as_str(); "");
+                    warn!(
+                        event = "vm_list_lost", reason = error.to_string().as_str();
+                        "reading the list of VMs failed"
+                    );
                 }
                 is_lost = true;
             }
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -127,7 +127,7 @@
         info!(
             event = "unauthorized", path = truncated(&credentials.path), reason = reason.as_str(),
             key:? = credentials.key.ok();
-            ""
+            "request denied"
         );
     }
     error_answer(status, &reason)
@@ -269,7 +269,7 @@
             pool = access.queue.pool.as_str(), account = access.account.as_str(),
             key:? = key.ok(), outcome:? = answer, config_version = access.config_version,
             epoch = node.ownership.borrow().epoch;
-            ""
+            "caller request answered"
         );
     }
     Ok(answer)
@@ -387,7 +387,7 @@
             info!(
                 event = "forward_failed", peer:% = owner.address, epoch = owner.epoch,
                 reason = error.reason.as_str(), may_have_run = error.may_have_run;
-                ""
+                "forwarding the request to the owner failed"
             );
             if error.is_refused {
                 node.record_owner_refused(owner.epoch);
--- a/crates/controller/src/load.rs
+++ b/crates/controller/src/load.rs
@@ -59,7 +59,7 @@
             event = "owner_load", epoch = epoch, messages = self.messages, batches = self.batches,
             stored_bytes = self.stored_bytes, busy_us = busy_us, behind_ms = self.max_delay_ms,
             carried_endpoints = delegated_counts.0, carriers = delegated_counts.1;
-            ""
+            "owner load"
         );
         *self = Self {
             since_ms: now_ms,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -329,13 +329,13 @@
         info!(
             event = "config", version = config.version, queues = config.queues.len(),
             pools = config.pools.len(), accounts = config.accounts.len();
-            ""
+            "configuration activated"
         );
         for shared in config.accounts.shared_keys() {
             warn!(
                 event = "key_shared", version = config.version, key:% = shared.key,
                 account = shared.holder.as_str(), passed_over = shared.passed_over.as_str();
-                ""
+                "API key belongs to several accounts"
             );
         }
         let config = Arc::new(config);
@@ -350,7 +350,7 @@
         info!(
             event = "wave_order", wave = order.wave, vms = order.vms.len(),
             duration_s = order.duration_s, max_count = order.max_count;
-            ""
+            "maintenance order received"
         );
         let mut waves = self
             .wave_orders
@@ -379,7 +379,7 @@
     info!(
         event = "start", node = node.settings.node_name.as_str(),
         zone = node.settings.zone.as_str(), incarnation = node.incarnation;
-        ""
+        "node started"
     );
     let callers = ingress::bind(&node).await?;
     let peers = peer_server::bind(&node).await?;
@@ -399,7 +399,7 @@
         .grace_ms
         .saturating_sub(CONNECTION_DRAIN_MS + FINAL_RESPONSES_MS);
     let drained = tokio::time::timeout(Duration::from_millis(remaining_ms), callers).await;
-    info!(event = "stop", is_complete = drained.is_ok(), at_ms = clock::wall_ms(); "");
+    info!(event = "stop", is_complete = drained.is_ok(), at_ms = clock::wall_ms(); "node stopped");
     Ok(())
 }
 
@@ -414,7 +414,10 @@
         let is_slowed = cpu_millis < nominal_millis;
         if is_slowed != was_slowed {
             was_slowed = is_slowed;
-            info!(event = "speed", cpu_millis = cpu_millis, nominal_millis = nominal_millis; "");
+            info!(
+                event = "speed", cpu_millis = cpu_millis, nominal_millis = nominal_millis;
+                "CPU speed changed"
+            );
         }
         tokio::time::sleep(Duration::from_millis(speed::MEASUREMENT_INTERVAL_MS)).await;
     }
@@ -450,7 +453,10 @@
                 _ = self.interrupt.recv() => return,
                 // Settings are fixed for the lifetime of the process.
                 _ = self.hangup.recv() => {
-                    info!(event = "reload", outcome = "nothing to take over"; "");
+                    info!(
+                        event = "reload", outcome = "nothing to take over";
+                        "SIGHUP ignored: settings cannot be reloaded"
+                    );
                 }
             }
         }
@@ -458,7 +464,7 @@
 }
 
 async fn begin_shutdown(node: &Node) {
-    info!(event = "stopping"; "");
+    info!(event = "stopping"; "graceful shutdown started");
     node.stopping.begin();
     if let Some(owner) = node.owner.load_full() {
         owner.try_send(OwnerMessage::Release);
--- a/crates/controller/src/notes.rs
+++ b/crates/controller/src/notes.rs
@@ -43,7 +43,7 @@
                 info!(
                     event = "run_over", epoch = epoch, task:% = task, run = run,
                     endpoint = endpoint.as_str(), end:? = end, after_ms = after_ms;
-                    ""
+                    "run ended"
                 );
             }
             Note::JobEnded {
@@ -55,7 +55,7 @@
                 info!(
                     event = "job_ended", epoch = epoch, job = job.as_str(), state:? = state,
                     after_ms = after_ms;
-                    ""
+                    "job ended"
                 );
             }
             Note::ShareReached(wait) => {
@@ -64,7 +64,7 @@
                     event = "share_reached", epoch = epoch, account = wait.account.as_str(),
                     job = wait.job.as_str(), running_cpu_millis = wait.running.cpu_millis,
                     share_cpu_millis = wait.share_cpu_millis;
-                    ""
+                    "job waits for the fair share of its account"
                 );
             }
             Note::QuotaReached(wait) => log_quota_wait(epoch, wait),
@@ -72,7 +72,7 @@
             Note::EndpointOver { endpoint, vm, runs } => info!(
                 event = "endpoint_over", epoch = epoch, endpoint = endpoint.as_str(),
                 vm = vm.as_str(), runs = runs;
-                ""
+                "endpoint ended"
             ),
         }
     }
@@ -94,7 +94,7 @@
         running_cpu_millis = running.cpu_millis, running_memory_mb = running.memory_mb,
         running_gpus = running.gpus, quota_cpu_millis = quota.cpu_millis,
         quota_memory_mb = quota.memory_mb, quota_gpus = quota.gpus;
-        ""
+        "tasks wait for the quota of their account"
     );
 }
 
@@ -125,7 +125,7 @@
         arriving = arriving, supply_cpu_millis = supply_cpu_millis,
         used_cpu_millis = used_cpu_millis, used_memory_mb = used_memory_mb,
         wanted_cpu_millis = wanted_cpu_millis, moved_in = moved_in, moved_out = moved_out;
-        ""
+        "pool planned"
     );
 }
 
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -83,7 +83,10 @@
     /// Sends a message without waiting; drops it when the mailbox is full or the actor has stopped.
     pub fn try_send(&self, message: OwnerMessage) {
         if let Err(error) = self.actor.tell(message).try_send() {
-            warn!(event = "owner_message_lost", reason = error.to_string().as_str(); "");
+            warn!(
+                event = "owner_message_lost", reason = error.to_string().as_str();
+                "message to the owner actor dropped"
+            );
         }
     }
 
@@ -209,7 +212,7 @@
                 }
             }
             OwnerMessage::Deposed => {
-                info!(event = "deposed", epoch = self.epoch; "");
+                info!(event = "deposed", epoch = self.epoch; "ownership ended");
                 self.stop(context);
                 return;
             }
@@ -279,7 +282,7 @@
             } else {
                 "store_back"
             };
-            warn!(event = event, epoch = self.epoch; "");
+            warn!(event = event, epoch = self.epoch; "store availability changed");
         }
         self.engine.set_store_away(is_unavailable);
     }
@@ -427,7 +430,7 @@
             match effect {
                 Effect::Reply { token, answer } => self.reply(token, answer),
                 Effect::Resign => {
-                    warn!(event = "fenced", epoch = self.epoch; "");
+                    warn!(event = "fenced", epoch = self.epoch; "call fenced by a newer epoch");
                     drop(context.actor_ref().tell(OwnerMessage::Deposed).try_send());
                 }
                 other => {
--- a/crates/controller/src/takeover.rs
+++ b/crates/controller/src/takeover.rs
@@ -63,7 +63,10 @@
         }
         Err(reason) => {
             renewal_task.abort();
-            warn!(event = "take_over_failed", epoch = epoch, reason = reason.as_str(); "");
+            warn!(
+                event = "take_over_failed", epoch = epoch, reason = reason.as_str();
+                "takeover failed"
+            );
         }
     }
     node.takeover_epoch.store(0, Ordering::Relaxed);
@@ -78,12 +81,12 @@
     loop {
         match writer.fence(&node.store).await {
             Some(true) => break,
-            Some(false) => return Err("a newer epoch writes".into()),
+            Some(false) => return Err("a newer epoch is in force".into()),
             None if retries < MAX_FENCE_RETRIES => {
                 retries += 1;
                 sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
-            None => return Err("store out of reach".into()),
+            None => return Err("store unreachable".into()),
         }
     }
     let newest = node.store.newest(STATE_TOPIC).await;
@@ -107,7 +110,7 @@
         .map(|KeyedRecord { key, value, .. }| Record { key, value })
         .collect();
     for key in engine.restore(&records, now) {
-        error!(event = "record_unread", key = key; "");
+        error!(event = "record_unread", key = key; "stored record cannot be decoded");
     }
     bound_vm_rests(node, &mut engine, &records, &offsets);
     engine.handle(Event::Config(node.config.load_full()), now);
@@ -155,7 +158,7 @@
     info!(
         event = "ownership_taken", epoch = epoch, jobs = jobs, records = records.len(),
         took_ms = took_ms;
-        ""
+        "takeover completed"
     );
     handle.add_task(tokio::spawn(feeds::follow_registry(
         Arc::clone(node),
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -73,9 +73,12 @@
         if is_read == is_store_lost {
             is_store_lost = !is_read;
             if is_store_lost {
-                warn!(event = "store_lost", duty = "ownership"; "");
+                warn!(event = "store_lost", duty = "ownership"; "reading the ownership log failed");
             } else {
-                info!(event = "store_regained", duty = "ownership"; "");
+                info!(
+                    event = "store_regained", duty = "ownership";
+                    "reading the ownership log succeeded again"
+                );
             }
         }
         if !is_read {
@@ -260,7 +263,7 @@
     info!(
         event = "owner_unresponsive", epoch = epoch, peer:% = owner.address,
         outcome:? = answer;
-        ""
+        "owner does not respond"
     );
     let now_ms = clock::steady_ms();
     node.ownership
@@ -303,7 +306,7 @@
     info!(
         event = "yield_asked", epoch = epoch, peer:% = owner.address,
         owner_cpu_millis = owner.cpu_millis, outcome:? = answer.as_ref().ok();
-        ""
+        "owner asked to release the ownership"
     );
 }
 
@@ -328,7 +331,7 @@
         .append(OWNERSHIP_TOPIC, &[record.encode()], Some(at), None)
         .await;
     // A successful claim is read back from the log, even if the response was lost.
-    info!(event = "claim", at = at, outcome:? = outcome; "");
+    info!(event = "claim", at = at, outcome:? = outcome; "ownership claim sent");
 }
 
 /// Renews the ownership until the task is aborted.
@@ -378,7 +381,7 @@
             .store
             .append(OWNERSHIP_TOPIC, &[record.encode()], None, None)
             .await;
-        info!(event = "release", epoch = epoch, outcome:? = outcome; "");
+        info!(event = "release", epoch = epoch, outcome:? = outcome; "ownership release sent");
         if matches!(outcome, AppendOutcome::Stored { .. }) {
             return;
         }
