--- a/crates/controller/src/delegate_messages.rs
+++ b/crates/controller/src/delegate_messages.rs
@@ -47,7 +47,8 @@
     /// Epoch of the owner.
     pub epoch: u64,
     /// Address of the delegate.
-    pub carrier: SocketAddr,
+    #[serde(rename = "carrier")]
+    pub delegate: SocketAddr,
     /// Call numbers and results.
     pub results: Vec<(CallNumber, CallResult)>,
 }
@@ -56,7 +57,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DelegateReply {
     /// The message was accepted.
-    Taken,
+    #[serde(rename = "Taken")]
+    Accepted,
     /// The message was refused; none of its calls will be executed.
-    NotTaken,
+    #[serde(rename = "NotTaken")]
+    Refused,
 }
--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -259,8 +259,8 @@
             .exchange_compact(DELEGATE_CALLS_PATH, &request, limit)
             .await;
         let message = match answer {
-            Ok(DelegateReply::Taken) => continue,
-            Ok(DelegateReply::NotTaken) => OwnerMessage::CallsRefused(client.peer(), request.calls),
+            Ok(DelegateReply::Accepted) => continue,
+            Ok(DelegateReply::Refused) => OwnerMessage::CallsRefused(client.peer(), request.calls),
             Err(error) => {
                 info!(
                     event = "carry_failed", epoch = epoch, peer:% = client.peer(),
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -108,23 +108,23 @@
     pub fn accept(&self, node: &Arc<Node>, request: DelegateRequest) -> DelegateReply {
         let (known_epoch, _) = node.known_owner();
         if request.epoch < known_epoch || node.stopping.has_begun() {
-            return DelegateReply::NotTaken;
+            return DelegateReply::Refused;
         }
         let Some(session) = self.session(node, request.epoch, request.owner) else {
-            return DelegateReply::NotTaken;
+            return DelegateReply::Refused;
         };
         let count = request.calls.len();
         let in_flight = session.in_flight.fetch_add(count, Ordering::Relaxed);
         if in_flight + count > MAX_IN_FLIGHT_CALLS {
             session.in_flight.fetch_sub(count, Ordering::Relaxed);
-            return DelegateReply::NotTaken;
+            return DelegateReply::Refused;
         }
         for call in request.calls {
             let node = Arc::clone(node);
             let session = Arc::clone(&session);
             tokio::spawn(async move { execute_call(&node, &session, call).await });
         }
-        DelegateReply::Taken
+        DelegateReply::Accepted
     }
 
     /// Returns the session of an epoch, starting it if needed; `None` if the epoch is outdated.
@@ -233,7 +233,7 @@
         }
         let request = DelegateResults {
             epoch: session.epoch,
-            carrier: node.peer_address,
+            delegate: node.peer_address,
             results,
         };
         if !deliver(&node, &session, &request).await {
@@ -255,8 +255,8 @@
             .exchange_compact(DELEGATE_RESULTS_PATH, request, limit)
             .await;
         match answer {
-            Ok(DelegateReply::Taken) => return true,
-            Ok(DelegateReply::NotTaken) => return false,
+            Ok(DelegateReply::Accepted) => return true,
+            Ok(DelegateReply::Refused) => return false,
             Err(error) => {
                 info!(
                     event = "results_lost", epoch = session.epoch, peer:% = session.owner,
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -353,7 +353,7 @@
 /// Sends a request to the owner once, locally or over the network.
 async fn try_owner(
     node: &Node,
-    ask: CallerRequest,
+    caller_request: CallerRequest,
     config_version: u64,
     limit: Duration,
 ) -> OwnerResponse {
@@ -361,7 +361,7 @@
     let mut request = OwnerRequest {
         epoch,
         config_version,
-        ask,
+        caller_request,
         sender: None,
     };
     if node.owner.load().is_some() {
--- a/crates/controller/src/peer.rs
+++ b/crates/controller/src/peer.rs
@@ -29,7 +29,8 @@
     /// Version of the configuration with which the sender authorized the request.
     pub config_version: u64,
     /// Forwarded request.
-    pub ask: CallerRequest,
+    #[serde(rename = "ask")]
+    pub caller_request: CallerRequest,
     /// Node that forwards the request; `None` when it is the owner itself.
     #[serde(default)]
     pub sender: Option<Member>,
@@ -110,14 +111,16 @@
     /// Highest epoch known to the sender.
     pub epoch: u64,
     /// Requested action.
-    pub ask: OwnershipAction,
+    #[serde(rename = "ask")]
+    pub action: OwnershipAction,
 }
 
 /// Action requested of the owner.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OwnershipAction {
     /// Confirm that the owner is alive.
-    Alive,
+    #[serde(rename = "Alive")]
+    Probe,
     /// Release the ownership, as the sender is much larger.
     Yield,
 }
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -110,7 +110,7 @@
         return OwnerResponse::NewerConfig;
     }
     match local_owner(node, request.epoch) {
-        Some(owner) => request_owner(&owner, request.ask).await,
+        Some(owner) => request_owner(&owner, request.caller_request).await,
         None => OwnerResponse::NotOwner,
     }
 }
@@ -142,11 +142,11 @@
 async fn accept_delegate_results(node: &Node, request: DelegateResults) -> DelegateReply {
     match local_owner(node, request.epoch) {
         Some(owner) if owner.epoch == request.epoch => {
-            let message = OwnerMessage::DelegateResults(request.carrier, request.results);
+            let message = OwnerMessage::DelegateResults(request.delegate, request.results);
             owner.send(message).await;
-            DelegateReply::Taken
+            DelegateReply::Accepted
         }
-        _ => DelegateReply::NotTaken,
+        _ => DelegateReply::Refused,
     }
 }
 
@@ -154,7 +154,7 @@
     let Some(owner) = local_owner(node, request.epoch) else {
         // Loading the state of a large fleet takes a while. A new owner that counted as dead
         // meanwhile would be replaced before its first action, and its successor likewise.
-        let is_taking_over = request.ask == OwnershipAction::Alive
+        let is_taking_over = request.action == OwnershipAction::Probe
             && node.takeover_epoch.load(Ordering::Relaxed) == request.epoch;
         return if is_taking_over {
             OwnershipResponse::Alive
@@ -162,12 +162,12 @@
             OwnershipResponse::NotOwner
         };
     };
-    match request.ask {
+    match request.action {
         OwnershipAction::Yield => {
             owner.try_send(OwnerMessage::Release);
             OwnershipResponse::Yielded
         }
-        OwnershipAction::Alive => {
+        OwnershipAction::Probe => {
             let now_ms = clock::steady_ms();
             // Renewals may fail while reads succeed. Treating that as a disconnect would replace
             // the owner by one that fares no better.
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -250,7 +250,7 @@
     // Uses a new connection, as a pooled one may be broken.
     let client = Client::new(owner.address, 1);
     let answer =
-        send_ownership_request(&client, epoch, OwnershipAction::Alive, PROBE_TIMEOUT_MS).await;
+        send_ownership_request(&client, epoch, OwnershipAction::Probe, PROBE_TIMEOUT_MS).await;
     let is_alive = match answer {
         Ok(OwnershipResponse::Alive) => true,
         // Disconnected from the store, unless the store is slow for this node as well.
@@ -274,10 +274,10 @@
 async fn send_ownership_request(
     client: &Client,
     epoch: u64,
-    ask: OwnershipAction,
+    action: OwnershipAction,
     timeout_ms: u64,
 ) -> Result<OwnershipResponse, TransportError> {
-    let request = OwnershipRequest { epoch, ask };
+    let request = OwnershipRequest { epoch, action };
     let limit = Duration::from_millis(timeout_ms);
     client.exchange(OWNERSHIP_PATH, &request, limit).await
 }
