--- a/crates/controller/src/assignments.rs
+++ b/crates/controller/src/assignments.rs
@@ -113,7 +113,8 @@
             self.delegates[index].excluded_until_ms = now_ms + LOST_DELEGATE_EXCLUSION_MS;
             self.delegates[index].endpoints = 0;
         }
-        self.assigned.retain(|(_, known)| *known != Some(address));
+        self.assigned
+            .retain(|(_, delegate)| *delegate != Some(address));
     }
 
     /// Removes endpoints that no longer have to be called.
@@ -150,7 +151,7 @@
     pub fn assign(&mut self, key: EndpointKey, zone: &str, now_ms: u64) -> Option<SocketAddr> {
         let index = match self
             .assigned
-            .binary_search_by_key(&key, |(known, _)| *known)
+            .binary_search_by_key(&key, |(other, _)| *other)
         {
             Ok(index) => return self.assigned[index].1,
             Err(index) => index,
--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -36,8 +36,8 @@
     let limit = Duration::from_millis(FETCH_TIMEOUT_MS);
     // Concurrent requests share one fetch. The wait is limited, so that unresponsive peers do not
     // exhaust the callers' deadlines.
-    let fetching = timeout(limit, node.config_fetch.lock()).await;
-    if fetching.is_err() || node.config.load().version >= version {
+    let guard = timeout(limit, node.config_fetch.lock()).await;
+    if guard.is_err() || node.config.load().version >= version {
         return node.config.load().version >= version;
     }
     let request = ConfigRequest {
@@ -57,7 +57,7 @@
             );
         }
     }
-    drop(fetching);
+    drop(guard);
     node.config.load().version >= version
 }
 
@@ -91,10 +91,10 @@
         return false;
     }
     let now_ms = clock::steady_ms();
-    let claim_request =
+    let next_request =
         |requested_ms| (now_ms >= requested_ms + FETCH_INTERVAL_MS).then_some(now_ms);
     node.config_requested_ms
-        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, claim_request)
+        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, next_request)
         .is_ok()
 }
 
--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -255,10 +255,10 @@
             owner,
             calls,
         };
-        let answer = client
+        let response = client
             .exchange_compact(DELEGATE_CALLS_PATH, &request, limit)
             .await;
-        let message = match answer {
+        let message = match response {
             Ok(DelegateReply::Accepted) => continue,
             Ok(DelegateReply::Refused) => OwnerMessage::CallsRefused(client.peer(), request.calls),
             Err(error) => {
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -135,14 +135,14 @@
         owner: SocketAddr,
     ) -> Option<Arc<DelegateSession>> {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(known) = current.as_ref() {
-            if known.epoch > epoch {
+        if let Some(existing) = current.as_ref() {
+            if existing.epoch > epoch {
                 return None;
             }
-            if known.epoch == epoch && !known.is_over.load(Ordering::Relaxed) {
-                return Some(Arc::clone(known));
+            if existing.epoch == epoch && !existing.is_over.load(Ordering::Relaxed) {
+                return Some(Arc::clone(existing));
             }
-            known.end();
+            existing.end();
         }
         info!(event = "carrying", epoch = epoch, owner:% = owner; "delegate session started");
         let session = Arc::new(DelegateSession::new(epoch, owner));
@@ -205,12 +205,12 @@
     let path = format!("{PAYLOAD_PATH}{job}");
     let client = node.peers.get(origin);
     let limit = Duration::from_millis(PAYLOAD_TIMEOUT_MS);
-    let answer = client.get(&path, limit).await;
-    let answer = answer.map_err(|error| error.reason)?;
-    if answer.status != StatusCode::OK {
-        return Err(format!("status {}", answer.status.as_u16()));
+    let response = client.get(&path, limit).await;
+    let response = response.map_err(|error| error.reason)?;
+    if response.status != StatusCode::OK {
+        return Err(format!("status {}", response.status.as_u16()));
     }
-    let payload = CompactString::from_utf8(&answer.body).map_err(|error| error.to_string())?;
+    let payload = CompactString::from_utf8(&response.body).map_err(|error| error.to_string())?;
     node.payloads.record_fetched(&payload);
     Ok(payload)
 }
@@ -251,10 +251,10 @@
     let client = node.peers.get(session.owner);
     let limit = Duration::from_millis(RESULTS_TIMEOUT_MS);
     for _ in 0..MAX_RESULTS_ATTEMPTS {
-        let answer = client
+        let response = client
             .exchange_compact(DELEGATE_RESULTS_PATH, request, limit)
             .await;
-        match answer {
+        match response {
             Ok(DelegateReply::Accepted) => return true,
             Ok(DelegateReply::Refused) => return false,
             Err(error) => {
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -158,7 +158,7 @@
     let max_body_bytes = node.config.load().limits.max_body_bytes;
     let body = match collect_body(request.into_body(), max_body_bytes).await {
         Ok(body) => body,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let spec = match decode_job(&body) {
         Ok(spec) => Box::new(spec),
@@ -174,8 +174,8 @@
         account: access.account.clone(),
         origin: Some(node.peer_address),
     };
-    let answer = request_owner(node, "submit", authorized, build_request).await;
-    match answer {
+    let response = request_owner(node, "submit", authorized, build_request).await;
+    match response {
         Ok(OwnerResponse::Accepted) => error_answer(StatusCode::OK, ""),
         Ok(OwnerResponse::Refused | OwnerResponse::NotOwner) => {
             unavailable("not accepted; it never runs")
@@ -257,22 +257,22 @@
     let started = Instant::now();
     let key = authorized.credentials.key;
     let reply = request_until_resolved(node, &authorized, build_request).await;
-    let OwnerReply { answer, access } = match reply {
+    let OwnerReply { response, access } = match reply {
         Ok(reply) => reply,
         Err(denial) => return Err(denial_response(denial, &authorized.credentials)),
     };
-    record_request_metrics(kind, answer, started);
+    record_request_metrics(kind, response, started);
     // State queries are too frequent to log.
-    if kind != "state" || !matches!(answer, OwnerResponse::State(_)) {
+    if kind != "state" || !matches!(response, OwnerResponse::State(_)) {
         info!(
             event = kind, job:? = access.job.as_ref().map(JobId::as_str),
             pool = access.queue.pool.as_str(), account = access.account.as_str(),
-            key:? = key.ok(), outcome:? = answer, config_version = access.config_version,
+            key:? = key.ok(), outcome:? = response, config_version = access.config_version,
             epoch = node.ownership.borrow().epoch;
             "caller request answered"
         );
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// Truncates a path for the log.
@@ -286,7 +286,7 @@
 
 /// Response of the owner and the authorization under which it was given.
 struct OwnerReply {
-    answer: OwnerResponse,
+    response: OwnerResponse,
     access: Access,
 }
 
@@ -310,13 +310,20 @@
     let mut access = authorized.access.clone();
     let mut may_have_been_applied = false;
     loop {
-        let left = authorized.timeout.saturating_sub(started.elapsed());
-        let attempt = left.min(Duration::from_millis(ATTEMPT_TIMEOUT_MS));
-        match try_owner(node, build_request(&access), access.config_version, attempt).await {
+        let remaining = authorized.timeout.saturating_sub(started.elapsed());
+        let attempt_timeout = remaining.min(Duration::from_millis(ATTEMPT_TIMEOUT_MS));
+        match try_owner(
+            node,
+            build_request(&access),
+            access.config_version,
+            attempt_timeout,
+        )
+        .await
+        {
             OwnerResponse::Unclear => may_have_been_applied = true,
             OwnerResponse::NotOwner => {}
             OwnerResponse::NewerConfig => {
-                let known = access.config_version;
+                let previous_version = access.config_version;
                 config_sync::fetch_newer(node).await;
                 match authorize(&node.config.load(), &authorized.credentials) {
                     Ok(newer) => access = newer,
@@ -324,13 +331,13 @@
                     Err(_) if may_have_been_applied => break,
                     Err(denial) => return Err(denial),
                 }
-                if access.config_version > known {
+                if access.config_version > previous_version {
                     continue;
                 }
             }
             // An earlier attempt may still arrive and be accepted.
             OwnerResponse::Refused if may_have_been_applied => {}
-            answer => return Ok(OwnerReply { answer, access }),
+            response => return Ok(OwnerReply { response, access }),
         }
         let end = if may_have_been_applied {
             authorized.timeout
@@ -342,12 +349,12 @@
         }
         sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
-    let answer = if may_have_been_applied {
+    let response = if may_have_been_applied {
         OwnerResponse::Unclear
     } else {
         OwnerResponse::NotOwner
     };
-    Ok(OwnerReply { answer, access })
+    Ok(OwnerReply { response, access })
 }
 
 /// Sends a request to the owner once, locally or over the network.
@@ -365,8 +372,8 @@
         sender: None,
     };
     if node.owner.load().is_some() {
-        let answer = timeout(limit, handle_locally(node, request)).await;
-        return answer.unwrap_or(OwnerResponse::Unclear);
+        let response = timeout(limit, handle_locally(node, request)).await;
+        return response.unwrap_or(OwnerResponse::Unclear);
     }
     let Some(owner) = owner else {
         return OwnerResponse::NotOwner;
@@ -374,13 +381,13 @@
     request.sender = Some(node.as_member());
     let client = node.peers.get(owner.address);
     match client.exchange(OWNER_PATH, &request, limit).await {
-        Ok(answer) => {
-            if answer == OwnerResponse::NotOwner {
+        Ok(response) => {
+            if response == OwnerResponse::NotOwner {
                 node.owner_suspected.notify_one();
             } else {
                 node.record_owner_response();
             }
-            answer
+            response
         }
         Err(error) => {
             node.owner_suspected.notify_one();
@@ -402,8 +409,8 @@
 }
 
 /// Counts a request by outcome and records its duration.
-fn record_request_metrics(kind: &'static str, answer: OwnerResponse, started: Instant) {
-    let outcome = match answer {
+fn record_request_metrics(kind: &'static str, response: OwnerResponse, started: Instant) {
+    let outcome = match response {
         OwnerResponse::Accepted
         | OwnerResponse::Cancelled
         | OwnerResponse::State(_)
--- a/crates/controller/src/members.rs
+++ b/crates/controller/src/members.rs
@@ -33,7 +33,7 @@
     pub fn record(&mut self, member: Member, now_ms: u64) {
         let index = self
             .members
-            .binary_search_by_key(&member.address, |(known, _)| known.address);
+            .binary_search_by_key(&member.address, |(other, _)| other.address);
         match index {
             Ok(index) => self.members[index] = (member, now_ms),
             Err(index) => self.members.insert(index, (member, now_ms)),
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -356,7 +356,7 @@
             .wave_orders
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        match waves.binary_search_by_key(&order.wave, |known| known.wave) {
+        match waves.binary_search_by_key(&order.wave, |other| other.wave) {
             Ok(index) => waves[index] = order.clone(),
             Err(index) => waves.insert(index, order.clone()),
         }
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -114,11 +114,11 @@
 
     /// Sets the task that renews the ownership.
     pub(crate) fn set_renewal_task(&self, renewal_task: JoinHandle<()>) {
-        let mut known = self
+        let mut slot = self
             .renewal_task
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *known = Some(renewal_task);
+        *slot = Some(renewal_task);
     }
 
     /// Stops renewing the ownership and treats it as expired, since another node may claim it at
@@ -126,11 +126,11 @@
     /// Returns whether renewal was still active.
     fn stop_renewals(&self) -> bool {
         self.renewed_ms.store(0, Ordering::Relaxed);
-        let mut known = self
+        let mut slot = self
             .renewal_task
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let renewal_task = known.take();
+        let renewal_task = slot.take();
         if let Some(renewal_task) = &renewal_task {
             renewal_task.abort();
         }
@@ -343,7 +343,7 @@
         reply: oneshot::Sender<OwnerResponse>,
         now: Now,
     ) {
-        let answer = match request {
+        let response = match request {
             CallerRequest::Submit {
                 job,
                 queue,
@@ -383,7 +383,7 @@
             CallerRequest::State { job, account } => self.state_response(&job, &account, now),
             CallerRequest::Pending { queue } => OwnerResponse::Pending(self.engine.pending(&queue)),
         };
-        send_reply(reply, answer);
+        send_reply(reply, response);
     }
 
     /// Returns the response to a query for a job's state.
@@ -440,13 +440,13 @@
         }
     }
 
-    fn reply(&mut self, token: ReplyToken, answer: CallerAnswer) {
+    fn reply(&mut self, token: ReplyToken, response: CallerAnswer) {
         let index = self
             .pending_replies
-            .binary_search_by_key(&token, |(known, _)| *known);
+            .binary_search_by_key(&token, |(other, _)| *other);
         if let Ok(index) = index {
             let (_, reply) = self.pending_replies.remove(index);
-            let answer = match answer {
+            let response = match response {
                 CallerAnswer::Accepted => OwnerResponse::Accepted,
                 CallerAnswer::Cancelled => OwnerResponse::Cancelled,
                 CallerAnswer::Unknown => OwnerResponse::Unknown,
@@ -454,7 +454,7 @@
                 CallerAnswer::OverQuota => OwnerResponse::OverQuota,
                 CallerAnswer::OtherAccount => OwnerResponse::OtherAccount,
             };
-            send_reply(reply, answer);
+            send_reply(reply, response);
         }
     }
 
@@ -508,7 +508,7 @@
     }
 }
 
-fn send_reply(reply: oneshot::Sender<OwnerResponse>, answer: OwnerResponse) {
+fn send_reply(reply: oneshot::Sender<OwnerResponse>, response: OwnerResponse) {
     // The caller may have disconnected.
-    let _ = reply.send(answer);
+    let _ = reply.send(response);
 }
--- a/crates/controller/src/ownership.rs
+++ b/crates/controller/src/ownership.rs
@@ -198,7 +198,7 @@
     }
 
     fn record_stored_end(&mut self, end: u64, now_ms: u64) {
-        let newest = self.stored_marks.last().map_or(0, |known| known.end);
+        let newest = self.stored_marks.last().map_or(0, |mark| mark.end);
         if end > newest {
             if self.stored_marks.len() == MAX_STORED_MARKS {
                 self.stored_marks.remove(0);
@@ -214,10 +214,8 @@
     /// monotonic clock; `None` if unknown.
     #[must_use]
     pub fn stored_by_ms(&self, offset: u64) -> Option<u64> {
-        let index = self
-            .stored_marks
-            .partition_point(|known| known.end <= offset);
-        self.stored_marks.get(index).map(|known| known.observed_ms)
+        let index = self.stored_marks.partition_point(|mark| mark.end <= offset);
+        self.stored_marks.get(index).map(|mark| mark.observed_ms)
     }
 
     /// Records that the address of the owner of `epoch` refused a connection.
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -249,9 +249,9 @@
     };
     // Uses a new connection, as a pooled one may be broken.
     let client = Client::new(owner.address, 1);
-    let answer =
+    let response =
         send_ownership_request(&client, epoch, OwnershipAction::Probe, PROBE_TIMEOUT_MS).await;
-    let is_alive = match answer {
+    let is_alive = match response {
         Ok(OwnershipResponse::Alive) => true,
         // Disconnected from the store, unless the store is slow for this node as well.
         Ok(OwnershipResponse::Unheard) => !is_store_prompt(node).await,
@@ -262,7 +262,7 @@
     }
     info!(
         event = "owner_unresponsive", epoch = epoch, peer:% = owner.address,
-        outcome:? = answer;
+        outcome:? = response;
         "owner does not respond"
     );
     let now_ms = clock::steady_ms();
@@ -302,10 +302,11 @@
         return;
     };
     let client = node.peers.get(owner.address);
-    let answer = send_ownership_request(&client, epoch, OwnershipAction::Yield, POLL_WAIT_MS).await;
+    let response =
+        send_ownership_request(&client, epoch, OwnershipAction::Yield, POLL_WAIT_MS).await;
     info!(
         event = "yield_asked", epoch = epoch, peer:% = owner.address,
-        owner_cpu_millis = owner.cpu_millis, outcome:? = answer.as_ref().ok();
+        owner_cpu_millis = owner.cpu_millis, outcome:? = response.as_ref().ok();
         "owner asked to release the ownership"
     );
 }
