--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -132,7 +132,6 @@
     let is_read = match read {
         Ok(Read::Records { records, .. }) => {
             node.ownership.send_modify(|view| {
-                // The offset may have moved on while the read was in flight.
                 view.record_read(now_ms);
                 for record in &records {
                     view.apply(OwnershipRecord::decode(record).as_ref(), now_ms);
