--- a/crates/controller/tests/access.rs
+++ b/crates/controller/tests/access.rs
@@ -70,7 +70,8 @@
     missing_key_is_denied: &format!("/maps/{JOB}"), Err(KeyMistake::Missing)
         => Err(Denial::InvalidKey(KeyMistake::Missing));
     /// Guards against disclosing a queue's count to callers without a key.
-    pending_count_requires_key: "/maps/", Err(KeyMistake::Missing) => Err(Denial::InvalidKey(KeyMistake::Missing));
+    pending_count_requires_key: "/maps/", Err(KeyMistake::Missing)
+        => Err(Denial::InvalidKey(KeyMistake::Missing));
     public_queue_requires_no_key: &format!("/open/{JOB}"), Err(KeyMistake::Missing) => Ok("");
     /// Guards against charging an account for requests to a public queue.
     key_on_public_queue_is_ignored: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
--- a/crates/controller/tests/ownership.rs
+++ b/crates/controller/tests/ownership.rs
@@ -129,7 +129,9 @@
     /// Guards against an owner that is much smaller than the other nodes.
     larger_node_claims_first: {
         let empty = OwnershipView::default();
-        assert!(empty.claim_delay_ms(500, 0) + SMALL_NODE_CLAIM_DELAY_MS < empty.claim_delay_ms(120, 0));
+        assert!(
+            empty.claim_delay_ms(500, 0) + SMALL_NODE_CLAIM_DELAY_MS < empty.claim_delay_ms(120, 0)
+        );
         assert_eq!(owned().claim_delay_ms(120, 60_000), SMALL_NODE_CLAIM_DELAY_MS);
         assert_eq!(owned().claim_delay_ms(250, 0), 0);
     };
