--- a/crates/controller/src/access.rs
+++ b/crates/controller/src/access.rs
@@ -2,7 +2,7 @@
 
 use {
     compact_str::CompactString,
-    lynxwheel_engine::{FleetConfig, JobId, KeyDigest, KeyMistake, Queue},
+    lynxwheel_engine::{FleetConfig, JobId, KeyDigest, KeyError, Queue},
 };
 
 /// Parts of a request that determine its authorization.
@@ -13,7 +13,7 @@
     /// Path of the request.
     pub path: String,
     /// Digest of the API key, or why there is none.
-    pub key: Result<KeyDigest, KeyMistake>,
+    pub key: Result<KeyDigest, KeyError>,
 }
 
 /// Authorized request, by one version of the configuration.
@@ -37,7 +37,7 @@
     /// No queue matches the host and path.
     UnknownQueue,
     /// The key is missing or malformed.
-    InvalidKey(KeyMistake),
+    InvalidKey(KeyError),
     /// No account has the key.
     UnknownKey,
     /// The path does not end in a job id.
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -17,7 +17,7 @@
     http::StatusCode,
     log::info,
     lynxwheel_engine::{CallOutcome, JobId, StartOrder},
-    lynxwheel_platform::EndpointCalls,
+    lynxwheel_platform::EndpointClient,
     std::{
         net::SocketAddr,
         sync::{
@@ -58,7 +58,7 @@
 struct DelegateSession {
     epoch: u64,
     owner: SocketAddr,
-    calls: EndpointCalls,
+    calls: EndpointClient,
     in_flight: AtomicUsize,
     results: Mutex<Vec<(CallNumber, CallResult)>>,
     has_results: Notify,
@@ -70,7 +70,7 @@
         Self {
             epoch,
             owner,
-            calls: EndpointCalls::new(epoch),
+            calls: EndpointClient::new(epoch),
             in_flight: AtomicUsize::new(0),
             results: Mutex::default(),
             has_results: Notify::new(),
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -8,8 +8,8 @@
     log::{info, warn},
     lynxwheel_engine::Event,
     lynxwheel_platform::{
-        AccountMistake, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, Read, SERVERS_TOPIC, VmCalls,
-        decode_endpoint, decode_operator_record,
+        AccountError, KeyedRecord, OPERATOR_TOPIC, OperatorRecord, REGISTRY_TOPIC, ReadOutcome,
+        VmClient, decode_endpoint, decode_operator_record,
     },
     std::{sync::Arc, time::Duration},
     tokio::time::sleep,
@@ -82,7 +82,7 @@
     }
 
     async fn load(&mut self, node: &Node) -> Result<(Vec<KeyedRecord>, bool), String> {
-        let loaded = node.store.newest(self.topic).await;
+        let loaded = node.store.latest_records(self.topic).await;
         let (records, end) = loaded.map_err(|error| error.to_string())?;
         self.from = Some(end.end);
         Ok((records, true))
@@ -96,7 +96,7 @@
     ) -> Result<(Vec<KeyedRecord>, bool), String> {
         let read = node.store.read(self.topic, from, wait_ms).await;
         match read.map_err(|error| error.to_string())? {
-            Read::Records { records, .. } => {
+            ReadOutcome::Records { records, .. } => {
                 let count = u64::try_from(records.len()).unwrap_or_default();
                 self.from = Some(from + count);
                 let decoded = records
@@ -105,8 +105,8 @@
                 Ok((decoded.collect(), false))
             }
             // The snapshot includes the latest of the trimmed records.
-            Read::Trimmed { .. } => self.load(node).await,
-            Read::Missing => {
+            ReadOutcome::Trimmed { .. } => self.load(node).await,
+            ReadOutcome::Missing => {
                 sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 Ok((Vec::new(), false))
             }
@@ -122,7 +122,7 @@
         for record in records {
             match decode_operator_record(&record) {
                 Some(OperatorRecord::Config(config, mistakes)) => {
-                    for AccountMistake { account, field } in mistakes {
+                    for AccountError { account, field } in mistakes {
                         warn!(
                             event = "account_left_out", version = config.version,
                             account = account.as_str(), field = field.as_str();
@@ -146,7 +146,7 @@
 
 /// Passes changes of the endpoint registry to the owner actor.
 pub async fn follow_registry(node: Arc<Node>, owner: Arc<OwnerHandle>) {
-    let mut reader = TopicReader::new(SERVERS_TOPIC);
+    let mut reader = TopicReader::new(REGISTRY_TOPIC);
     let mut listed: Vec<String> = Vec::new();
     loop {
         let (records, is_snapshot) = reader.next(&node, REGISTRY_POLL_WAIT_MS).await;
@@ -184,7 +184,7 @@
 }
 
 /// Passes the list of VMs to the owner actor.
-pub async fn follow_vms(calls: VmCalls, owner: Arc<OwnerHandle>) {
+pub async fn follow_vms(calls: VmClient, owner: Arc<OwnerHandle>) {
     let mut is_lost = false;
     loop {
         match calls.list().await {
--- a/crates/controller/src/in_flight.rs
+++ b/crates/controller/src/in_flight.rs
@@ -71,7 +71,7 @@
     /// Appends a batch without records to the newest batch in flight.
     pub fn append_to_newest(&mut self, batch: Batch) {
         if let Some(newest) = self.batches.back_mut() {
-            newest.batch.join(batch);
+            newest.batch.merge(batch);
         }
     }
 
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -12,7 +12,9 @@
     hyper::body::Incoming,
     log::info,
     lynxwheel_engine::JobId,
-    lynxwheel_platform::{caller_deadline_ms, caller_key, decode_job, pending_body, state_body},
+    lynxwheel_platform::{
+        caller_key, caller_timeout_ms, decode_job, encode_job_state, encode_pending_count,
+    },
     lynxwheel_transport::{Body, Server, collect_body, error_answer, full_body},
     metrics::{counter, histogram},
     std::{io, sync::Arc, time::Duration},
@@ -48,7 +50,7 @@
 ///
 /// Fails when the address cannot be bound.
 pub async fn bind(node: &Node) -> io::Result<Server> {
-    Server::bind(node.settings.callers).await
+    Server::bind(node.settings.caller_address).await
 }
 
 /// Serves callers until the node closes.
@@ -145,7 +147,7 @@
 }
 
 fn response_timeout(request: &Request<Incoming>) -> Duration {
-    let deadline_ms = caller_deadline_ms(request.headers()).unwrap_or(DEFAULT_TIMEOUT_MS);
+    let deadline_ms = caller_timeout_ms(request.headers()).unwrap_or(DEFAULT_TIMEOUT_MS);
     Duration::from_millis(deadline_ms.saturating_sub(RESPONSE_MARGIN_MS))
 }
 
@@ -199,7 +201,7 @@
         account: access.account.clone(),
     };
     match request_owner(node, "state", authorized, build_request).await {
-        Ok(OwnerResponse::State(state)) => json_response(state_body(state)),
+        Ok(OwnerResponse::State(state)) => json_response(encode_job_state(state)),
         Ok(OwnerResponse::Unknown) => error_answer(StatusCode::GONE, "no such job"),
         Ok(OwnerResponse::OtherAccount) => other_account_response(),
         Ok(_) => unavailable("no owner to ask"),
@@ -230,7 +232,7 @@
         queue: access.queue.clone(),
     };
     match request_owner(node, "count", authorized, build_request).await {
-        Ok(OwnerResponse::Pending(count)) => json_response(pending_body(count)),
+        Ok(OwnerResponse::Pending(count)) => json_response(encode_pending_count(count)),
         Ok(_) => unavailable("no owner to ask"),
         Err(denied) => denied,
     }
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -230,13 +230,13 @@
                 tokio::spawn(async move { watcher::release(&node, epoch).await });
             }
         }
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.execute_effects(effects, now, context);
         self.store_batches(now, context);
         // Placement may have requested advice.
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.execute_effects(effects, now, context);
-        notes::log_notes(self.epoch, &self.engine.take_notes());
+        notes::log_notes(self.epoch, &self.engine.take_log_events());
         self.load.record_message(started);
     }
 }
@@ -284,7 +284,7 @@
             };
             warn!(event = event, epoch = self.epoch; "store availability changed");
         }
-        self.engine.set_store_away(is_unavailable);
+        self.engine.set_store_unavailable(is_unavailable);
     }
 
     fn handle_events(&mut self, events: Vec<Event>, now: Now) {
@@ -394,7 +394,7 @@
         if !self.engine.is_open_to(job, account) {
             return OwnerResponse::OtherAccount;
         }
-        if let Some(state) = self.engine.shown(job) {
+        if let Some(state) = self.engine.job_state(job) {
             return OwnerResponse::State(state);
         }
         if self.can_report_unknown(job, now) && !self.engine.is_unstored(job) {
@@ -408,7 +408,7 @@
     ///
     /// An owner that was cut off or suspended does not know the jobs accepted by its successor.
     fn can_report_unknown(&self, job: JobId, now: Now) -> bool {
-        self.engine.shown(job).is_some() || self.is_recently_renewed(now)
+        self.engine.job_state(job).is_some() || self.is_recently_renewed(now)
     }
 
     /// Returns whether the last renewal is recent enough to rule out another owner.
@@ -464,7 +464,7 @@
             return;
         }
         loop {
-            let batch = self.engine.cut_batch(now);
+            let batch = self.engine.take_batch(now);
             if !batch.records.is_empty() {
                 let commit = self.writer.commit(&batch.records);
                 self.load.record_batch(commit.bytes());
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -14,7 +14,7 @@
         takeover,
     },
     log::{info, warn},
-    lynxwheel_platform::{AppendOutcome, Read},
+    lynxwheel_platform::{AppendOutcome, ReadOutcome},
     lynxwheel_transport::{Client, TransportError},
     std::{
         sync::{
@@ -130,7 +130,7 @@
     let now_ms = clock::steady_ms();
     let mut is_topic_missing = false;
     let is_read = match read {
-        Ok(Read::Records { records, .. }) => {
+        Ok(ReadOutcome::Records { records, .. }) => {
             node.ownership.send_modify(|view| {
                 view.record_read(now_ms);
                 for record in &records {
@@ -139,11 +139,11 @@
             });
             true
         }
-        Ok(Read::Trimmed { first }) => {
+        Ok(ReadOutcome::Trimmed { first }) => {
             node.ownership.send_modify(|view| view.skip_to(first));
             true
         }
-        Ok(Read::Missing) => {
+        Ok(ReadOutcome::Missing) => {
             node.ownership.send_modify(|view| view.record_read(now_ms));
             is_topic_missing = true;
             true
--- a/crates/controller/tests/access.rs
+++ b/crates/controller/tests/access.rs
@@ -2,7 +2,7 @@
 
 use {
     lynxwheel_controller::{Access, Credentials, Denial, authorize},
-    lynxwheel_engine::{ClientAccount, ClientAccounts, FleetConfig, KeyDigest, KeyMistake, Queue},
+    lynxwheel_engine::{ClientAccount, ClientAccounts, FleetConfig, KeyDigest, KeyError, Queue},
 };
 
 const JOB: &str = "5c0e7a21d94b36f8";
@@ -34,7 +34,7 @@
     }
 }
 
-fn credentials(path: &str, key: Result<&str, KeyMistake>) -> Credentials {
+fn credentials(path: &str, key: Result<&str, KeyError>) -> Credentials {
     Credentials {
         host: "a.example".into(),
         path: path.into(),
@@ -46,7 +46,7 @@
 fn account(
     config: &FleetConfig,
     path: &str,
-    key: Result<&str, KeyMistake>,
+    key: Result<&str, KeyError>,
 ) -> Result<String, Denial> {
     let authorized = authorize(config, &credentials(path, key));
     authorized.map(|access: Access| access.account.to_string())
@@ -67,12 +67,12 @@
     /// Guards against running jobs for callers with a key that was never configured.
     unknown_key_is_denied: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
     key_prefix_is_denied: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
-    missing_key_is_denied: &format!("/maps/{JOB}"), Err(KeyMistake::Missing)
-        => Err(Denial::InvalidKey(KeyMistake::Missing));
+    missing_key_is_denied: &format!("/maps/{JOB}"), Err(KeyError::Missing)
+        => Err(Denial::InvalidKey(KeyError::Missing));
     /// Guards against disclosing a queue's count to callers without a key.
-    pending_count_requires_key: "/maps/", Err(KeyMistake::Missing)
-        => Err(Denial::InvalidKey(KeyMistake::Missing));
-    public_queue_requires_no_key: &format!("/open/{JOB}"), Err(KeyMistake::Missing) => Ok("");
+    pending_count_requires_key: "/maps/", Err(KeyError::Missing)
+        => Err(Denial::InvalidKey(KeyError::Missing));
+    public_queue_requires_no_key: &format!("/open/{JOB}"), Err(KeyError::Missing) => Ok("");
     /// Guards against charging an account for requests to a public queue.
     key_on_public_queue_is_ignored: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
     unknown_queue_is_reported_before_unknown_key: "/none/", Ok("k-3") => Err(Denial::UnknownQueue);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,12 +15,12 @@
 //!     Event::Submit { job: id, queue: Queue::default(), spec: Box::new(spec), account: "".into(), origin: None, token: 1 },
 //!     now,
 //! );
-//! assert_eq!(engine.shown(id), None);
-//! let batch = engine.cut_batch(now);
+//! assert_eq!(engine.job_state(id), None);
+//! let batch = engine.take_batch(now);
 //! assert_eq!(batch.records.len(), 2);
 //! let effects = engine.committed(batch, now);
 //! assert_eq!(effects.len(), 1);
-//! assert!(engine.shown(id).is_some());
+//! assert!(engine.job_state(id).is_some());
 //! ```
 
 mod accounts;
@@ -40,7 +40,7 @@
 mod job;
 mod job_table;
 mod leases;
-mod note;
+mod log_event;
 mod order_rate;
 mod pacing;
 mod places;
@@ -49,19 +49,19 @@
 mod repeats;
 mod reports;
 mod restore;
-mod rests;
 mod schedule;
 mod spares;
 mod state;
 mod stored;
 mod stragglers;
 mod timing;
+mod vm_cooldowns;
 mod vms;
 mod waiting;
 mod waves;
 
 pub use {
-    accounts::{ClientAccount, ClientAccounts, KeyDigest, KeyMistake, SharedKey},
+    accounts::{ClientAccount, ClientAccounts, KeyDigest, KeyError, SharedKey},
     advice::Ticket,
     batch::Batch,
     config::{CallerLimits, FleetConfig, Pool, Queue},
@@ -73,8 +73,8 @@
         ReplyToken, StartOrder, VmOutcome,
     },
     fair_share::{Claim, fair_level},
-    job::{BadName, JobId, JobSpec, JobState, Room, StepSpec, TaskRef},
-    note::{Note, PoolPlan, QuotaWait, RunEnd, ShareWait},
+    job::{JobId, JobSpec, JobState, ParseNameError, Resources, StepSpec, TaskRef},
+    log_event::{LogEvent, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
     quota::{AccountNumber, QuotaLedger, QuotasLeft},
     reports::{
