--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -75,10 +75,10 @@
     }
 
     /// Executes the call and logs its outcome.
-    pub async fn execute(&self, calls: &EndpointClient, to: &EndpointAddress) -> CallResult {
+    pub async fn execute(&self, client: &EndpointClient, to: &EndpointAddress) -> CallResult {
         match self {
             Self::Start(order) => {
-                let outcome = calls.start_run(to, order).await;
+                let outcome = client.start_run(to, order).await;
                 info!(
                     event = "start_task", task:% = order.task, run = order.run,
                     endpoint = to.id.as_str(), deadline_ms = order.deadline_ms,
@@ -88,7 +88,7 @@
                 CallResult::Ordered(outcome)
             }
             Self::Stop(task, run) => {
-                let outcome = calls.stop_run(to, task, *run).await;
+                let outcome = client.stop_run(to, task, *run).await;
                 info!(
                     event = "stop_task", task:% = task, run = *run, endpoint = to.id.as_str(),
                     outcome:? = outcome;
@@ -101,7 +101,7 @@
                 acknowledged,
                 wait_ms,
             } => {
-                let outcome = calls
+                let outcome = client
                     .renew_lease(to, *deadline_ms, *acknowledged, *wait_ms)
                     .await;
                 if !matches!(outcome, CallOutcome::Done(_)) {
@@ -114,7 +114,7 @@
                 CallResult::Renewed(outcome)
             }
             Self::Pace(task, run, percent) => {
-                let is_done = calls.set_pace(to, task, *run, *percent).await;
+                let is_done = client.set_pace(to, task, *run, *percent).await;
                 info!(
                     event = "pace", task:% = task, run = *run, percent = *percent,
                     is_done = is_done;
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -58,7 +58,7 @@
 struct DelegateSession {
     epoch: u64,
     owner: SocketAddr,
-    calls: EndpointClient,
+    client: EndpointClient,
     in_flight: AtomicUsize,
     results: Mutex<Vec<(CallNumber, CallResult)>>,
     has_results: Notify,
@@ -70,7 +70,7 @@
         Self {
             epoch,
             owner,
-            calls: EndpointClient::new(epoch),
+            client: EndpointClient::new(epoch),
             in_flight: AtomicUsize::new(0),
             results: Mutex::default(),
             has_results: Notify::new(),
@@ -164,7 +164,7 @@
         _ => true,
     };
     let result = if has_payload {
-        call.execute(&session.calls, &to).await
+        call.execute(&session.client, &to).await
     } else {
         CallResult::Ordered(CallOutcome::Unsent)
     };
@@ -223,7 +223,7 @@
             .await
             .is_err()
         {
-            session.calls.prune();
+            session.client.prune();
             continue;
         }
         sleep(Duration::from_millis(RESULT_BATCH_DELAY_MS)).await;
--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -132,10 +132,10 @@
         match effect {
             Effect::Advise { step, endpoints } => self.request_advice(step, &endpoints).await,
             Effect::Move { vm, pool } => {
-                let Some(calls) = &self.vms else {
+                let Some(client) = &self.vms else {
                     return;
                 };
-                let outcome = calls.move_to_pool(&vm, &pool).await;
+                let outcome = client.move_to_pool(&vm, &pool).await;
                 info!(
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
                     "VM move ordered"
@@ -143,10 +143,10 @@
                 self.send_event(Event::VmAnswer { vm, outcome }).await;
             }
             Effect::Maintain { vm, wave } => {
-                let Some(calls) = &self.vms else {
+                let Some(client) = &self.vms else {
                     return;
                 };
-                let outcome = calls.start_maintenance(&vm, wave).await;
+                let outcome = client.start_maintenance(&vm, wave).await;
                 info!(
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
                     "VM maintenance ordered"
@@ -161,7 +161,7 @@
 
     async fn request_advice(&self, step: TaskRef, endpoints: &[CompactString]) {
         let answer = match &self.advice {
-            Some(calls) => calls.request_tickets(&step, endpoints).await,
+            Some(client) => client.request_tickets(&step, endpoints).await,
             None => Err("no advice service is configured".into()),
         };
         info!(
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -121,8 +121,8 @@
         let (records, _) = reader.next(&node, OPERATOR_POLL_WAIT_MS).await;
         for record in records {
             match decode_operator_record(&record) {
-                Some(OperatorRecord::Config(config, mistakes)) => {
-                    for AccountError { account, field } in mistakes {
+                Some(OperatorRecord::Config(config, errors)) => {
+                    for AccountError { account, field } in errors {
                         warn!(
                             event = "account_left_out", version = config.version,
                             account = account.as_str(), field = field.as_str();
@@ -184,10 +184,10 @@
 }
 
 /// Passes the list of VMs to the owner actor.
-pub async fn follow_vms(calls: VmClient, owner: Arc<OwnerHandle>) {
+pub async fn follow_vms(client: VmClient, owner: Arc<OwnerHandle>) {
     let mut is_lost = false;
     loop {
-        match calls.list().await {
+        match client.list().await {
             Ok(vms) => {
                 if is_lost {
                     info!(event = "vm_list_regained"; "reading the list of VMs succeeded again");
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -122,7 +122,7 @@
             "no id of a job: 16 hexadecimal digits".to_string(),
         ),
         Denial::UnknownKey => (StatusCode::UNAUTHORIZED, "unknown key".to_string()),
-        Denial::InvalidKey(mistake) => (StatusCode::UNAUTHORIZED, mistake.to_string()),
+        Denial::InvalidKey(error) => (StatusCode::UNAUTHORIZED, error.to_string()),
     };
     if status == StatusCode::UNAUTHORIZED {
         counter!("lynxwheel_unauthorized_total").increment(1);
@@ -147,8 +147,8 @@
 }
 
 fn response_timeout(request: &Request<Incoming>) -> Duration {
-    let deadline_ms = caller_timeout_ms(request.headers()).unwrap_or(DEFAULT_TIMEOUT_MS);
-    Duration::from_millis(deadline_ms.saturating_sub(RESPONSE_MARGIN_MS))
+    let timeout_ms = caller_timeout_ms(request.headers()).unwrap_or(DEFAULT_TIMEOUT_MS);
+    Duration::from_millis(timeout_ms.saturating_sub(RESPONSE_MARGIN_MS))
 }
 
 async fn submit(
@@ -164,7 +164,7 @@
     };
     let spec = match decode_job(&body) {
         Ok(spec) => Box::new(spec),
-        Err(mistake) => return error_answer(StatusCode::BAD_REQUEST, &mistake),
+        Err(error) => return error_answer(StatusCode::BAD_REQUEST, &error),
     };
     // Cached before the owner is asked, since a delegate may fetch the payload before the owner
     // responds.
--- a/crates/controller/src/notes.rs
+++ b/crates/controller/src/log_events.rs
@@ -1,4 +1,4 @@
-//! Log lines and metrics for the engine's notes.
+//! Log lines and metrics for the engine's log events.
 
 use {
     log::info,
@@ -17,13 +17,13 @@
     }
 }
 
-/// Logs notes and records their metrics.
+/// Logs events and records their metrics.
 ///
 /// Successful runs are not logged: there are hundreds per second, and the end of their job is
 /// logged.
-pub fn log_notes(epoch: u64, notes: &[LogEvent]) {
-    for note in notes {
-        match note {
+pub fn log_events(epoch: u64, events: &[LogEvent]) {
+    for event in events {
+        match event {
             LogEvent::RunEnded {
                 end: RunEnd::Reported(EndKind::Done),
                 after_ms,
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -13,8 +13,8 @@
         dispatch::Dispatcher,
         in_flight::InFlightBatches,
         load::OwnerLoad,
+        log_events,
         node::Node,
-        notes,
         ownership::FRESH_RENEWAL_MS,
         peer::{CallerRequest, OwnerResponse},
         watcher,
@@ -236,7 +236,7 @@
         // Placement may have requested advice.
         let effects = self.engine.take_immediate_effects();
         self.execute_effects(effects, now, context);
-        notes::log_notes(self.epoch, &self.engine.take_log_events());
+        log_events::log_events(self.epoch, &self.engine.take_log_events());
         self.load.record_message(started);
     }
 }
--- a/crates/controller/src/takeover.rs
+++ b/crates/controller/src/takeover.rs
@@ -112,7 +112,7 @@
     for key in engine.restore(&records, now) {
         error!(event = "record_unread", key = key; "stored record cannot be decoded");
     }
-    bound_vm_rests(node, &mut engine, &records, &offsets);
+    limit_vm_cooldowns(node, &mut engine, &records, &offsets);
     engine.handle(Event::Config(node.config.load_full()), now);
     let waves = node
         .wave_orders
@@ -126,8 +126,8 @@
     // The calls need a reference to the actor, so it is prepared first and spawned below.
     let prepared = OwnerActor::prepare_with_mailbox(mailbox::bounded(MAILBOX_CAPACITY));
     let actor = prepared.actor_ref().clone();
-    let endpoint_calls = EndpointClient::new(epoch);
-    let vm_calls = node
+    let endpoint_client = EndpointClient::new(epoch);
+    let vm_client = node
         .settings
         .vm_service_address
         .map(|address| VmClient::new(address, node.settings.node_name.as_str(), epoch));
@@ -141,8 +141,8 @@
     );
     let calls = LocalCalls::new(
         actor.clone(),
-        endpoint_calls,
-        vm_calls.clone(),
+        endpoint_client,
+        vm_client.clone(),
         node.settings.advice_service_address.map(AdviceClient::new),
         node.store.clone(),
     );
@@ -164,9 +164,9 @@
         Arc::clone(node),
         Arc::clone(&handle),
     )));
-    if let Some(vm_calls) = vm_calls {
+    if let Some(vm_client) = vm_client {
         handle.add_task(tokio::spawn(feeds::follow_vms(
-            vm_calls,
+            vm_client,
             Arc::clone(&handle),
         )));
     }
@@ -179,14 +179,19 @@
 /// Orders of two owners for the same VM must not follow each other closely. Wall clock times cannot
 /// tell the age of an order, and without this bound every recently ordered VM would be held back
 /// for the maximum time.
-fn bound_vm_rests(node: &Node, engine: &mut Engine, records: &[Record], offsets: &[Option<u64>]) {
+fn limit_vm_cooldowns(
+    node: &Node,
+    engine: &mut Engine,
+    records: &[Record],
+    offsets: &[Option<u64>],
+) {
     let view = node.ownership.borrow();
-    let holder_ms = node.settings.bounds.vm_lease_ms + VM_ORDER_TIMEOUT_MS;
+    let lease_ms = node.settings.bounds.vm_lease_ms + VM_ORDER_TIMEOUT_MS;
     for (record, offset) in records.iter().zip(offsets) {
         if record_kind(&record.key) == Some(RecordKind::Vm)
             && let Some(by_ms) = offset.and_then(|offset| view.stored_by_ms(offset))
         {
-            engine.limit_vm_cooldown(&record.key, by_ms + holder_ms);
+            engine.limit_vm_cooldown(&record.key, by_ms + lease_ms);
         }
     }
     if let Some(epoch) = view.ended_predecessor_epoch() {
