--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -10,7 +10,7 @@
     compact_str::CompactString,
     kameo::actor::ActorRef,
     log::info,
-    lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
+    lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, EndpointTable, Event, Now, TaskRef},
     lynxwheel_platform::{
         AdviceClient, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
         encode_keyed_record, encode_wave_status,
@@ -48,7 +48,7 @@
     }
 
     /// Starts executing an effect without waiting for its outcome.
-    pub fn execute(&mut self, effect: Effect, endpoints: &Endpoints, now: Now) {
+    pub fn execute(&mut self, effect: Effect, endpoints: &EndpointTable, now: Now) {
         let (key, call) = match effect {
             Effect::Start(order) => (order.endpoint, EndpointCall::Start(order)),
             Effect::Stop {
@@ -131,7 +131,7 @@
     async fn execute_platform_effect(&self, effect: Effect) {
         match effect {
             Effect::Advise { step, endpoints } => self.request_advice(step, &endpoints).await,
-            Effect::Move { vm, pool } => {
+            Effect::MoveVm { vm, pool } => {
                 let Some(client) = &self.vms else {
                     return;
                 };
@@ -140,9 +140,10 @@
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
                     "VM move ordered"
                 );
-                self.send_event(Event::VmAnswer { vm, outcome }).await;
+                self.send_event(Event::VmOrderAnswered { vm, outcome })
+                    .await;
             }
-            Effect::Maintain { vm, wave } => {
+            Effect::MaintainVm { vm, wave } => {
                 let Some(client) = &self.vms else {
                     return;
                 };
@@ -151,7 +152,8 @@
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
                     "VM maintenance ordered"
                 );
-                self.send_event(Event::VmAnswer { vm, outcome }).await;
+                self.send_event(Event::VmOrderAnswered { vm, outcome })
+                    .await;
             }
             Effect::PublishWave { wave, is_completed } => self.publish(wave, is_completed).await,
             // Replies and resignation are handled by the actor.
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -154,7 +154,7 @@
             listed.retain(|id| {
                 let is_listed = records.iter().any(|record| record.key == *id);
                 if !is_listed {
-                    owner.try_send(OwnerMessage::event(Event::Unlisted(id.as_str().into())));
+                    owner.try_send(OwnerMessage::event(Event::Deregistered(id.as_str().into())));
                 }
                 is_listed
             });
@@ -166,7 +166,7 @@
                 if let Err(index) = index {
                     listed.insert(index, record.key);
                 }
-                let event = Event::Listed {
+                let event = Event::Registered {
                     entry: Box::new(entry),
                     is_fresh: !is_snapshot,
                 };
@@ -175,7 +175,7 @@
                 // Deleted, or replaced by a record that cannot be decoded.
                 let id = listed.remove(index);
                 owner
-                    .send(OwnerMessage::event(Event::Unlisted(id.as_str().into())))
+                    .send(OwnerMessage::event(Event::Deregistered(id.as_str().into())))
                     .await;
             }
         }
@@ -193,7 +193,7 @@
                     info!(event = "vm_list_regained"; "reading the list of VMs succeeded again");
                 }
                 is_lost = false;
-                owner.send(OwnerMessage::event(Event::Vms(vms))).await;
+                owner.send(OwnerMessage::event(Event::VmsListed(vms))).await;
             }
             Err(error) => {
                 if !is_lost {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -52,6 +52,9 @@
     access::{Access, Credentials, Denial, authorize},
     assignments::EndpointAssignments,
     calls::{CallResult, CallSubject, EndpointCall},
+    delegate_messages::{
+        CallNumber, DelegateReply, DelegateRequest, DelegateResults, DelegatedCall,
+    },
     in_flight::{InFlightBatches, MAX_IN_FLIGHT_BATCHES, PIPELINE_DELAY_MS, STORE_UNAVAILABLE_MS},
     members::{MEMBER_TIMEOUT_MS, Member, Members},
     node::{MetricsHandle, run},
@@ -61,6 +64,10 @@
         SUSPICION_TIMEOUT_MS,
     },
     payloads::PayloadCache,
+    peer::{
+        CallerRequest, ConfigRequest, OwnerRequest, OwnerResponse, OwnershipAction,
+        OwnershipRequest, OwnershipResponse,
+    },
     pending::PendingCalls,
     speed::CpuSpeed,
 };
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -341,7 +341,9 @@
         let config = Arc::new(config);
         self.config.store(Arc::clone(&config));
         if let Some(owner) = self.owner.load_full() {
-            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::Config(config)));
+            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::ConfigChanged(
+                config,
+            )));
         }
     }
 
@@ -362,7 +364,9 @@
         }
         drop(waves);
         if let Some(owner) = self.owner.load_full() {
-            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::Wave(order)));
+            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::WaveOrdered(
+                order,
+            )));
         }
     }
 }
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -268,7 +268,8 @@
     fn refresh_config(&mut self, now: Now) {
         let config = self.node.config.load();
         if config.version > self.engine.config_version() {
-            self.engine.handle(Event::Config(Arc::clone(&config)), now);
+            self.engine
+                .handle(Event::ConfigChanged(Arc::clone(&config)), now);
         }
     }
 
@@ -324,7 +325,7 @@
     fn tick_delegates(&mut self, now: Now) {
         let members = self.node.live_members(now.steady_ms);
         let endpoints = self.engine.endpoints();
-        let is_called = |key| !endpoints.get(key).is_over;
+        let is_called = |key| !endpoints.get(key).has_ended;
         let delegates = &mut self.dispatcher.delegates;
         let events = delegates.tick(&members, is_called, now.steady_ms);
         self.handle_events(events, now);
@@ -381,7 +382,9 @@
                 return self.engine.handle(event, now);
             }
             CallerRequest::State { job, account } => self.state_response(&job, &account, now),
-            CallerRequest::Pending { queue } => OwnerResponse::Pending(self.engine.pending(&queue)),
+            CallerRequest::Pending { queue } => {
+                OwnerResponse::Pending(self.engine.queued_job_count(&queue))
+            }
         };
         send_reply(reply, response);
     }
@@ -391,7 +394,7 @@
         let Ok(job) = job.parse::<JobId>() else {
             return OwnerResponse::Unknown;
         };
-        if !self.engine.is_open_to(job, account) {
+        if !self.engine.can_access(job, account) {
             return OwnerResponse::OtherAccount;
         }
         if let Some(state) = self.engine.job_state(job) {
@@ -429,7 +432,7 @@
         for effect in effects {
             match effect {
                 Effect::Reply { token, answer } => self.reply(token, answer),
-                Effect::Resign => {
+                Effect::StepDown => {
                     warn!(event = "fenced", epoch = self.epoch; "call fenced by a newer epoch");
                     drop(context.actor_ref().tell(OwnerMessage::Deposed).try_send());
                 }
--- a/crates/controller/src/takeover.rs
+++ b/crates/controller/src/takeover.rs
@@ -113,13 +113,13 @@
         error!(event = "record_unread", key = key; "stored record cannot be decoded");
     }
     limit_vm_cooldowns(node, &mut engine, &records, &offsets);
-    engine.handle(Event::Config(node.config.load_full()), now);
+    engine.handle(Event::ConfigChanged(node.config.load_full()), now);
     let waves = node
         .wave_orders
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
     for order in waves.iter() {
-        engine.handle(Event::Wave(order.clone()), now);
+        engine.handle(Event::WaveOrdered(order.clone()), now);
     }
     drop(waves);
     let jobs = engine.jobs().count();
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -1,7 +1,7 @@
 //! Planning: proposing claims, starts and final answers when it is this node's turn.
 
 use {
-    crate::{node::Node, observer::confirm_pool, share::CoreShare},
+    crate::{cpu_share::CpuShare, node::Node, observer::confirm_pool},
     log::info,
     lynxwheel_decisions::{
         ClaimStep, Tuning, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
@@ -20,12 +20,12 @@
 const QUIET_ROUND_MS: u64 = 1_000;
 
 /// Share of a core that planning may take.
-const CORE_SHARE: CoreShare = CoreShare::new(15);
+const CPU_SHARE: CpuShare = CpuShare::new(15);
 
 /// Plans for as long as it is polled.
 pub(crate) async fn plan(node: Node) {
     let mut offsets = node.published_state().subscribe();
-    let tick = Duration::from_millis(node.settings().tick_ms);
+    let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let quiet = Duration::from_millis(QUIET_ROUND_MS);
     let mut planned_offset = None;
     let mut planned_at = Instant::now();
@@ -46,7 +46,7 @@
             }
             let cost = began.elapsed();
             round.proposals.join_all().await;
-            tokio::time::sleep(CORE_SHARE.rest(cost)).await;
+            tokio::time::sleep(CPU_SHARE.pause_after(cost)).await;
         }
         // Either news or the tick starts the next round.
         drop(tokio::time::timeout(tick, offsets.changed()).await);
@@ -99,7 +99,7 @@
     fn propose(&mut self, body: RecordBody) {
         let proposer = self.node.proposer().clone();
         self.proposals
-            .spawn(async move { proposer.is_accepted(body).await });
+            .spawn(async move { proposer.propose_and_confirm(body).await });
     }
 
     /// Takes over the claims of holders that are gone, which would stay charged for ever.
@@ -139,7 +139,7 @@
     fn propose_confirmed(&mut self, pool: PoolName, body: RecordBody) {
         let node = self.node.clone();
         self.proposals.spawn(async move {
-            confirm_pool(&node, &pool).await && node.proposer().is_accepted(body).await
+            confirm_pool(&node, &pool).await && node.proposer().propose_and_confirm(body).await
         });
     }
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -65,8 +65,8 @@
     advice::Ticket,
     batch::Batch,
     config::{CallerLimits, FleetConfig, Pool, Queue},
-    endpoint_table::Endpoints,
-    endpoints::{Endpoint, Placed},
+    endpoint_table::EndpointTable,
+    endpoints::{Endpoint, PlacedRun},
     engine::{Engine, EngineSettings},
     event::{
         CallOutcome, CallerAnswer, Effect, EndpointAddress, EndpointKey, Event, Now, Refusal,
