--- a/crates/controller/tests/encodings.rs
+++ b/crates/controller/tests/encodings.rs
@@ -1,5 +1,7 @@
-//! Encodings of messages between nodes and of the ownership log, held as bytes: nodes of other
-//! builds read and write them.
+//! Encodings of messages between nodes and of the ownership log, compared with fixed bytes.
+//!
+//! Nodes of different builds exchange them, so any change would break a rolling upgrade: requests
+//! would be refused, or outcomes misread.
 
 use {
     lynxwheel_controller::{
@@ -17,7 +19,7 @@
     std::{fmt::Debug, net::SocketAddr},
 };
 
-/// Digits of held bytes in one line.
+/// Hexadecimal digits per line in a failure's message.
 const LINE_DIGITS: usize = 90;
 
 fn hex(bytes: &[u8]) -> String {
@@ -32,7 +34,7 @@
     bytes.collect()
 }
 
-/// Compares an encoding with the bytes held; where it differs, shows it as it would be held.
+/// Compares an encoding with the expected bytes and prints it as a literal if it differs.
 fn assert_held(encoded: &[u8], held: &str) {
     let encoded = hex(encoded);
     let starts = (0..encoded.len()).step_by(LINE_DIGITS);
@@ -41,8 +43,7 @@
     assert!(encoded == held, "encoded as\n{}", lines.join("\\\n"));
 }
 
-/// Checks that a message is encoded as the bytes held, and that what they are decoded as is the
-/// message again.
+/// Checks that a message encodes to the expected bytes, and that decoding them returns the message.
 fn check<T: Debug + DeserializeOwned + Serialize>(
     message: &T,
     held: &str,
@@ -54,12 +55,12 @@
     assert_held(&encode(&decoded).expect("a small message"), held);
 }
 
-/// Checks a message that is sent with its field names.
+/// Checks a message that is encoded with field names.
 fn named<T: Debug + DeserializeOwned + Serialize>(message: &T, held: &str) {
     check(message, held, encode_message);
 }
 
-/// Checks a message that is sent without its field names.
+/// Checks a message that is encoded without field names.
 fn compact<T: Debug + DeserializeOwned + Serialize>(message: &T, held: &str) {
     check(message, held, encode_compact_message);
 }
@@ -89,7 +90,7 @@
     "5c0e7a21d94b36f8.3.1.300".parse().expect("a task's name")
 }
 
-fn room(cpu_millis: u64) -> Resources {
+fn resources(cpu_millis: u64) -> Resources {
     Resources {
         cpu_millis,
         memory_mb: 2_048,
@@ -114,7 +115,7 @@
 fn step(after: Vec<u16>) -> StepSpec {
     StepSpec {
         count: 300,
-        room: room(1_500),
+        room: resources(1_500),
         estimated_ms: 90_000,
         after,
         saves_progress: true,
@@ -175,7 +176,7 @@
         name: name.into(),
         keys: vec![KeyDigest::new(name.as_bytes())],
         weight: 2.5,
-        quota: room(64_000),
+        quota: resources(64_000),
     };
     FleetConfig {
         version: 12,
@@ -197,12 +198,10 @@
 held! {
     named;
 
-    /// A node knows no other nodes, or others than there are.
     member_alone: member() => "\
         84a76164647265737381a2563492940a000001cd1b94a47a6f6e65a67a6f6e652d31aa6370755f6d696c6c6973\
         cd01f4a96c696e6b5f6d627073cd03e8";
 
-    /// A job is refused that is handed in at a node of another build, or runs otherwise.
     owner_request_submit: owner_request(submit()) => "\
         84a565706f6368ce00011170ae636f6e6669675f76657273696f6e0ca361736b81a65375626d697485a36a6f62\
         b035633065376132316439346233366638a5717565756589a4686f7374ac6d6170732e6578616d706c65ab7061\
@@ -225,7 +224,6 @@
         84a76164647265737381a2563492940a000001cd1b94a47a6f6e65a67a6f6e652d31aa6370755f6d696c6c6973\
         cd01f4a96c696e6b5f6d627073cd03e8";
 
-    /// A job cannot be cancelled at a node of another build.
     owner_request_cancel: owner_request(CallerRequest::Cancel {
         job: job(),
         account: "account-1".into(),
@@ -235,7 +233,6 @@
         64647265737381a2563492940a000001cd1b94a47a6f6e65a67a6f6e652d31aa6370755f6d696c6c6973cd01f4\
         a96c696e6b5f6d627073cd03e8";
 
-    /// A job's state is not told at a node of another build.
     owner_request_state: owner_request(CallerRequest::State {
         job: job(),
         account: "account-1".into(),
@@ -245,7 +242,6 @@
         647265737381a2563492940a000001cd1b94a47a6f6e65a67a6f6e652d31aa6370755f6d696c6c6973cd01f4a9\
         6c696e6b5f6d627073cd03e8";
 
-    /// Waiting jobs are not counted at a node of another build.
     owner_request_pending: owner_request(CallerRequest::Pending { queue: queue() }) => "\
         84a565706f6368ce00011170ae636f6e6669675f76657273696f6e0ca361736b81a750656e64696e6781a57175\
         65756589a4686f7374ac6d6170732e6578616d706c65ab706174685f707265666978a62f6d6170732fa4706f6f\
@@ -254,7 +250,7 @@
         656e64657284a76164647265737381a2563492940a000001cd1b94a47a6f6e65a67a6f6e652d31aa6370755f6d\
         696c6c6973cd01f4a96c696e6b5f6d627073cd03e8";
 
-    /// A request is refused that the owner's own node passes on.
+    /// The owner's own node sends requests without a sender.
     owner_request_without_sender: OwnerRequest {
         sender: None,
         ..owner_request(CallerRequest::Pending { queue: queue() })
@@ -265,58 +261,41 @@
         999ab17461726765745f6c6174656e63795f6d73cd0258a761647669736564c3a969735f7075626c6963c3a673\
         656e646572c0";
 
-    /// A stored job is reported as not known.
-    owner_answer_accepted: OwnerResponse::Accepted => "a84163636570746564";
+    owner_response_accepted: OwnerResponse::Accepted => "a84163636570746564";
 
-    /// A cancelled job is reported as not known.
-    owner_answer_cancelled: OwnerResponse::Cancelled => "a943616e63656c6c6564";
+    owner_response_cancelled: OwnerResponse::Cancelled => "a943616e63656c6c6564";
 
-    /// A waiting job gets another state on its way.
-    owner_answer_queued: OwnerResponse::State(JobState::Queued) => "81a55374617465a6517565756564";
+    owner_response_queued: OwnerResponse::State(JobState::Queued) => "81a55374617465a6517565756564";
 
-    /// A job at work gets another state on its way.
-    owner_answer_running: OwnerResponse::State(JobState::Running) => "81a55374617465a752756e6e696e67";
+    owner_response_running: OwnerResponse::State(JobState::Running) => "81a55374617465a752756e6e696e67";
 
-    /// A completed job gets another state on its way.
-    owner_answer_completed: OwnerResponse::State(JobState::Completed) =>
+    owner_response_completed: OwnerResponse::State(JobState::Completed) =>
         "81a55374617465a9436f6d706c65746564";
 
-    /// A failed job gets another state on its way.
-    owner_answer_failed: OwnerResponse::State(JobState::Failed) => "81a55374617465a64661696c6564";
+    owner_response_failed: OwnerResponse::State(JobState::Failed) => "81a55374617465a64661696c6564";
 
-    /// A cancelled job gets another state on its way.
-    owner_answer_state_cancelled: OwnerResponse::State(JobState::Cancelled) =>
+    owner_response_state_cancelled: OwnerResponse::State(JobState::Cancelled) =>
         "81a55374617465a943616e63656c6c6564";
 
-    /// A number of waiting jobs is lost.
-    owner_answer_pending: OwnerResponse::Pending(300) => "81a750656e64696e67cd012c";
+    owner_response_pending: OwnerResponse::Pending(300) => "81a750656e64696e67cd012c";
 
-    /// A caller is not told that there is no such job.
-    owner_answer_unknown: OwnerResponse::Unknown => "a7556e6b6e6f776e";
+    owner_response_unknown: OwnerResponse::Unknown => "a7556e6b6e6f776e";
 
-    /// A refused job is reported as one that may run.
-    owner_answer_refused: OwnerResponse::Refused => "a752656675736564";
+    owner_response_refused: OwnerResponse::Refused => "a752656675736564";
 
-    /// A job that is too large for its account is handed in again and again.
-    owner_answer_over_quota: OwnerResponse::OverQuota => "a94f76657251756f7461";
+    owner_response_over_quota: OwnerResponse::OverQuota => "a94f76657251756f7461";
 
-    /// A caller is not told that a job belongs to another account.
-    owner_answer_other_account: OwnerResponse::OtherAccount => "ac4f746865724163636f756e74";
+    owner_response_other_account: OwnerResponse::OtherAccount => "ac4f746865724163636f756e74";
 
-    /// A node goes on with an old configuration.
-    owner_answer_newer_config: OwnerResponse::NewerConfig => "ab4e65776572436f6e666967";
+    owner_response_newer_config: OwnerResponse::NewerConfig => "ab4e65776572436f6e666967";
 
-    /// A node goes on asking one that is not the owner.
-    owner_answer_not_owner: OwnerResponse::NotOwner => "a84e6f744f776e6572";
+    owner_response_not_owner: OwnerResponse::NotOwner => "a84e6f744f776e6572";
 
-    /// A job that may be stored is reported as refused.
-    owner_answer_unclear: OwnerResponse::Unclear => "a7556e636c656172";
+    owner_response_unclear: OwnerResponse::Unclear => "a7556e636c656172";
 
-    /// A node that the store turns away gets no newer configuration.
     config_request: ConfigRequest { version: 12 } => "81a776657273696f6e0c";
 
-    /// A configuration is lost on its way, or becomes another one.
-    config_answer: Some(config()) => "\
+    config_response: Some(config()) => "\
         85a776657273696f6e0ca67175657565739189a4686f7374ac6d6170732e6578616d706c65ab706174685f7072\
         65666978a62f6d6170732fa4706f6f6ca46d617073a87072696f7269747903ac6d61785f617474656d70747304\
         a773747265746368cb3ff999999999999ab17461726765745f6c6174656e63795f6d73cd0258a7616476697365\
@@ -333,41 +312,33 @@
         1563cc8cccbc197bccdbcccccce1cc875dcce4ccfaccad0092dc0020703039cce8cc81cc85cc964b380eccf6cc\
         ed7dccef54cc8a2d3cccbd7fcc90412e2bccaccca114ccdf5acca3ccc65b01";
 
-    /// A node takes no configuration for one.
-    config_answer_none: None::<FleetConfig> => "c0";
+    /// Sent by a node without a newer configuration.
+    config_response_none: None::<FleetConfig> => "c0";
 
-    /// A sound owner is succeeded since it does not understand that it is asked.
-    ownership_request_alive: OwnershipRequest {
+    ownership_request_probe: OwnershipRequest {
         epoch: 70_000,
         action: OwnershipAction::Probe,
     } => "82a565706f6368ce00011170a361736ba5416c697665";
 
-    /// A small owner keeps the fleet.
     ownership_request_yield: OwnershipRequest {
         epoch: 70_000,
         action: OwnershipAction::Yield,
     } => "82a565706f6368ce00011170a361736ba55969656c64";
 
-    /// A sound owner is succeeded.
-    ownership_answer_alive: OwnershipResponse::Alive => "a5416c697665";
+    ownership_response_alive: OwnershipResponse::Alive => "a5416c697665";
 
-    /// An owner that the store does not hear is taken for one that is.
-    ownership_answer_unheard: OwnershipResponse::Unheard => "a7556e6865617264";
+    ownership_response_unheard: OwnershipResponse::Unheard => "a7556e6865617264";
 
-    /// A small owner that gives up is asked again.
-    ownership_answer_yielded: OwnershipResponse::Yielded => "a75969656c646564";
+    ownership_response_yielded: OwnershipResponse::Yielded => "a75969656c646564";
 
-    /// A node that is not the owner is taken for it.
-    ownership_answer_not_owner: OwnershipResponse::NotOwner => "a84e6f744f776e6572";
+    ownership_response_not_owner: OwnershipResponse::NotOwner => "a84e6f744f776e6572";
 
-    /// Calls that a node has taken are made twice.
-    carry_answer_taken: DelegateReply::Accepted => "a554616b656e";
+    delegate_reply_accepted: DelegateReply::Accepted => "a554616b656e";
 
-    /// Calls that a node has not taken are not made.
-    carry_answer_not_taken: DelegateReply::Refused => "a84e6f7454616b656e";
+    delegate_reply_refused: DelegateReply::Refused => "a84e6f7454616b656e";
 }
 
-fn carry(call: EndpointCall) -> DelegateRequest {
+fn delegate_request(call: EndpointCall) -> DelegateRequest {
     DelegateRequest {
         epoch: 70_000,
         owner: address(7_060),
@@ -395,7 +366,7 @@
     }))
 }
 
-fn carried(result: CallResult) -> DelegateResults {
+fn delegate_results(result: CallResult) -> DelegateResults {
     DelegateResults {
         epoch: 70_000,
         delegate: address(7_061),
@@ -403,15 +374,15 @@
     }
 }
 
-fn ordered(outcome: CallOutcome<u64>) -> DelegateResults {
-    carried(CallResult::Ordered(outcome))
+fn run_outcome(outcome: CallOutcome<u64>) -> DelegateResults {
+    delegate_results(CallResult::Ordered(outcome))
 }
 
-fn renewed(outcome: CallOutcome<EndpointReport>) -> DelegateResults {
-    carried(CallResult::Renewed(outcome))
+fn renewal_outcome(outcome: CallOutcome<EndpointReport>) -> DelegateResults {
+    delegate_results(CallResult::Renewed(outcome))
 }
 
-/// Report with an end of each kind.
+/// Returns a report with one end of each kind.
 fn report() -> EndpointReport {
     let kinds = [
         EndKind::Done,
@@ -446,19 +417,16 @@
 held! {
     compact;
 
-    /// A task is not started through a node of another build, or with another lease.
-    carry_start: carry(start()) => "\
+    delegate_request_start: delegate_request(start()) => "\
         93ce0001117081a2563492940a000001cd1b949193cd012c92a3692d3181a2563492940a000001cd232881a553\
         74617274981194dc0010356330653761323164393462333666380301cd012c02a77a3d3726783d3381a2563492\
         940a000001cd1b95ce00263d10a468616c66a87469636b65742d31";
 
-    /// A task is not stopped through a node of another build.
-    carry_stop: carry(EndpointCall::Stop(task(), 2)) => "\
+    delegate_request_stop: delegate_request(EndpointCall::Stop(task(), 2)) => "\
         93ce0001117081a2563492940a000001cd1b949193cd012c92a3692d3181a2563492940a000001cd232881a453\
         746f709294dc0010356330653761323164393462333666380301cd012c02";
 
-    /// A lease lapses since a node of another build does not renew it.
-    carry_renew: carry(EndpointCall::Renew {
+    delegate_request_renew: delegate_request(EndpointCall::Renew {
         deadline_ms: Some(2_506_000),
         acknowledged: 40,
         wait_ms: 300,
@@ -466,8 +434,8 @@
         93ce0001117081a2563492940a000001cd1b949193cd012c92a3692d3181a2563492940a000001cd232881a552\
         656e657793ce00263d1028cd012c";
 
-    /// A lease is renewed that was only to be asked about.
-    carry_renew_without_lease: carry(EndpointCall::Renew {
+    /// Requests a report without renewing the lease.
+    delegate_request_renew_without_lease: delegate_request(EndpointCall::Renew {
         deadline_ms: None,
         acknowledged: 40,
         wait_ms: 300,
@@ -475,63 +443,52 @@
         93ce0001117081a2563492940a000001cd1b949193cd012c92a3692d3181a2563492940a000001cd232881a552\
         656e657793c028cd012c";
 
-    /// A task goes on at its earlier pace.
-    carry_pace: carry(EndpointCall::Pace(task(), 2, 50)) => "\
+    delegate_request_pace: delegate_request(EndpointCall::Pace(task(), 2, 50)) => "\
         93ce0001117081a2563492940a000001cd1b949193cd012c92a3692d3181a2563492940a000001cd232881a450\
         6163659394dc0010356330653761323164393462333666380301cd012c0232";
 
-    /// A start that was carried out counts as unknown.
-    carried_done: ordered(CallOutcome::Done(2_500_000)) =>
+    delegate_results_done: run_outcome(CallOutcome::Done(2_500_000)) =>
         "93ce0001117081a2563492940a000001cd1b959192cd012c81a74f72646572656481a4446f6e65ce002625a0";
 
-    /// The runs of a life that is over count as running.
-    carried_other_life: ordered(CallOutcome::OtherLife) =>
+    delegate_results_other_incarnation: run_outcome(CallOutcome::OtherLife) =>
         "93ce0001117081a2563492940a000001cd1b959192cd012c81a74f726465726564a94f746865724c696665";
 
-    /// An owner goes on that was succeeded.
-    carried_fenced: ordered(CallOutcome::Fenced) =>
+    delegate_results_fenced: run_outcome(CallOutcome::Fenced) =>
         "93ce0001117081a2563492940a000001cd1b959192cd012c81a74f726465726564a646656e636564";
 
-    /// A run that has ended at its endpoint counts as placed there.
-    carried_old_run: ordered(CallOutcome::Refused(Refusal::OldRun)) => "\
+    delegate_results_old_run: run_outcome(CallOutcome::Refused(Refusal::OldRun)) => "\
         93ce0001117081a2563492940a000001cd1b959192cd012c81a74f72646572656481a752656675736564a64f6c\
         6452756e";
 
-    /// A late order is taken for one that was carried out.
-    carried_late: ordered(CallOutcome::Refused(Refusal::Late)) => "\
+    delegate_results_late: run_outcome(CallOutcome::Refused(Refusal::Late)) => "\
         93ce0001117081a2563492940a000001cd1b959192cd012c81a74f72646572656481a752656675736564a44c61\
         7465";
 
-    /// A full endpoint gets more.
-    carried_no_room: ordered(CallOutcome::Refused(Refusal::NoRoom)) => "\
+    delegate_results_no_room: run_outcome(CallOutcome::Refused(Refusal::NoRoom)) => "\
         93ce0001117081a2563492940a000001cd1b959192cd012c81a74f72646572656481a752656675736564a64e6f\
         526f6f6d";
 
-    /// A ticket that does not hold is used again.
-    carried_ticket: ordered(CallOutcome::Refused(Refusal::Ticket)) => "\
+    delegate_results_ticket: run_outcome(CallOutcome::Refused(Refusal::Ticket)) => "\
         93ce0001117081a2563492940a000001cd1b959192cd012c81a74f72646572656481a752656675736564a65469\
         636b6574";
 
-    /// An endpoint that is unhealthy gets more.
-    carried_unhealthy: ordered(CallOutcome::Refused(Refusal::Unhealthy)) => "\
+    delegate_results_unhealthy: run_outcome(CallOutcome::Refused(Refusal::Unhealthy)) => "\
         93ce0001117081a2563492940a000001cd1b959192cd012c81a74f72646572656481a752656675736564a9556e\
         6865616c746879";
 
-    /// A malformed order is repeated for ever.
-    carried_invalid: ordered(CallOutcome::Refused(Refusal::Invalid)) => "\
+    delegate_results_invalid: run_outcome(CallOutcome::Refused(Refusal::Invalid)) => "\
         93ce0001117081a2563492940a000001cd1b959192cd012c81a74f72646572656481a752656675736564a7496e\
         76616c6964";
 
-    /// A call that was not made counts as one that may be carried out late.
-    carried_unsent: ordered(CallOutcome::Unsent) =>
+    /// The call was certainly not made, so it may be repeated.
+    delegate_results_unsent: run_outcome(CallOutcome::Unsent) =>
         "93ce0001117081a2563492940a000001cd1b959192cd012c81a74f726465726564a6556e73656e74";
 
-    /// A call that may be carried out late counts as not made, and the task runs twice.
-    carried_unknown: ordered(CallOutcome::Unknown) =>
+    /// The call may still arrive: mistaken for an unsent one, a task would run twice.
+    delegate_results_unknown: run_outcome(CallOutcome::Unknown) =>
         "93ce0001117081a2563492940a000001cd1b959192cd012c81a74f726465726564a7556e6b6e6f776e";
 
-    /// Runs and ends are lost on their way to the owner.
-    carried_report: renewed(CallOutcome::Done(report())) => "\
+    delegate_results_report: renewal_outcome(CallOutcome::Done(report())) => "\
         93ce0001117081a2563492940a000001cd1b959192cd012c81a752656e6577656481a4446f6e6594ce002625a0\
         919594dc0010356330653761323164393462333666380301cd012c02a468616c663ccd02ee97952894dc001035\
         6330653761323164393462333666380301cd012c02a4446f6e65a468616c66952894dc00103563306537613231\
@@ -542,12 +499,10 @@
         65a468616c66952894dc0010356330653761323164393462333666380301cd012c02a7556e6b6e6f776ea46861\
         6c66c3";
 
-    /// A renewal without answer counts as one that was answered.
-    carried_renewal_unknown: renewed(CallOutcome::Unknown) =>
+    delegate_results_renewal_unknown: renewal_outcome(CallOutcome::Unknown) =>
         "93ce0001117081a2563492940a000001cd1b959192cd012c81a752656e65776564a7556e6b6e6f776e";
 
-    /// A change of pace that was carried out is ordered again.
-    carried_paced: carried(CallResult::Paced(true)) =>
+    delegate_results_paced: delegate_results(CallResult::Paced(true)) =>
         "93ce0001117081a2563492940a000001cd1b959192cd012c81a55061636564c3";
 }
 
@@ -565,15 +520,12 @@
 held! {
     logged;
 
-    /// Two nodes own the fleet, as one does not see the other's claim.
     ownership_claim: record(OwnershipKind::Claim) =>
         "96a5436c61696dce00011170cf0000018bcfe5687b81a2563492940a000001cd1b94ccface00011166";
 
-    /// A sound owner is succeeded, as its renewals are not read.
     ownership_renewal: record(OwnershipKind::Renewal) =>
         "96a752656e6577616cce00011170cf0000018bcfe5687b81a2563492940a000001cd1b94ccface00011166";
 
-    /// An owner that gave up is waited for.
     ownership_release: record(OwnershipKind::Release) =>
         "96a752656c65617365ce00011170cf0000018bcfe5687b81a2563492940a000001cd1b94ccface00011166";
 }
