--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Watching the ownership log: following the owner, claiming when there is none, renewing.
+//! Watcher of the ownership log: follows the owner, claims the ownership when it is vacant, and
+//! renews it.
 
 use {
     crate::{
@@ -6,10 +7,11 @@
         node::Node,
         owner::OwnerMessage,
         ownership::{
-            OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS, RENEW_EVERY_MS, SUSPECT_MS,
+            OwnershipKind, OwnershipRecord, OwnershipView, REFUSED_CONNECTIONS_MS,
+            RENEWAL_INTERVAL_MS, SUSPICION_TIMEOUT_MS,
         },
-        peer::{OWNERSHIP_PATH, OwnershipAnswer, OwnershipAsk, OwnershipRequest},
-        take_over,
+        peer::{OWNERSHIP_PATH, OwnershipAction, OwnershipRequest, OwnershipResponse},
+        takeover,
     },
     log::{info, warn},
     lynxwheel_platform::{AppendOutcome, ReadOutcome},
@@ -24,106 +26,113 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// Topic of the ownership records.
+/// Topic of the ownership log.
 pub const OWNERSHIP_TOPIC: &str = "lynxwheel-owner";
 
-/// Longest wait of a poll, in milliseconds.
-const WAIT_MS: u64 = 700;
+/// Maximum wait of a poll, in milliseconds.
+const POLL_WAIT_MS: u64 = 700;
 
-/// Pause after a failed call, in milliseconds.
-const RETRY_MS: u64 = 100;
+/// Delay after a failed call, in milliseconds.
+const RETRY_DELAY_MS: u64 = 100;
 
-/// Rest of a small node between two reads, in milliseconds: shorter than the silence after which it would
-/// claim.
-const FOLLOWER_REST_MS: u64 = 800;
+/// Pause of a small node between two reads, in milliseconds; shorter than the timeout after which
+/// it would claim.
+const SMALL_FOLLOWER_PAUSE_MS: u64 = 800;
 
-/// Claims are spread over this time, in milliseconds, so that most nodes see the first one and
-/// save theirs.
-const CLAIM_SPREAD_MS: u64 = 120;
+/// Range of the random delay before a claim, in milliseconds. Most nodes then see the first claim
+/// and skip theirs.
+const CLAIM_JITTER_MS: u64 = 120;
 
-/// Time for the owner's answer whether it is there, in milliseconds: calm answers take some 5 ms, and
-/// a node slowed by ten still makes it.
-const ALIVE_MS: u64 = 250;
+/// Timeout for the owner's response to a probe, in milliseconds; leaves room for a node that is ten
+/// times slower than usual.
+const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// Time in which a store that is not slow answers a read, in milliseconds: calm answers take 10 ms.
-const PROMPT_MS: u64 = 60;
+/// Maximum duration of a read for the store to count as responsive, in milliseconds.
+const PROMPT_READ_MS: u64 = 60;
 
-/// Time between asks of a larger node that a small owner may give up, in milliseconds: a change of
-/// owners costs some tenths of a second, so it waits until the larger node has lived for a while.
-const YIELD_EVERY_MS: u64 = 3_000;
+/// Interval at which a larger node asks a small owner to release the ownership, in milliseconds.
+/// Also delays the first request, since changing owners is costly and the larger node may be
+/// short-lived.
+const YIELD_REQUEST_INTERVAL_MS: u64 = 3_000;
 
-/// Tries to give ownership up before the others have to find out by themselves.
-const RELEASE_TRIES: u32 = 3;
+/// Maximum number of attempts to release the ownership; after that, others wait for the owner
+/// timeout.
+const MAX_RELEASE_ATTEMPTS: u32 = 3;
 
-/// Watches the ownership log for as long as the process lives.
+/// Watches the ownership log until the process exits.
 pub async fn watch(node: Arc<Node>) {
-    let mut is_lost = false;
-    let mut asked = Instant::now();
+    let mut is_store_lost = false;
+    let mut yield_requested = Instant::now();
     loop {
         let is_read = tokio::select! {
-            is_read = read_on(&node, WAIT_MS) => is_read,
-            // The poll is dropped: what it would have brought is read again.
-            () = owner_ended(&node) => read_on(&node, 0).await,
-            () = owner_unresponsive(&node) => read_on(&node, 0).await,
+            is_read = read_new_records(&node, POLL_WAIT_MS) => is_read,
+            // The aborted poll loses nothing; its records are read again.
+            () = owner_process_ended(&node) => read_new_records(&node, 0).await,
+            () = owner_unresponsive(&node) => read_new_records(&node, 0).await,
         };
-        if is_read == is_lost {
-            is_lost = !is_read;
-            if is_lost {
-                warn!(event = "store_lost", duty = "ownership"; "");
+        if is_read == is_store_lost {
+            is_store_lost = !is_read;
+            if is_store_lost {
+                warn!(event = "store_lost", duty = "ownership"; "reading the ownership log failed");
             } else {
-                info!(event = "store_regained", duty = "ownership"; "");
+                info!(
+                    event = "store_regained", duty = "ownership";
+                    "reading the ownership log succeeded again"
+                );
             }
         }
         if !is_read {
-            sleep(Duration::from_millis(RETRY_MS)).await;
+            sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             continue;
         }
-        node.record_contact();
-        follow(&node).await;
-        if may_claim(&node) {
+        node.record_store_contact();
+        follow_owner(&node).await;
+        if can_claim(&node) {
             claim(&node).await;
         }
-        rest(&node).await;
-        if asked.elapsed() > Duration::from_millis(YIELD_EVERY_MS) && has_small_owner(&node) {
-            asked = Instant::now();
-            ask_to_yield(&node).await;
+        pause_if_small_follower(&node).await;
+        if yield_requested.elapsed() > Duration::from_millis(YIELD_REQUEST_INTERVAL_MS)
+            && has_small_owner(&node)
+        {
+            yield_requested = Instant::now();
+            request_yield(&node).await;
         }
     }
 }
 
-/// Lets a small node rest before it reads on, unless it doubts who the owner is.
+/// Pauses a small node between reads, unless it suspects that the owner has failed.
 ///
-/// It would claim last in any case, and a fleet has many of them: each would read every renewal of the
-/// owner.
-async fn rest(node: &Node) {
+/// A small node claims last in any case, and a fleet may have many of them; without the pause each
+/// would read every renewal.
+async fn pause_if_small_follower(node: &Node) {
     let is_follower = node.owner.load().is_none() && !is_vacant(node);
-    if is_follower && node.view.borrow().is_small(node.settings.cpu_millis) {
-        let pause = Duration::from_millis(FOLLOWER_REST_MS);
-        // The end of the rest is as good as a doubt.
-        drop(timeout(pause, node.owner_doubted.notified()).await);
+    if is_follower && node.ownership.borrow().is_small(node.settings.cpu_millis) {
+        let pause = Duration::from_millis(SMALL_FOLLOWER_PAUSE_MS);
+        // Either result continues with the next read.
+        drop(timeout(pause, node.owner_suspected.notified()).await);
     }
 }
 
-fn may_claim(node: &Node) -> bool {
+fn can_claim(node: &Node) -> bool {
     !node.stopping.has_begun() && node.owner.load().is_none() && is_vacant(node)
 }
 
 fn is_vacant(node: &Node) -> bool {
-    let view = node.view.borrow();
-    view.needs_owner(clock::steady_ms()) || view.is_predecessor(node.incarnation, node.peer_address)
+    let view = node.ownership.borrow();
+    view.needs_owner(clock::steady_ms())
+        || view.is_owner_restarted_at(node.incarnation, node.peer_address)
 }
 
-/// Reads what was written since; tells whether that worked.
-async fn read_on(node: &Node, wait_ms: u64) -> bool {
-    let from = node.view.borrow().read_to;
+/// Reads and applies new records. Returns whether the read succeeded.
+async fn read_new_records(node: &Node, wait_ms: u64) -> bool {
+    let from = node.ownership.borrow().next_offset;
     let read = node.store.read(OWNERSHIP_TOPIC, from, wait_ms).await;
     let now_ms = clock::steady_ms();
-    let mut is_missing = false;
+    let mut is_topic_missing = false;
     let is_read = match read {
         Ok(ReadOutcome::Records { records, .. }) => {
-            node.view.send_modify(|view| {
-                // The renewal of this node's own duties may have moved on meanwhile.
-                view.note_read(now_ms);
+            node.ownership.send_modify(|view| {
+                view.record_read(now_ms);
                 for record in &records {
                     view.apply(OwnershipRecord::decode(record).as_ref(), now_ms);
                 }
@@ -131,108 +140,120 @@
             true
         }
         Ok(ReadOutcome::Trimmed { first }) => {
-            node.view.send_modify(|view| view.skip_to(first));
+            node.ownership.send_modify(|view| view.skip_to(first));
             true
         }
         Ok(ReadOutcome::Missing) => {
-            node.view.send_modify(|view| view.note_read(now_ms));
-            is_missing = true;
+            node.ownership.send_modify(|view| view.record_read(now_ms));
+            is_topic_missing = true;
             true
         }
         Err(_) => {
-            node.view.send_modify(OwnershipView::note_failure);
+            node.ownership
+                .send_modify(OwnershipView::record_read_failure);
             false
         }
     };
-    if is_missing {
-        sleep(Duration::from_millis(RETRY_MS)).await;
+    if is_topic_missing {
+        sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
     is_read
 }
 
-/// Takes up the owner's duties, or lays them down, as the log says.
-async fn follow(node: &Arc<Node>) {
-    let owner = node.view.borrow().owner;
-    let mine = owner.filter(|owner| owner.incarnation == node.incarnation);
+/// Starts or stops the owner actor as the log requires.
+async fn follow_owner(node: &Arc<Node>) {
+    let owner = node.ownership.borrow().owner;
+    let own = owner.filter(|owner| owner.incarnation == node.incarnation);
     let current = node.owner.load_full();
-    match (current, mine) {
-        (Some(current), Some(mine)) if current.epoch == mine.epoch => {}
+    match (current, own) {
+        (Some(current), Some(own)) if current.epoch == own.epoch => {}
         (Some(current), _) => {
             if owner.is_some_and(|owner| owner.epoch > current.epoch) {
-                current.offer(OwnerMessage::Deposed);
+                current.try_send(OwnerMessage::Deposed);
             }
         }
-        // The numbers of its appends are gone with the duties that were laid down: a second life
-        // under one epoch could take another append's answer for its own.
-        (None, Some(mine)) if mine.epoch == node.taken_epoch.load(Ordering::Relaxed) => {
-            if !node.view.borrow().is_released {
-                release(node, mine.epoch).await;
+        // The actor's append sequence is lost when it stops. A second actor for the same epoch
+        // could mistake the result of an earlier append for its own.
+        (None, Some(own)) if own.epoch == node.last_owned_epoch.load(Ordering::Relaxed) => {
+            if !node.ownership.borrow().is_released {
+                release(node, own.epoch).await;
             }
         }
-        (None, Some(mine)) if !node.stopping.has_begun() => {
-            take_over::take_over(node, mine.epoch).await;
+        (None, Some(own)) if !node.stopping.has_begun() => {
+            takeover::take_over(node, own.epoch).await;
         }
         (None, _) => {}
     }
 }
 
-/// Waits until the owner's process is known to be over.
-async fn owner_ended(node: &Node) {
+/// Waits until the owner's address has refused connections for long enough.
+async fn owner_process_ended(node: &Node) {
     node.owner_refused.notified().await;
-    sleep(Duration::from_millis(REFUSING_MS)).await;
+    sleep(Duration::from_millis(REFUSED_CONNECTIONS_MS)).await;
 }
 
-/// Waits until the owner is silent in the log and does not answer when it is asked.
+/// Waits until the owner has missed its renewals and does not respond to a probe.
 ///
-/// Its VM may have lost power or been cut off, and waiting for the whole silence keeps every caller
-/// for as long. While the store is slow, a sound owner is silent too, but answers.
+/// Detects a failed or disconnected VM before the owner timeout. An owner with a slow store also
+/// misses renewals, but responds.
 async fn owner_unresponsive(node: &Node) {
     loop {
-        let unsuspected_ms = node.view.borrow().unsuspected_ms(clock::steady_ms());
-        match unsuspected_ms {
+        let until_suspected_ms = node
+            .ownership
+            .borrow()
+            .until_suspected_ms(clock::steady_ms());
+        match until_suspected_ms {
             Some(0) if !node.stopping.has_begun() && node.owner.load().is_none() => {
-                if is_heard_of(node) {
-                    sleep(Duration::from_millis(RETRY_MS)).await;
+                if can_skip_probe(node) {
+                    sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                     continue;
                 }
-                let spread_ms = node.view.borrow().ask_spread_ms(node.settings.cpu_millis);
-                sleep(Duration::from_millis(rand::random_range(0..spread_ms))).await;
-                if is_suspected(node) && !is_owner_alive(node).await {
+                let jitter_ms = node
+                    .ownership
+                    .borrow()
+                    .probe_jitter_ms(node.settings.cpu_millis);
+                sleep(Duration::from_millis(rand::random_range(0..jitter_ms))).await;
+                if is_suspected(node) && !probe_owner(node).await {
                     return;
                 }
             }
             Some(ms @ 1..) => sleep(Duration::from_millis(ms)).await,
-            _ => sleep(Duration::from_millis(WAIT_MS)).await,
+            _ => sleep(Duration::from_millis(POLL_WAIT_MS)).await,
         }
-        sleep(Duration::from_millis(RETRY_MS)).await;
+        sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
 }
 
 fn is_suspected(node: &Node) -> bool {
-    node.view.borrow().unsuspected_ms(clock::steady_ms()) == Some(0)
+    node.ownership
+        .borrow()
+        .until_suspected_ms(clock::steady_ms())
+        == Some(0)
 }
 
-/// Tells whether a small node need not ask, as the owner has just answered some request of it.
+/// Returns whether a small node need not probe the owner, having just had a response from it.
 ///
-/// Larger nodes ask all the same: an owner that is cut off from the store goes on answering.
-fn is_heard_of(node: &Node) -> bool {
-    let is_small = node.view.borrow().is_small(node.settings.cpu_millis);
-    is_small && node.has_owner_answered_within(clock::steady_ms(), SUSPECT_MS)
+/// Larger nodes always probe, because an owner that is cut off from the store still responds to
+/// requests.
+fn can_skip_probe(node: &Node) -> bool {
+    let is_small = node.ownership.borrow().is_small(node.settings.cpu_millis);
+    is_small && node.has_owner_responded_within(clock::steady_ms(), SUSPICION_TIMEOUT_MS)
 }
 
-/// Asks the owner whether it is there, and notes when it does not answer.
-async fn is_owner_alive(node: &Node) -> bool {
+/// Probes the owner and records when it does not respond. Returns whether it is alive.
+async fn probe_owner(node: &Node) -> bool {
     let (epoch, owner) = node.known_owner();
     let Some(owner) = owner else {
         return true;
     };
-    // On a connection of its own: one in use may have fallen silent by itself.
+    // Uses a new connection, as a pooled one may be broken.
     let client = Client::new(owner.address, 1);
-    let answer = ask_ownership(&client, epoch, OwnershipAsk::Alive, ALIVE_MS).await;
-    let is_alive = match answer {
-        Ok(OwnershipAnswer::Alive) => true,
-        // Cut off from the store, unless the store is slow for everybody.
-        Ok(OwnershipAnswer::Unheard) => !is_store_prompt(node).await,
+    let response =
+        send_ownership_request(&client, epoch, OwnershipAction::Probe, PROBE_TIMEOUT_MS).await;
+    let is_alive = match response {
+        Ok(OwnershipResponse::Alive) => true,
+        // Disconnected from the store, unless the store is slow for this node as well.
+        Ok(OwnershipResponse::Unheard) => !is_store_prompt(node).await,
         _ => false,
     };
     if is_alive {
@@ -240,82 +261,82 @@
     }
     info!(
         event = "owner_unresponsive", epoch = epoch, peer:% = owner.address,
-        outcome:? = answer;
-        ""
+        outcome:? = response;
+        "owner does not respond"
     );
     let now_ms = clock::steady_ms();
-    node.view
-        .send_modify(|view| view.note_unresponsive(epoch, now_ms));
+    node.ownership
+        .send_modify(|view| view.record_unresponsive(epoch, now_ms));
     false
 }
 
-async fn ask_ownership(
+async fn send_ownership_request(
     client: &Client,
     epoch: u64,
-    ask: OwnershipAsk,
-    limit_ms: u64,
-) -> Result<OwnershipAnswer, TransportError> {
-    let request = OwnershipRequest { epoch, ask };
-    let limit = Duration::from_millis(limit_ms);
+    action: OwnershipAction,
+    timeout_ms: u64,
+) -> Result<OwnershipResponse, TransportError> {
+    let request = OwnershipRequest { epoch, action };
+    let limit = Duration::from_millis(timeout_ms);
     client.exchange(OWNERSHIP_PATH, &request, limit).await
 }
 
-/// Tells whether the store answers this node as promptly as on a calm day.
+/// Returns whether the store responds to this node without delay.
 async fn is_store_prompt(node: &Node) -> bool {
-    let from = node.view.borrow().read_to;
-    let begun = Instant::now();
-    // What it reads is read again by the watch itself, which keeps the order of records.
+    let from = node.ownership.borrow().next_offset;
+    let started = Instant::now();
+    // The result is discarded; only the watch loop applies records, in order.
     let read = node.store.read(OWNERSHIP_TOPIC, from, 0).await;
-    read.is_ok() && begun.elapsed() < Duration::from_millis(PROMPT_MS)
+    read.is_ok() && started.elapsed() < Duration::from_millis(PROMPT_READ_MS)
 }
 
 fn has_small_owner(node: &Node) -> bool {
-    !node.stopping.has_begun() && node.view.borrow().has_small_owner(node.cpu_millis())
+    !node.stopping.has_begun() && node.ownership.borrow().has_small_owner(node.cpu_millis())
 }
 
-/// Asks a small owner to give up, so that a larger node follows it.
-async fn ask_to_yield(node: &Node) {
+/// Asks a small owner to release the ownership to a larger node.
+async fn request_yield(node: &Node) {
     let (epoch, owner) = node.known_owner();
     let Some(owner) = owner else {
         return;
     };
     let client = node.peers.get(owner.address);
-    let answer = ask_ownership(&client, epoch, OwnershipAsk::Yield, WAIT_MS).await;
+    let response =
+        send_ownership_request(&client, epoch, OwnershipAction::Yield, POLL_WAIT_MS).await;
     info!(
         event = "yield_asked", epoch = epoch, peer:% = owner.address,
-        owner_cpu_millis = owner.cpu_millis, outcome:? = answer.as_ref().ok();
-        ""
+        owner_cpu_millis = owner.cpu_millis, outcome:? = response.as_ref().ok();
+        "owner asked to release the ownership"
     );
 }
 
 async fn claim(node: &Node) {
-    let lived_ms = clock::steady_ms().saturating_sub(node.begun_ms);
-    let size_ms = node
-        .view
+    let uptime_ms = clock::steady_ms().saturating_sub(node.started_ms);
+    let claim_delay_ms = node
+        .ownership
         .borrow()
-        .claim_delay_ms(node.cpu_millis(), lived_ms);
-    let pause_ms = size_ms + rand::random_range(0..CLAIM_SPREAD_MS);
-    // Another's claim ends the wait. A slow store's answer is not waited for, as the claim is made on
-    // a condition.
+        .claim_delay_ms(node.cpu_millis(), uptime_ms);
+    let pause_ms = claim_delay_ms + rand::random_range(0..CLAIM_JITTER_MS);
+    // Another node's claim ends the wait. A slow read may be abandoned, because the claim is
+    // conditional on the offset.
     let pause = Duration::from_millis(pause_ms);
-    let is_read = timeout(pause, read_on(node, pause_ms)).await;
-    if is_read == Ok(false) || !may_claim(node) {
+    let is_read = timeout(pause, read_new_records(node, pause_ms)).await;
+    if is_read == Ok(false) || !can_claim(node) {
         return;
     }
     let record = node.ownership_record(OwnershipKind::Claim, 0);
-    let at = node.view.borrow().read_to;
+    let at = node.ownership.borrow().next_offset;
     let outcome = node
         .store
         .append(OWNERSHIP_TOPIC, &[record.encode()], Some(at), None)
         .await;
-    // A claim that succeeded is read back, also when its answer was lost.
-    info!(event = "claim", at = at, outcome:? = outcome; "");
+    // A successful claim is read back from the log, even if the response was lost.
+    info!(event = "claim", at = at, outcome:? = outcome; "ownership claim sent");
 }
 
-/// Renews this node's ownership until the task is ended.
+/// Renews the ownership until the task is aborted.
 ///
-/// Begins with the take-over, which a slow store draws out: silence until its end would call for
-/// the next claim before the first owner has begun.
+/// Starts with the takeover: loading the state from a slow store may exceed the owner timeout.
 pub async fn renew(
     node: Arc<Node>,
     epoch: u64,
@@ -323,11 +344,11 @@
     stored_end: Arc<AtomicU64>,
 ) {
     let mut record = node.ownership_record(OwnershipKind::Renewal, epoch);
-    let mut at = node.view.borrow().read_to;
+    let mut at = node.ownership.borrow().next_offset;
     loop {
         record.stored_end = stored_end.load(Ordering::Relaxed);
         record.cpu_millis = node.cpu_millis();
-        at = at.max(node.view.borrow().read_to);
+        at = at.max(node.ownership.borrow().next_offset);
         let sent_ms = clock::steady_ms();
         let outcome = node
             .store
@@ -342,28 +363,28 @@
             AppendOutcome::Stored { end, .. } => {
                 at = end;
                 renewed_ms.store(sent_ms, Ordering::Relaxed);
-                RENEW_EVERY_MS
+                RENEWAL_INTERVAL_MS
             }
-            // Somebody else has written, or an earlier renewal without answer: the watcher tells.
-            _ => RETRY_MS,
+            // Another writer, or an earlier renewal without a response; the watcher reads it.
+            _ => RETRY_DELAY_MS,
         };
         sleep(Duration::from_millis(pause_ms)).await;
     }
 }
 
-/// Gives this node's ownership up, so that another node claims at once.
+/// Releases the ownership so that another node can claim it immediately.
 pub async fn release(node: &Node, epoch: u64) {
     let record = node.ownership_record(OwnershipKind::Release, epoch);
-    for _ in 0..RELEASE_TRIES {
-        // On no condition: readers pass over the release of an epoch that is not in force.
+    for _ in 0..MAX_RELEASE_ATTEMPTS {
+        // Unconditional: readers ignore the release of an outdated epoch.
         let outcome = node
             .store
             .append(OWNERSHIP_TOPIC, &[record.encode()], None, None)
             .await;
-        info!(event = "release", epoch = epoch, outcome:? = outcome; "");
+        info!(event = "release", epoch = epoch, outcome:? = outcome; "ownership release sent");
         if matches!(outcome, AppendOutcome::Stored { .. }) {
             return;
         }
-        sleep(Duration::from_millis(RETRY_MS)).await;
+        sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
 }
--- a/crates/controller/tests/access.rs
+++ b/crates/controller/tests/access.rs
@@ -1,7 +1,7 @@
-//! Who may call what, by which version of the configuration.
+//! Authorization of requests by queue, key and configuration version.
 
 use {
-    lynxwheel_controller::{Access, Credentials, Denial, judge},
+    lynxwheel_controller::{Access, Credentials, Denial, authorize},
     lynxwheel_engine::{ClientAccount, ClientAccounts, FleetConfig, KeyDigest, KeyError, Queue},
 };
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Returns a configuration in which these keys are the account's.
+/// Returns a configuration with one account that has these keys.
 fn config(version: u64, keys: &[&str]) -> FleetConfig {
     let account = ClientAccount {
         name: "hall".into(),
@@ -42,56 +42,57 @@
     }
 }
 
-/// Returns for which account a request is taken.
+/// Returns the account under which a request is authorized.
 fn account(
     config: &FleetConfig,
     path: &str,
     key: Result<&str, KeyError>,
 ) -> Result<String, Denial> {
-    let judged = judge(config, &credentials(path, key));
-    judged.map(|access: Access| access.account.to_string())
+    let authorized = authorize(config, &credentials(path, key));
+    authorized.map(|access: Access| access.account.to_string())
 }
 
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident: $path:expr, $key:expr => $expected:expr;)*) => {
         $($(#[$doc])* #[test] fn $name() {
             let expected: Result<&str, Denial> = $expected;
-            let judged = account(&config(3, &["k-1", "k-2"]), $path, $key);
-            assert_eq!(judged, expected.map(ToString::to_string));
+            let authorized = account(&config(3, &["k-1", "k-2"]), $path, $key);
+            assert_eq!(authorized, expected.map(ToString::to_string));
         })*
     };
 }
 
 cases! {
-    a_key_stands_for_its_account: &format!("/maps/{JOB}"), Ok("k-2") => Ok("hall");
-    /// Guards against a job that runs for a caller with a key that no configuration ever held.
-    an_unknown_key_is_refused: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
-    a_part_of_a_key_is_refused: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
-    a_request_without_a_key_is_refused: &format!("/maps/{JOB}"), Err(KeyError::Missing)
-        => Err(Denial::BadKey(KeyError::Missing));
-    /// Guards against a queue's count being told to strangers.
-    the_count_needs_a_key: "/maps/", Err(KeyError::Missing) => Err(Denial::BadKey(KeyError::Missing));
-    a_public_queue_needs_no_key: &format!("/open/{JOB}"), Err(KeyError::Missing) => Ok("");
-    /// Guards against a key on a public queue charging its account.
-    a_key_on_a_public_queue_counts_for_nobody: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
-    an_unknown_queue_is_no_matter_of_keys: "/none/", Ok("k-3") => Err(Denial::NoQueue);
-    what_is_no_id_is_refused: "/maps/x", Ok("k-1") => Err(Denial::NoJobId);
+    known_key_selects_its_account: &format!("/maps/{JOB}"), Ok("k-2") => Ok("hall");
+    /// Guards against running jobs for callers with a key that was never configured.
+    unknown_key_is_denied: &format!("/maps/{JOB}"), Ok("k-3") => Err(Denial::UnknownKey);
+    key_prefix_is_denied: &format!("/maps/{JOB}"), Ok("k-") => Err(Denial::UnknownKey);
+    missing_key_is_denied: &format!("/maps/{JOB}"), Err(KeyError::Missing)
+        => Err(Denial::InvalidKey(KeyError::Missing));
+    /// Guards against disclosing a queue's count to callers without a key.
+    pending_count_requires_key: "/maps/", Err(KeyError::Missing)
+        => Err(Denial::InvalidKey(KeyError::Missing));
+    public_queue_requires_no_key: &format!("/open/{JOB}"), Err(KeyError::Missing) => Ok("");
+    /// Guards against charging an account for requests to a public queue.
+    key_on_public_queue_is_ignored: &format!("/open/{JOB}"), Ok("k-1") => Ok("");
+    unknown_queue_is_reported_before_unknown_key: "/none/", Ok("k-3") => Err(Denial::UnknownQueue);
+    invalid_job_id_is_denied: "/maps/x", Ok("k-1") => Err(Denial::InvalidJobId);
 }
 
-/// Guards against a decision by a version that is not the one named with it.
+/// Guards against reporting a version other than the one used for the decision.
 #[test]
-fn each_version_judges_by_its_own_keys() {
+fn each_config_version_uses_its_own_keys() {
     let versions = [
         config(0, &["k-1"]),
         config(4, &["k-1"]),
         config(9, &["k-2"]),
     ];
-    let judged = versions.map(|config| {
-        let judged = judge(&config, &credentials("/maps/", Ok("k-1")));
-        judged.map(|access| access.version)
+    let authorized = versions.map(|config| {
+        let authorized = authorize(&config, &credentials("/maps/", Ok("k-1")));
+        authorized.map(|access| access.config_version)
     });
     assert_eq!(
-        judged,
+        authorized,
         [Err(Denial::NoConfig), Ok(4), Err(Denial::UnknownKey)]
     );
 }
