--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -4,7 +4,7 @@
     crate::{node::Node, observer::confirm_pool, share::CoreShare},
     log::{info, warn},
     lynxwheel_decisions::{
-        ActionStep, ClaimReview, ClaimStep as Step, ReleaseReason, action_step, review_claims,
+        ActionStep, ClaimReview, ReleaseReason, ReviewStep, action_step, review_claims,
     },
     lynxwheel_protocol::{ActionRequest, ClaimPurpose, RecordBody, VmAction, VmName, VmPhase},
     lynxwheel_state::{Claim, ClaimStage, VmState},
@@ -62,8 +62,8 @@
 fn release_reason(reviews: &[ClaimReview], vm: &VmName) -> Option<ReleaseReason> {
     let review = reviews.iter().find(|review| review.vm == *vm)?;
     match review.step {
-        Step::Release(reason) => Some(reason),
-        Step::TakeOver => None,
+        ReviewStep::Release(reason) => Some(reason),
+        ReviewStep::TakeOver => None,
     }
 }
 
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -4,7 +4,7 @@
     crate::{node::Node, observer::confirm_pool, share::CoreShare},
     log::info,
     lynxwheel_decisions::{
-        ClaimStep, Tuning, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
+        ReviewStep, Tuning, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
         rendezvous_rank, review_claims,
     },
     lynxwheel_protocol::{NodeName, PoolName, RecordBody},
@@ -105,7 +105,7 @@
     /// Takes over the claims of holders that are gone, which would stay charged for ever.
     fn take_over(&mut self) {
         for review in review_claims(&self.state, &self.nodes) {
-            if review.step != ClaimStep::TakeOver || !self.is_first_for_vm(review.vm.as_str()) {
+            if review.step != ReviewStep::TakeOver || !self.is_first_for_vm(review.vm.as_str()) {
                 continue;
             }
             info!(event = "placement", decision = "take_over", vm = review.vm.as_str(),
--- a/crates/decisions/src/claim_review.rs
+++ b/crates/decisions/src/claim_review.rs
@@ -11,7 +11,7 @@
 
 /// What to do about a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ClaimStep {
+pub enum ReviewStep {
     /// Its holder gives it back.
     Release(ReleaseReason),
     /// A live node takes it over, since its holder is gone.
@@ -55,7 +55,7 @@
     /// Fencing number of the claim.
     pub fence: u64,
     /// What to do.
-    pub step: ClaimStep,
+    pub step: ReviewStep,
 }
 
 /// Reviews the claims under way; `live_nodes` is sorted.
@@ -100,10 +100,10 @@
             claim.stage == ClaimStage::Draining && vm.phase == lynxwheel_protocol::VmPhase::Live;
         if deficit > 0 && helps {
             deficit -= 1;
-            step = Some(ClaimStep::Release(ReleaseReason::PoolBelowFloor));
+            step = Some(ReviewStep::Release(ReleaseReason::PoolBelowFloor));
         }
         if live_nodes.binary_search(&claim.holder).is_err() {
-            step = Some(ClaimStep::TakeOver);
+            step = Some(ReviewStep::TakeOver);
         }
         reviews.extend(step.map(|step| ClaimReview {
             vm: vm.name.clone(),
@@ -118,7 +118,7 @@
     vm: &VmState,
     claim: &Claim,
     halted: &[WaveName],
-) -> Option<ClaimStep> {
+) -> Option<ReviewStep> {
     if claim.stage != ClaimStage::Draining {
         return None;
     }
@@ -136,5 +136,5 @@
             }
         }
     };
-    Some(ClaimStep::Release(reason))
+    Some(ReviewStep::Release(reason))
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -33,7 +33,7 @@
     Admission, AdmissionView, MAX_RETRY_BUDGET, TokenBucket, admit, budget_after_request,
     budget_after_retry, expected_wait_ms,
 };
-pub use claim_review::{ClaimReview, ClaimStep, ReleaseReason, review_claims};
+pub use claim_review::{ClaimReview, ReleaseReason, ReviewStep, review_claims};
 pub use drain::{Drain, remaining_ms};
 pub use explain::{Explanation, JobExplanation, VmExplanation, WaitReason, explain};
 pub use fleet_view::{FleetView, PoolView};
--- a/crates/decisions/tests/waves.rs
+++ b/crates/decisions/tests/waves.rs
@@ -5,7 +5,7 @@
 use {
     common::{Fleet, vm_name},
     lynxwheel_decisions::{
-        ClaimStep, Outlook, ReleaseReason, Tuning, forecast, plan_claims, review_claims,
+        Outlook, ReleaseReason, ReviewStep, Tuning, forecast, plan_claims, review_claims,
     },
     lynxwheel_protocol::{JobOutcome, NodeName, RecordBody, Resource, VmPhase, VmSpec, WaveGoal},
     lynxwheel_state::Verdict,
@@ -25,7 +25,7 @@
         $($(#[$doc])* #[test] fn $name() {
             let fleet: Fleet = $fleet;
             let nodes: Vec<NodeName> = $nodes.iter().map(|node: &&str| (*node).into()).collect();
-            let steps: Vec<ClaimStep> =
+            let steps: Vec<ReviewStep> =
                 review_claims(&fleet.state, &nodes).into_iter().map(|review| review.step).collect();
             assert_eq!(steps, $expected);
         })*
@@ -126,17 +126,17 @@
     /// A pool falls below its floor: a VM was drained for a wave, then another one failed. The
     /// drain must be undone, since the drained VM still works.
     drain_is_undone_when_the_pool_loses_a_vm: drained_then_failed(), ["node-1"]
-        => vec![ClaimStep::Release(ReleaseReason::PoolBelowFloor)];
+        => vec![ReviewStep::Release(ReleaseReason::PoolBelowFloor)];
     drain_is_undone_by_pause: drained_then(WaveGoal::Pause), ["node-1"]
-        => vec![ClaimStep::Release(ReleaseReason::WavePaused)];
+        => vec![ReviewStep::Release(ReleaseReason::WavePaused)];
     drain_is_undone_by_abort: drained_then(WaveGoal::Abort), ["node-1"]
-        => vec![ClaimStep::Release(ReleaseReason::WaveAborted)];
+        => vec![ReviewStep::Release(ReleaseReason::WaveAborted)];
     drain_is_undone_by_halt: halted(), ["node-1"]
-        => vec![ClaimStep::Release(ReleaseReason::WaveHalted)];
+        => vec![ReviewStep::Release(ReleaseReason::WaveHalted)];
     /// A VM stays out of service for ever: the node that held its claim is gone. Another node
     /// must take the claim over, with its charge.
     claim_of_a_dead_holder_is_taken_over: drained_then(WaveGoal::Run), ["node-2"]
-        => vec![ClaimStep::TakeOver];
+        => vec![ReviewStep::TakeOver];
 }
 
 /// An operator takes a move back while the VM drains for it. The move must be dropped.
@@ -169,11 +169,11 @@
                 holder,
             });
         }
-        let steps: Vec<ClaimStep> = review_claims(&fleet.state, &["node-1".into()])
+        let steps: Vec<ReviewStep> = review_claims(&fleet.state, &["node-1".into()])
             .into_iter()
             .map(|review| review.step)
             .collect();
-        let expected: Vec<ClaimStep> = expected.into_iter().map(ClaimStep::Release).collect();
+        let expected: Vec<ReviewStep> = expected.into_iter().map(ReviewStep::Release).collect();
         assert_eq!(steps, expected, "{pool}");
     }
 }
--- a/crates/experiment/src/executor.rs
+++ b/crates/experiment/src/executor.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::world::{NODE, World, index_of},
-    lynxwheel_decisions::{ClaimStep, ReleaseReason, remaining_ms, review_claims},
+    lynxwheel_decisions::{ReleaseReason, ReviewStep, remaining_ms, review_claims},
     lynxwheel_protocol::{ClaimPurpose, RecordBody, VmName, VmPhase},
     lynxwheel_state::{Claim, ClaimStage},
 };
@@ -93,7 +93,7 @@
 
 fn release(world: &mut World<'_>, heeds_halts: bool) {
     for review in review_claims(&world.state, &[NODE.into()]) {
-        let ClaimStep::Release(reason) = review.step else {
+        let ReviewStep::Release(reason) = review.step else {
             continue;
         };
         if heeds_halts || reason != ReleaseReason::WaveHalted {
--- a/crates/scenario/src/decide.rs
+++ b/crates/scenario/src/decide.rs
@@ -6,7 +6,7 @@
         world::{Chosen, StepResult, World},
     },
     lynxwheel_decisions::{
-        AdmissionView, ClaimStep, EndpointView, RouteRequest, Tuning, admit, forecast, own_share,
+        AdmissionView, EndpointView, ReviewStep, RouteRequest, Tuning, admit, forecast, own_share,
         plan_claims, plan_give_ups, plan_placements, plan_quarantines, review_claims, slot_shares,
     },
     lynxwheel_protocol::{NodeName, RecordBody},
@@ -101,8 +101,8 @@
         for review in reviews {
             let (vm, fence) = (review.vm.clone(), review.fence);
             let (step, body) = match review.step {
-                ClaimStep::Release(reason) => (reason.as_str(), RecordBody::Release { vm, fence }),
-                ClaimStep::TakeOver => {
+                ReviewStep::Release(reason) => (reason.as_str(), RecordBody::Release { vm, fence }),
+                ReviewStep::TakeOver => {
                     let holder = name.into();
                     ("take_over", RecordBody::TakeOver { vm, fence, holder })
                 }
