--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -125,7 +125,7 @@
             }
             info!(event = "placement", decision = "claim", vm = plan.vm.as_str(),
                 reason = plan.reason.as_str(), wait_ms = plan.drain.wait_ms,
-                job_moves = plan.drain.moves, offset = self.state.offset(); "");
+                job_moves = plan.drain.job_moves, offset = self.state.offset(); "");
             let body = RecordBody::Claim {
                 vm: plan.vm,
                 purpose: plan.purpose,
--- a/crates/decisions/src/drain.rs
+++ b/crates/decisions/src/drain.rs
@@ -10,16 +10,16 @@
 
 /// Expected drain of a VM.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Drain {
+pub struct DrainEstimate {
     /// Time until it is empty, in milliseconds.
     pub wait_ms: u64,
     /// Jobs that have to be moved for it.
-    pub moves: u32,
+    pub job_moves: u32,
     /// Jobs that have to end by themselves before.
-    pub awaited: u32,
+    pub awaited_jobs: u32,
 }
 
-impl Drain {
+impl DrainEstimate {
     /// Estimates the drain of a VM on which nothing new is started.
     #[must_use]
     pub fn new(state: &FleetState, vm: &VmState, tuning: &Tuning, now_ms: u64) -> Self {
@@ -39,13 +39,13 @@
     /// waited for, however soon that job is expected to end: the expectation is often wrong.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.awaited == 0
+        self.awaited_jobs == 0
     }
 
     /// Returns the cost by which VMs are put in order, in milliseconds.
     #[must_use]
     pub fn cost_ms(&self, tuning: &Tuning) -> u64 {
-        self.wait_ms + u64::from(self.moves) * tuning.patience_ms
+        self.wait_ms + u64::from(self.job_moves) * tuning.patience_ms
     }
 
     fn add(&mut self, job: &JobState, tuning: &Tuning, now_ms: u64) {
@@ -55,8 +55,8 @@
         self.wait_ms = self
             .wait_ms
             .max(if is_moved { CHECKPOINT_MS } else { left_ms });
-        self.moves += u32::from(is_moved);
-        self.awaited += u32::from(!is_moved);
+        self.job_moves += u32::from(is_moved);
+        self.awaited_jobs += u32::from(!is_moved);
     }
 }
 
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        drain::Drain,
+        drain::DrainEstimate,
         fleet_view::FleetView,
         forecast::{Forecast, forecast},
         placement::demand_of,
@@ -50,7 +50,7 @@
         jobs: usize,
     },
     /// Planned work takes it next, and it takes no new jobs until then.
-    KeptFree(Drain),
+    KeptFree(DrainEstimate),
     /// Planned work takes it later.
     Waits(WaitReason),
     /// It keeps new jobs off until then, in milliseconds since the epoch.
@@ -76,7 +76,7 @@
     /// The pool has another zone open.
     OtherZone,
     /// Jobs on it are waited for.
-    Jobs(Drain),
+    Jobs(DrainEstimate),
     /// It is its turn.
     Turn,
 }
@@ -155,7 +155,7 @@
     }
     let wave = state.waves().iter().find(|wave| is_due(wave, vm));
     let tuning = Tuning::new(state.weights());
-    let drain = Drain::new(state, vm, &tuning, now_ms);
+    let drain = DrainEstimate::new(state, vm, &tuning, now_ms);
     if wave.is_some() || vm.wanted_pool != vm.pool {
         let kept_free = cordoned_vms(state, &tuning, now_ms);
         return if kept_free.binary_search(&vm.name).is_ok() && !drain.is_ready() {
@@ -176,7 +176,7 @@
     state: &FleetState,
     vm: &VmState,
     wave: Option<&WaveState>,
-    drain: &Drain,
+    drain: &DrainEstimate,
     tuning: &Tuning,
 ) -> WaitReason {
     let view = FleetView::new(state);
@@ -334,7 +334,7 @@
             Self::Jobs(drain) => write!(
                 formatter,
                 "waits: {} jobs on it have to end, in about {} s",
-                drain.awaited,
+                drain.awaited_jobs,
                 drain.wait_ms / 1_000
             ),
             Self::Turn => formatter.write_str("waits for its turn"),
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -34,7 +34,7 @@
     budget_after_retry, expected_wait_ms,
 };
 pub use claim_review::{ClaimReview, ReleaseReason, ReviewStep, review_claims};
-pub use drain::{Drain, remaining_ms};
+pub use drain::{DrainEstimate, remaining_ms};
 pub use explain::{Explanation, JobExplanation, VmExplanation, WaitReason, explain};
 pub use fleet_view::{FleetView, PoolView};
 pub use forecast::{Forecast, Outlook, forecast};
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        drain::Drain,
+        drain::DrainEstimate,
         fleet_view::{FleetView, PoolView},
         tuning::Tuning,
         wave_health::{Rack, diagnose, ramp_limit},
@@ -49,7 +49,7 @@
     /// Reason.
     pub reason: ClaimReason,
     /// Expected drain.
-    pub drain: Drain,
+    pub drain: DrainEstimate,
 }
 
 /// A VM that planned work waits for.
@@ -57,7 +57,7 @@
 pub(crate) struct Candidate<'a> {
     pub(crate) vm: &'a VmState,
     pub(crate) purpose: ClaimPurpose,
-    pub(crate) drain: Drain,
+    pub(crate) drain: DrainEstimate,
     wave: Option<usize>,
 }
 
@@ -194,7 +194,7 @@
     let mut found: Vec<Candidate<'a>> = Vec::new();
     for vm in pool.vms.iter().copied().filter(|vm| vm.is_available()) {
         if let Some((purpose, wave)) = purpose_for(vm, waves) {
-            let drain = Drain::new(state, vm, tuning, now_ms);
+            let drain = DrainEstimate::new(state, vm, tuning, now_ms);
             found.push(Candidate {
                 vm,
                 purpose,
