--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -4,7 +4,7 @@
     crate::{node::Node, observer::confirm_pool, share::CoreShare},
     log::{info, warn},
     lynxwheel_decisions::{
-        ActionStep, ClaimReview, ReleaseReason, ReviewStep, action_step, review_claims,
+        ActionStep, ClaimReview, ReleaseReason, ReviewStep, next_action_step, review_claims,
     },
     lynxwheel_protocol::{ActionRequest, ClaimPurpose, RecordBody, VmAction, VmName, VmPhase},
     lynxwheel_state::{Claim, ClaimStage, VmState},
@@ -194,12 +194,12 @@
     async fn finish(&self) {
         let now_ms = self.node.clock().now_ms();
         let timeout_ms = self.node.settings().action_timeout_ms;
-        match action_step(&self.vm, &self.claim, now_ms, timeout_ms) {
+        match next_action_step(&self.vm, &self.claim, now_ms, timeout_ms) {
             ActionStep::Complete => self.done(true).await,
-            ActionStep::Tell => {
+            ActionStep::Send => {
                 self.call(VmAction::Reboot, self.claim.not_after_ms).await;
             }
-            ActionStep::BeginAgain => self.begin_again().await,
+            ActionStep::Recheck => self.begin_again().await,
             ActionStep::Wait => {}
             ActionStep::GiveUp => self.done(false).await,
         }
--- a/crates/decisions/src/action_step.rs
+++ b/crates/decisions/src/action_step.rs
@@ -11,9 +11,9 @@
     /// The VM has a new life: the claim is done.
     Complete,
     /// The VM may not have been told; the platform carries an action out once for each fence.
-    Tell,
+    Send,
     /// The VM was not told in time: the budget is rechecked before a new window opens.
-    BeginAgain,
+    Recheck,
     /// The VM is on its way.
     Wait,
     /// The VM did not come back: the claim is done without success.
@@ -26,7 +26,7 @@
 /// the VM alive in the life that it was claimed in, and tells it; a successor that waited for the
 /// VM to come back would wait until the action is overdue, and the wave with it.
 #[must_use]
-pub fn action_step(vm: &VmState, claim: &Claim, now_ms: u64, timeout_ms: u64) -> ActionStep {
+pub fn next_action_step(vm: &VmState, claim: &Claim, now_ms: u64, timeout_ms: u64) -> ActionStep {
     let is_live = vm.phase == VmPhase::Live;
     if is_live && vm.incarnation > claim.incarnation {
         return ActionStep::Complete;
@@ -38,8 +38,8 @@
         return ActionStep::Wait;
     }
     if now_ms <= claim.not_after_ms {
-        ActionStep::Tell
+        ActionStep::Send
     } else {
-        ActionStep::BeginAgain
+        ActionStep::Recheck
     }
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -28,7 +28,7 @@
 mod wave_health;
 mod waves;
 
-pub use action_step::{ActionStep, action_step};
+pub use action_step::{ActionStep, next_action_step};
 pub use admission::{
     Admission, AdmissionView, MAX_RETRY_BUDGET, TokenBucket, admit, budget_after_request,
     budget_after_retry, expected_wait_ms,
--- a/crates/decisions/tests/action_step.rs
+++ b/crates/decisions/tests/action_step.rs
@@ -1,7 +1,7 @@
 //! Next steps of actions under way.
 
 use {
-    lynxwheel_decisions::{ActionStep, action_step},
+    lynxwheel_decisions::{ActionStep, next_action_step},
     lynxwheel_protocol::{
         Amount, Budget, ClaimPurpose, PoolSpec, Record, RecordBody, Resource, Resources, VmPhase,
         VmReport, VmSpec, WaveAction, WaveGoal, WaveSpec, WriterId,
@@ -103,7 +103,7 @@
             let vm = begun_vm(VmPhase::$phase, $incarnation);
             let mut claim = vm.claim.clone().expect("a claim");
             claim.since_ms = BEGUN_MS;
-            let step = action_step(&vm, &claim, BEGUN_MS + $later_ms, TIMEOUT_MS);
+            let step = next_action_step(&vm, &claim, BEGUN_MS + $later_ms, TIMEOUT_MS);
             assert_eq!(step, ActionStep::$step);
         })*
     };
@@ -112,9 +112,9 @@
 cases! {
     /// A wave stands still for ten minutes. Its node was killed between the recheck and the call,
     /// and the successor waited for a VM to come back that had never been told to go.
-    holder_died_before_the_call: Live, 4, 1 => Tell;
+    holder_died_before_the_call: Live, 4, 1 => Send;
     /// The same, but the successor took over only after the window had passed.
-    holder_died_and_the_window_passed: Live, 4, 2 * WINDOW_MS => BeginAgain;
+    holder_died_and_the_window_passed: Live, 4, 2 * WINDOW_MS => Recheck;
     vm_is_down: Failed, 4, 1 => Wait;
     vm_is_back: Live, 5, 1 => Complete;
     vm_is_back_late: Live, 5, 2 * TIMEOUT_MS => Complete;
