--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -42,8 +42,8 @@
 pub use preemption::Preemption;
 pub use rendezvous::rendezvous_rank;
 pub use routing::{
-    EndpointView, RouteChoice, RoutePolicy, RouteReason, RouteRequest, least_loaded, own_share,
-    slot_shares,
+    EndpointView, RouteChoice, RoutePolicy, RouteReason, RouteRequest, least_loaded,
+    least_loaded_in_share, slot_shares,
 };
 pub use tuning::Tuning;
 pub use verdicts::{GiveUpPlan, GiveUpReason, QuarantinePlan, plan_give_ups, plan_quarantines};
--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -19,7 +19,7 @@
     /// Requests that it serves at once.
     pub slots: u32,
     /// Slots that are this node's own; over all nodes they add up to `slots`.
-    pub share: u32,
+    pub slot_share: u32,
 }
 
 /// What matters of a request for the choice.
@@ -87,8 +87,11 @@
 ///
 /// Shares of one set of nodes add up to the slots, so the nodes never exceed them together.
 #[must_use]
-pub fn own_share(request: &RouteRequest<'_>, endpoints: &[EndpointView<'_>]) -> RouteChoice {
-    choose(request, endpoints, |endpoint| endpoint.share)
+pub fn least_loaded_in_share(
+    request: &RouteRequest<'_>,
+    endpoints: &[EndpointView<'_>],
+) -> RouteChoice {
+    choose(request, endpoints, |endpoint| endpoint.slot_share)
 }
 
 /// Returns how many of an endpoint's slots belong to each of `nodes`, in their order.
--- a/crates/experiment/src/routing.rs
+++ b/crates/experiment/src/routing.rs
@@ -6,7 +6,9 @@
         policies::IN_USE,
         profile::Profile,
     },
-    lynxwheel_decisions::{EndpointView, RouteRequest, least_loaded, own_share, slot_shares},
+    lynxwheel_decisions::{
+        EndpointView, RouteRequest, least_loaded, least_loaded_in_share, slot_shares,
+    },
     lynxwheel_protocol::{NodeName, VmName, ZoneName},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
@@ -166,7 +168,7 @@
             in_progress: endpoints.own(index, node),
             peers_in_progress: endpoints.peers(index, node),
             slots: SLOTS,
-            share: self.shares[index][node],
+            slot_share: self.shares[index][node],
         };
         (0..ENDPOINTS).map(view).collect()
     }
@@ -251,7 +253,7 @@
     choices: &mut ChaCha8Rng,
 ) -> Option<usize> {
     match policy {
-        Routing::InUse => own_share(request, views).endpoint,
+        Routing::InUse => least_loaded_in_share(request, views).endpoint,
         Routing::Random => Some(choices.random_range(0..views.len())),
         Routing::LocalLeastLoaded => least_loaded(request, views).endpoint,
     }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -285,7 +285,7 @@
         in_progress: row.endpoint.in_progress(),
         peers_in_progress: row.endpoint.peers_in_progress(),
         slots,
-        share: row.share,
+        slot_share: row.share,
     }
 }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
     hyper::body::Incoming,
     log::info,
     lynxwheel_coordination::Node,
-    lynxwheel_decisions::{RoutePolicy, own_share},
+    lynxwheel_decisions::{RoutePolicy, least_loaded_in_share},
     lynxwheel_protocol::{EndpointLoad, ServiceSpec},
     lynxwheel_transport::Body,
     std::time::Duration,
@@ -35,7 +35,7 @@
     /// Creates the request path of a node.
     #[must_use]
     pub fn new(node: Node) -> Self {
-        Self::with_policy(node, own_share)
+        Self::with_policy(node, least_loaded_in_share)
     }
 
     /// Creates the request path of a node with another way to choose endpoints.
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -6,7 +6,7 @@
     http::{Method, Request, Response, StatusCode},
     hyper::body::Incoming,
     lynxwheel_coordination::{Duties, Node, NodeIdentity, NodeSettings, PeerAddress},
-    lynxwheel_decisions::{RoutePolicy, own_share},
+    lynxwheel_decisions::{RoutePolicy, least_loaded_in_share},
     lynxwheel_gateway::{
         Gateway, IDEMPOTENCY_KEY_HEADER, PEER_ANSWER_PATH, PEER_RUN_PATH, REQUEST_ID_HEADER,
     },
@@ -71,7 +71,7 @@
             deadline_ms: 10_000,
             team_rate_per_s: 0,
             slots: 8,
-            policy: own_share,
+            policy: least_loaded_in_share,
         }
     }
 }
--- a/crates/scenario/src/decide.rs
+++ b/crates/scenario/src/decide.rs
@@ -6,8 +6,9 @@
         world::{Chosen, StepResult, World},
     },
     lynxwheel_decisions::{
-        AdmissionView, EndpointView, ReviewStep, RouteRequest, Tuning, admit, forecast, own_share,
-        plan_claims, plan_give_ups, plan_placements, plan_quarantines, review_claims, slot_shares,
+        AdmissionView, EndpointView, ReviewStep, RouteRequest, Tuning, admit, forecast,
+        least_loaded_in_share, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
+        review_claims, slot_shares,
     },
     lynxwheel_protocol::{NodeName, RecordBody},
     lynxwheel_state::VmState,
@@ -137,14 +138,14 @@
                 in_progress: 0,
                 peers_in_progress: 0,
                 slots: SLOTS,
-                share: SLOTS,
+                slot_share: SLOTS,
             })
             .collect();
         let request = RouteRequest {
             zone: &node.zone,
             seed,
         };
-        let choice = own_share(&request, &views);
+        let choice = least_loaded_in_share(&request, &views);
         let chosen = choice.endpoint.map(|index| Chosen {
             vm: candidates[index].name.clone(),
             incarnation: candidates[index].incarnation,
