--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -30,11 +30,11 @@
     /// Requests that wait and would be served before it.
     pub ahead: usize,
     /// Requests that may wait at most.
-    pub limit: usize,
+    pub max_waiting: usize,
     /// Slots that serve the queue.
     pub slots: u32,
     /// Mean time for which a request takes a slot, in microseconds; 0 when none is known.
-    pub mean_us: u64,
+    pub mean_service_us: u64,
     /// Time until the request's deadline, in milliseconds.
     pub remaining_ms: u64,
 }
@@ -69,7 +69,7 @@
         Class::Normal => NORMAL_PERCENT,
         Class::Batch => BATCH_PERCENT,
     };
-    if view.waiting * 100 >= view.limit * percent {
+    if view.waiting * 100 >= view.max_waiting * percent {
         return Admission::QueueFull { retry_after_ms };
     }
     if wait_ms > view.remaining_ms {
@@ -82,7 +82,7 @@
 #[must_use]
 pub fn expected_wait_ms(view: &AdmissionView) -> u64 {
     let turns = view.ahead as u64 + 1;
-    turns * view.mean_us / u64::from(view.slots.max(1)) / 1_000
+    turns * view.mean_service_us / u64::from(view.slots.max(1)) / 1_000
 }
 
 /// Requests that a team may still send in a burst.
@@ -91,7 +91,7 @@
     /// Tokens in thousandths of a request.
     pub tokens_milli: u64,
     /// When they were counted, in milliseconds of any clock that does not go back.
-    pub at_ms: u64,
+    pub updated_ms: u64,
 }
 
 impl TokenBucket {
@@ -100,7 +100,7 @@
     pub fn full(rate_per_s: u32, now_ms: u64) -> Self {
         Self {
             tokens_milli: u64::from(rate_per_s) * 1_000,
-            at_ms: now_ms,
+            updated_ms: now_ms,
         }
     }
 
@@ -111,9 +111,9 @@
     /// Returns the time until the next token, in milliseconds.
     pub fn take(&mut self, rate_per_s: u32, now_ms: u64) -> Result<(), u64> {
         let rate = u64::from(rate_per_s.max(1));
-        let gained = now_ms.saturating_sub(self.at_ms).saturating_mul(rate);
+        let gained = now_ms.saturating_sub(self.updated_ms).saturating_mul(rate);
         let tokens_milli = self.tokens_milli.saturating_add(gained).min(rate * 1_000);
-        self.at_ms = self.at_ms.max(now_ms);
+        self.updated_ms = self.updated_ms.max(now_ms);
         self.tokens_milli = tokens_milli;
         if tokens_milli < 1_000 {
             return Err((1_000 - tokens_milli).div_ceil(rate));
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -14,9 +14,9 @@
         class,
         waiting,
         ahead,
-        limit: 100,
+        max_waiting: 100,
         slots: 10,
-        mean_us: 20_000,
+        mean_service_us: 20_000,
         remaining_ms: 1_000,
     }
 }
@@ -41,7 +41,7 @@
         Admission::QueueFull { retry_after_ms: 100 };
     turn_after_the_deadline: AdmissionView { remaining_ms: 50, ..view(Class::Normal, 40, 40) } =>
         Admission::TooLate { retry_after_ms: 100 };
-    unknown_service_time_refuses_nobody: AdmissionView { mean_us: 0, remaining_ms: 1, ..view(Class::Normal, 40, 40) } =>
+    unknown_service_time_refuses_nobody: AdmissionView { mean_service_us: 0, remaining_ms: 1, ..view(Class::Normal, 40, 40) } =>
         Admission::Wait;
 }
 
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -304,9 +304,9 @@
         class: request.class,
         waiting: lengths.waiting,
         ahead: lengths.ahead,
-        limit: MAX_WAITING,
+        max_waiting: MAX_WAITING,
         slots: service.slots(),
-        mean_us: service.queue.mean_us(),
+        mean_service_us: service.queue.mean_us(),
         remaining_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX),
     };
     match admit(&view) {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -46,7 +46,7 @@
         let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
         if rows.len() >= MAX_TEAMS {
             // A bucket is full again after a second, and then needs no row.
-            rows.retain(|row| now_ms < row.bucket.at_ms + REFILL_MS);
+            rows.retain(|row| now_ms < row.bucket.updated_ms + REFILL_MS);
         }
         let found = rows.binary_search_by(|row| {
             (row.service.as_str(), row.team.as_str()).cmp(&(service.as_str(), team))
--- a/crates/scenario/src/decide.rs
+++ b/crates/scenario/src/decide.rs
@@ -183,9 +183,9 @@
         class: class.0,
         waiting: *waiting,
         ahead: *ahead,
-        limit: *limit,
+        max_waiting: *limit,
         slots: *slots,
-        mean_us: *mean_us,
+        mean_service_us: *mean_us,
         remaining_ms: *remaining_ms,
     };
     format!("{:?}", admit(&view))
