--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -5,7 +5,7 @@
         drain::DrainEstimate,
         fleet_view::FleetView,
         forecast::{Forecast, forecast},
-        placement::demand_of,
+        placement::estimate_demand,
         tuning::Tuning,
         verdicts::{GiveUpReason, hopeless},
         wave_health::{WaveHealth, ramp_limit},
@@ -234,7 +234,7 @@
     if let Some(reason) = hopeless(state, job, if is_known { &shapes } else { &[] }) {
         return JobExplanation::Hopeless(reason);
     }
-    let demand = demand_of(job);
+    let demand = estimate_demand(job);
     let team = state.teams().get(job.spec.team.as_str());
     let has_quota = team.is_some_and(|team| team.used.plus(&demand).fits(&team.spec.quota));
     if !has_quota {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -38,7 +38,7 @@
 pub use explain::{Explanation, JobExplanation, VmExplanation, WaitReason, explain};
 pub use fleet_view::{FleetView, PoolView};
 pub use forecast::{Forecast, Outlook, forecast};
-pub use placement::{Placement, PlacementPlan, PlacementReason, demand_of, plan_placements};
+pub use placement::{Placement, PlacementPlan, PlacementReason, estimate_demand, plan_placements};
 pub use preemption::Preemption;
 pub use rendezvous::rendezvous_rank;
 pub use routing::{
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -101,7 +101,7 @@
 /// Declared sizes are often far off, so what earlier attempts used goes before the declaration:
 /// with some headroom up to what was declared, and as observed above it.
 #[must_use]
-pub fn demand_of(job: &JobState) -> Resources {
+pub fn estimate_demand(job: &JobState) -> Resources {
     let used = &job.estimate.used;
     let declared = &job.spec.demand;
     if *used == Resources::default() {
@@ -147,7 +147,7 @@
     }
 
     fn place(&mut self, job: &JobState, plan: &mut PlacementPlan) {
-        let demand = demand_of(job);
+        let demand = estimate_demand(job);
         let Some(pool) = self.view.pool_index(job.spec.pool.as_str()) else {
             return;
         };
--- a/crates/decisions/src/verdicts.rs
+++ b/crates/decisions/src/verdicts.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         fleet_view::{FleetView, PoolView},
-        placement::demand_of,
+        placement::estimate_demand,
     },
     lynxwheel_protocol::{JobName, Resources, VmName},
     lynxwheel_state::{FleetState, JobPhase, JobState},
@@ -99,7 +99,7 @@
     job: &JobState,
     shapes: &[Resources],
 ) -> Option<GiveUpReason> {
-    let demand = demand_of(job);
+    let demand = estimate_demand(job);
     let team = state.teams().get(job.spec.team.as_str())?;
     if !demand.fits(&team.spec.quota) {
         return Some(GiveUpReason::LargerThanQuota);
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -261,7 +261,7 @@
         .filter(|vm| {
             let free = vm.free();
             waiting.iter().any(|job| {
-                job.spec.pool == vm.pool && lynxwheel_decisions::demand_of(job).fits(&free)
+                job.spec.pool == vm.pool && lynxwheel_decisions::estimate_demand(job).fits(&free)
             })
         })
         .map(|vm| f64::from(vm.free().cores_milli) / f64::from(vm.capacity.cores_milli))
