--- a/crates/decisions/src/drain.rs
+++ b/crates/decisions/src/drain.rs
@@ -45,13 +45,13 @@
     /// Returns the cost by which VMs are put in order, in milliseconds.
     #[must_use]
     pub fn cost_ms(&self, tuning: &Tuning) -> u64 {
-        self.wait_ms + u64::from(self.job_moves) * tuning.patience_ms
+        self.wait_ms + u64::from(self.job_moves) * tuning.max_job_wait_ms
     }
 
     fn add(&mut self, job: &JobState, tuning: &Tuning, now_ms: u64) {
         let left_ms = remaining_ms(job, now_ms);
         let is_stopped = job.attempt.as_ref().is_some_and(|run| run.stopping);
-        let is_moved = job.spec.checkpoint && (left_ms > tuning.patience_ms || is_stopped);
+        let is_moved = job.spec.checkpoint && (left_ms > tuning.max_job_wait_ms || is_stopped);
         self.wait_ms = self
             .wait_ms
             .max(if is_moved { CHECKPOINT_MS } else { left_ms });
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -26,11 +26,11 @@
     /// VMs that a wave claims before the first one is done, in percent of its VMs.
     pub first_step_percent: u32,
     /// A job that ends within this time is waited for; one that runs longer is moved.
-    pub patience_ms: u64,
+    pub max_job_wait_ms: u64,
     /// Whether VMs that planned work takes next are kept free of new starts.
-    pub cordons: bool,
+    pub can_cordon: bool,
     /// Room for new starts that a pool keeps while VMs are kept free, in percent of its capacity.
-    pub room_kept_percent: u32,
+    pub min_free_percent: u32,
 }
 
 impl Tuning {
@@ -49,9 +49,9 @@
             } else {
                 CAREFUL_FIRST_STEP_PERCENT
             },
-            patience_ms: (BASE_PATIENCE_MS * others / (2 * roll_out)).min(MAX_PATIENCE_MS),
-            cordons: true,
-            room_kept_percent: if is_eager {
+            max_job_wait_ms: (BASE_PATIENCE_MS * others / (2 * roll_out)).min(MAX_PATIENCE_MS),
+            can_cordon: true,
+            min_free_percent: if is_eager {
                 EAGER_ROOM_PERCENT
             } else {
                 CAREFUL_ROOM_PERCENT
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -275,11 +275,11 @@
     let mut kept = Resources::default();
     for vm in pool.vms.iter().filter(|vm| vm.is_available()) {
         room = room.plus(&vm.free());
-        kept = kept.plus(&percent_of(&vm.capacity, tuning.room_kept_percent));
+        kept = kept.plus(&percent_of(&vm.capacity, tuning.min_free_percent));
     }
     let claimed: u32 = pool.pool.claimed_zones.iter().map(|row| row.1).sum();
     let least = (pool.pool.availability().spare() + claimed) as usize;
-    let mut is_cordoned = tuning.cordons;
+    let mut is_cordoned = tuning.can_cordon;
     let mut found: Vec<Upcoming<'a>> = Vec::new();
     for candidate in candidates(state, pool, tuning, now_ms, waves) {
         room = room.minus(&candidate.vm.free());
@@ -287,7 +287,7 @@
         is_cordoned &= is_needed || kept.fits(&room);
         found.push(Upcoming {
             vm: &candidate.vm.name,
-            wait_ms: if tuning.cordons {
+            wait_ms: if tuning.can_cordon {
                 candidate.drain.wait_ms
             } else {
                 u64::MAX
--- a/crates/experiment/src/policies.rs
+++ b/crates/experiment/src/policies.rs
@@ -59,7 +59,7 @@
             return tuning;
         }
         Tuning {
-            cordons: false,
+            can_cordon: false,
             ..tuning
         }
     }
