--- a/crates/decisions/src/claim_review.rs
+++ b/crates/decisions/src/claim_review.rs
@@ -85,7 +85,7 @@
     live_nodes: &[NodeName],
     reviews: &mut Vec<ClaimReview>,
 ) {
-    let availability = pool.pool.availability();
+    let availability = pool.state.availability();
     let mut deficit = availability.floor.saturating_sub(availability.available);
     let mut claims: Vec<(&VmState, &Claim)> = pool
         .vms
--- a/crates/decisions/src/fleet_view.rs
+++ b/crates/decisions/src/fleet_view.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub struct PoolView<'a> {
     /// Pool.
-    pub pool: &'a PoolState,
+    pub state: &'a PoolState,
     /// Members in order of name.
     pub vms: Vec<&'a VmState>,
 }
@@ -28,7 +28,7 @@
             .pools()
             .iter()
             .map(|pool| PoolView {
-                pool,
+                state: pool,
                 vms: Vec::new(),
             })
             .collect();
@@ -49,6 +49,6 @@
 
 fn index_of(pools: &[PoolView<'_>], name: &str) -> Option<usize> {
     pools
-        .binary_search_by(|view| view.pool.spec.name.as_str().cmp(name))
+        .binary_search_by(|view| view.state.spec.name.as_str().cmp(name))
         .ok()
 }
--- a/crates/decisions/src/wave_health.rs
+++ b/crates/decisions/src/wave_health.rs
@@ -133,7 +133,7 @@
 pub fn ramp_limit(view: &FleetView<'_>, wave: &WaveState, tuning: &Tuning) -> u32 {
     let members: u32 = member_pools(view, wave)
         .into_iter()
-        .map(|pool| view.pools[pool].pool.members)
+        .map(|pool| view.pools[pool].state.members)
         .sum();
     let first_step = (members * tuning.first_step_percent).div_ceil(100);
     first_step.max(1) + wave.done.saturating_sub(wave.failed)
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -78,7 +78,7 @@
     let mut plans = Vec::new();
     let wanted = pools_wanted_by_urgent(state, now_ms);
     for pool in &view.pools {
-        if wanted.binary_search(&&pool.pool.spec.name).is_ok() {
+        if wanted.binary_search(&&pool.state.spec.name).is_ok() {
             continue;
         }
         plan_pool(state, pool, tuning, now_ms, &mut waves, &mut plans);
@@ -134,7 +134,7 @@
     waves: &mut [RunningWave<'_>],
     plans: &mut Vec<ClaimPlan>,
 ) {
-    let mut slots = pool.pool.availability().spare();
+    let mut slots = pool.state.availability().spare();
     if slots == 0 {
         return;
     }
@@ -277,8 +277,8 @@
         room = room.plus(&vm.free());
         kept = kept.plus(&percent_of(&vm.capacity, tuning.min_free_percent));
     }
-    let claimed: u32 = pool.pool.claimed_zones.iter().map(|row| row.1).sum();
-    let least = (pool.pool.availability().spare() + claimed) as usize;
+    let claimed: u32 = pool.state.claimed_zones.iter().map(|row| row.1).sum();
+    let least = (pool.state.availability().spare() + claimed) as usize;
     let mut is_cordoned = tuning.can_cordon;
     let mut found: Vec<Upcoming<'a>> = Vec::new();
     for candidate in candidates(state, pool, tuning, now_ms, waves) {
@@ -327,13 +327,13 @@
 }
 
 fn claimed_zones(pool: &PoolView<'_>) -> Vec<ZoneName> {
-    let rows = pool.pool.claimed_zones.iter();
+    let rows = pool.state.claimed_zones.iter();
     rows.map(|row| row.0.clone()).collect()
 }
 
 /// Opens a zone if the budget allows one more.
 fn open_zone(pool: &PoolView<'_>, zones: &mut Vec<ZoneName>, zone: &ZoneName) {
-    let limit = pool.pool.spec.budget.zones_at_once.max(1) as usize;
+    let limit = pool.state.spec.budget.zones_at_once.max(1) as usize;
     if let Err(row) = zones.binary_search(zone)
         && zones.len() < limit
     {
--- a/crates/experiment/src/policies.rs
+++ b/crates/experiment/src/policies.rs
@@ -81,8 +81,8 @@
         let fleet_zone = first_zone(&view, wave);
         let claims = view.pools.iter().flat_map(|pool| match self {
             Self::ZoneByZone => batch(pool, wave, fleet_zone, u32::MAX),
-            Self::OneAtATime if pool.pool.claimed_zones.is_empty() => batch(pool, wave, None, 1),
-            Self::FixedBatch if pool.pool.claimed_zones.is_empty() => {
+            Self::OneAtATime if pool.state.claimed_zones.is_empty() => batch(pool, wave, None, 1),
+            Self::FixedBatch if pool.state.claimed_zones.is_empty() => {
                 batch(pool, wave, None, u32::MAX)
             }
             _ => Vec::new(),
@@ -120,7 +120,7 @@
     let Some(zone) = zone.or_else(|| due.first().map(|vm| &vm.zone)) else {
         return Vec::new();
     };
-    let count = pool.pool.availability().spare().min(limit) as usize;
+    let count = pool.state.availability().spare().min(limit) as usize;
     due.into_iter()
         .filter(|vm| vm.zone == *zone)
         .take(count)
