--- a/crates/api/src/answers.rs
+++ b/crates/api/src/answers.rs
@@ -92,7 +92,7 @@
 pub(crate) fn delete_problem(rejection: &Rejection, state: &FleetState) -> Problem {
     let mut problem = problem_of(rejection);
     if let Rejection::StillNeeded { reference, by } = rejection {
-        problem.needed_by = state.dependants(reference);
+        problem.needed_by = state.dependents(reference);
         if !problem.needed_by.contains(by) {
             problem.needed_by.insert(0, by.clone());
         }
@@ -116,7 +116,7 @@
 }
 
 fn missing_fields(resource: &Resource, state: &FleetState) -> Vec<FieldError> {
-    let missing = state.missing_needs(resource).into_iter();
+    let missing = state.missing_dependencies(resource).into_iter();
     missing
         .map(|need| FieldError {
             field: resource.need_field(need.kind).into(),
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -152,7 +152,7 @@
     }
 
     fn check_needs(&self, resource: &Resource) -> Result<(), Rejection> {
-        match self.missing_needs(resource).into_iter().next() {
+        match self.missing_dependencies(resource).into_iter().next() {
             Some(reference) => Err(Rejection::Missing { reference }),
             None => Ok(()),
         }
@@ -160,7 +160,7 @@
 
     /// Returns every resource that a declaration refers to and that is not declared.
     #[must_use]
-    pub fn missing_needs(&self, resource: &Resource) -> Vec<ResourceRef> {
+    pub fn missing_dependencies(&self, resource: &Resource) -> Vec<ResourceRef> {
         let mut needs = resource.needs();
         needs.retain(|need| !self.names_contain(need.kind, &need.name));
         needs
@@ -403,12 +403,12 @@
 
     /// Returns a resource that still needs `reference`.
     fn needed_by(&self, reference: &ResourceRef) -> Option<ResourceRef> {
-        self.dependants(reference).into_iter().next()
+        self.dependents(reference).into_iter().next()
     }
 
     /// Returns every resource that still needs `reference`, so that it cannot be withdrawn.
     #[must_use]
-    pub fn dependants(&self, reference: &ResourceRef) -> Vec<ResourceRef> {
+    pub fn dependents(&self, reference: &ResourceRef) -> Vec<ResourceRef> {
         let name = reference.name.as_str();
         match reference.kind {
             Kind::Pool => self.pool_dependants(name),
@@ -446,21 +446,21 @@
     }
 
     fn pool_dependants(&self, name: &str) -> Vec<ResourceRef> {
-        let mut dependants =
+        let mut dependents =
             self.vms_where(|vm| vm.pool.as_str() == name || vm.wanted_pool.as_str() == name);
         let services = self
             .services()
             .filter(|spec| spec.pool.as_str() == name)
             .map(|spec| ResourceRef::new(Kind::Service, spec.name.as_str()));
-        dependants.extend(services);
-        dependants.extend(self.jobs_where(|job| job.spec.pool.as_str() == name));
+        dependents.extend(services);
+        dependents.extend(self.jobs_where(|job| job.spec.pool.as_str() == name));
         let waves = self
             .waves
             .iter()
             .filter(|wave| wave.spec.pools.iter().any(|pool| pool.as_str() == name))
             .map(|wave| ResourceRef::new(Kind::Wave, wave.spec.name.as_str()));
-        dependants.extend(waves);
-        dependants
+        dependents.extend(waves);
+        dependents
     }
 }
 
