--- a/crates/coordination/src/divergence.rs
+++ b/crates/coordination/src/divergence.rs
@@ -3,7 +3,7 @@
 use {
     log::error,
     lynxwheel_protocol::{FOLD_VERSION, NodeName, PeerHello},
-    lynxwheel_state::{FleetState, save},
+    lynxwheel_state::{FleetState, encode_snapshot},
     std::{
         collections::VecDeque,
         sync::{
@@ -94,7 +94,7 @@
         };
         let digest = mark
             .digest
-            .get_or_init(|| save(&mark.state).map_or(0, |bytes| xxh3_64(&bytes)));
+            .get_or_init(|| encode_snapshot(&mark.state).map_or(0, |bytes| xxh3_64(&bytes)));
         DigestAt {
             offset: mark.state.offset(),
             digest: *digest,
--- a/crates/coordination/src/peer_server.rs
+++ b/crates/coordination/src/peer_server.rs
@@ -6,7 +6,7 @@
     hyper::body::Incoming,
     log::warn,
     lynxwheel_protocol::{FOLD_VERSION, PeerEntries, PeerHello, PeerSnapshot, decode_message},
-    lynxwheel_state::save,
+    lynxwheel_state::encode_snapshot,
     lynxwheel_transport::{Body, collect_body, error_answer, message_answer},
 };
 
@@ -94,7 +94,7 @@
             return error_answer(StatusCode::SERVICE_UNAVAILABLE, "the state has diverged");
         }
         let state = self.state();
-        match save(&state) {
+        match encode_snapshot(&state) {
             Ok(bytes) => message_answer(&PeerSnapshot {
                 offset: state.offset(),
                 digest: state.digest(),
--- a/crates/coordination/src/recovery.rs
+++ b/crates/coordination/src/recovery.rs
@@ -9,7 +9,7 @@
     },
     log::{error, info, warn},
     lynxwheel_protocol::{PeerHello, PeerSnapshot, ReadAnswer, decode_chunk},
-    lynxwheel_state::{FleetState, restore},
+    lynxwheel_state::{FleetState, decode_snapshot},
     lynxwheel_transport::Client,
     std::time::Duration,
     tokio::task::JoinSet,
@@ -121,7 +121,7 @@
             return None;
         }
     };
-    let state = restore(&snapshot.bytes).ok()?;
+    let state = decode_snapshot(&snapshot.bytes).ok()?;
     let is_whole = state.offset() == snapshot.offset && state.digest() == snapshot.digest;
     is_whole.then_some(state)
 }
--- a/crates/coordination/src/snapshot_chunks.rs
+++ b/crates/coordination/src/snapshot_chunks.rs
@@ -2,7 +2,7 @@
 
 use {
     lynxwheel_protocol::{MAX_SNAPSHOT_CHUNKS, SNAPSHOT_CHUNK_BYTES, SnapshotChunk, SnapshotId},
-    lynxwheel_state::{FleetState, restore, save},
+    lynxwheel_state::{FleetState, decode_snapshot, encode_snapshot},
     xxhash_rust::xxh3::xxh3_64,
 };
 
@@ -12,7 +12,7 @@
 /// Cuts a state into chunks; nothing when it cannot be encoded or is too large.
 #[must_use]
 pub fn cut_snapshot(state: &FleetState, writer: u64) -> Option<Vec<SnapshotChunk>> {
-    let bytes = save(state).ok()?;
+    let bytes = encode_snapshot(state).ok()?;
     let chunks = u32::try_from(bytes.len().div_ceil(SNAPSHOT_CHUNK_BYTES)).ok()?;
     if chunks > MAX_SNAPSHOT_CHUNKS {
         return None;
@@ -109,7 +109,7 @@
         if xxh3_64(&bytes) != self.id.digest {
             return None;
         }
-        let state = restore(&bytes).ok()?;
+        let state = decode_snapshot(&bytes).ok()?;
         (state.offset() == self.id.offset).then_some(state)
     }
 }
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -10,7 +10,7 @@
         TaskReport, TaskStart, VmEntry, VmList, VmListState, VmPhase, VmReport, WriterId,
         decode_chunk, decode_message, decode_record, encode_chunk, encode_message, encode_record,
     },
-    lynxwheel_state::{FleetState, restore, save},
+    lynxwheel_state::{FleetState, decode_snapshot, encode_snapshot},
     serde::de::DeserializeOwned,
 };
 
@@ -151,9 +151,9 @@
 
 #[test]
 fn snapshots_of_any_bytes() {
-    let valid = vec![save(&state()).expect("small")];
+    let valid = vec![encode_snapshot(&state()).expect("small")];
     run(3, &inputs(valid), |bytes| {
-        drop(restore(&bytes));
+        drop(decode_snapshot(&bytes));
         true
     });
 }
@@ -181,7 +181,7 @@
     for bytes in nested() {
         assert!(decode_record(&bytes[..MAX_RECORD_BYTES]).is_err());
         assert!(decode_all_messages(&bytes));
-        assert!(restore(&bytes).is_err());
+        assert!(decode_snapshot(&bytes).is_err());
     }
 }
 
--- a/crates/state/benches/fold.rs
+++ b/crates/state/benches/fold.rs
@@ -6,7 +6,7 @@
     divan::{Bencher, black_box, counter::ItemsCount},
     full_size::{fleet, maintenance},
     lynxwheel_protocol::{Record, decode_record, encode_record},
-    lynxwheel_state::{FleetState, restore, save},
+    lynxwheel_state::{FleetState, decode_snapshot, encode_snapshot},
 };
 
 /// Quarters of the full size that are measured.
@@ -89,12 +89,12 @@
 #[divan::bench(args = QUARTERS, sample_count = 10)]
 fn save_state(bencher: Bencher, quarters: u64) {
     let state = fleet(quarters);
-    bencher.bench_local(|| save(black_box(&state)));
+    bencher.bench_local(|| encode_snapshot(black_box(&state)));
 }
 
 /// Decodes the state.
 #[divan::bench(args = QUARTERS, sample_count = 10)]
 fn restore_state(bencher: Bencher, quarters: u64) {
-    let bytes = save(&fleet(quarters)).expect("a state");
-    bencher.bench_local(|| restore(black_box(&bytes)));
+    let bytes = encode_snapshot(&fleet(quarters)).expect("a state");
+    bencher.bench_local(|| decode_snapshot(black_box(&bytes)));
 }
--- a/crates/state/examples/state_size.rs
+++ b/crates/state/examples/state_size.rs
@@ -6,7 +6,7 @@
 mod full_size;
 
 use {
-    lynxwheel_state::{restore, save},
+    lynxwheel_state::{decode_snapshot, encode_snapshot},
     std::{env, fs, time::Instant},
 };
 
@@ -24,12 +24,12 @@
         resident_bytes().saturating_sub(empty_bytes)
     );
     let started = Instant::now();
-    let bytes = save(&built).expect("a state");
+    let bytes = encode_snapshot(&built).expect("a state");
     println!("save_ms {:.1}", started.elapsed().as_secs_f64() * 1_000.0);
     drop(built);
     let before_bytes = resident_bytes();
     let started = Instant::now();
-    let state = restore(&bytes).expect("own bytes");
+    let state = decode_snapshot(&bytes).expect("own bytes");
     println!(
         "restore_ms {:.1}",
         started.elapsed().as_secs_f64() * 1_000.0
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -40,7 +40,7 @@
 pub use jobs::{Attempt, Estimate, JobPhase, JobState, TeamState};
 pub use keys::{KeyEntry, KeyState};
 pub use placements::TASK_LEASE_MS;
-pub use snapshot::{SnapshotError, restore, save};
+pub use snapshot::{SnapshotError, decode_snapshot, encode_snapshot};
 pub use table::{Keyed, SortedTable};
 pub use verdict::{Rejection, Verdict};
 pub use vms::{Claim, ClaimStage, PoolState, VmState, WaveState};
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// Fails when the codec does.
-pub fn save(state: &FleetState) -> Result<Vec<u8>, SnapshotError> {
+pub fn encode_snapshot(state: &FleetState) -> Result<Vec<u8>, SnapshotError> {
     rmp_serde::to_vec(state).map_err(|error| SnapshotError::Encode {
         reason: error.to_string(),
     })
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// Fails when the bytes are no state.
-pub fn restore(bytes: &[u8]) -> Result<FleetState, SnapshotError> {
+pub fn decode_snapshot(bytes: &[u8]) -> Result<FleetState, SnapshotError> {
     rmp_serde::from_slice(bytes).map_err(|error| SnapshotError::Decode {
         reason: error.to_string(),
     })
--- a/crates/state/tests/fold_model/mod.rs
+++ b/crates/state/tests/fold_model/mod.rs
@@ -5,7 +5,7 @@
         Amount, Budget, ClaimPurpose, PoolSpec, Record, RecordBody, RequestKey, Resource,
         Resources, VmPhase, VmReport, VmSpec, WaveAction, WaveGoal, WaveSpec, WriterId, ZoneName,
     },
-    lynxwheel_state::{FleetState, PoolState, Verdict, restore, save},
+    lynxwheel_state::{FleetState, PoolState, Verdict, decode_snapshot, encode_snapshot},
     proptest::prelude::*,
     std::fmt::Debug,
 };
@@ -252,12 +252,12 @@
         for (offset, record) in (1..).zip(&self.records) {
             state.apply(offset, record);
             if offset == from as u64 {
-                let bytes = save(&state).map_err(|error| fail(&error))?;
-                state = restore(&bytes).map_err(|error| fail(&error))?;
+                let bytes = encode_snapshot(&state).map_err(|error| fail(&error))?;
+                state = decode_snapshot(&bytes).map_err(|error| fail(&error))?;
             }
         }
         prop_assert_eq!(state.digest(), self.state.digest());
-        let bytes = |state| save(state).map_err(|error| fail(&error));
+        let bytes = |state| encode_snapshot(state).map_err(|error| fail(&error));
         let is_same = bytes(&state)? == bytes(&self.state)?;
         prop_assert!(is_same, "other bytes from a snapshot at {from}");
         prop_assert!(
