--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -103,7 +103,7 @@
         if is_vm_gone(vm, &self.attempt) {
             // Asked before, the fold would reject it: a lost rack's attempts would fill the log
             // with rejected records, some in each tick, until their leases have lapsed.
-            if state.is_over(&self.attempt) {
+            if state.is_attempt_over(&self.attempt) {
                 self.end(JobOutcome::Lost).await;
             }
             return;
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -130,7 +130,7 @@
         let ended = self
             .running(name, attempt)
             .and_then(|job| job.attempt.clone())
-            .filter(|attempt| outcome != JobOutcome::Lost || self.is_over(attempt));
+            .filter(|attempt| outcome != JobOutcome::Lost || self.is_attempt_over(attempt));
         let Some(ended) = ended else {
             return Verdict::Rejected(Rejection::WrongAttempt { job: name.clone() });
         };
@@ -162,7 +162,7 @@
     /// twice. It is over when the machine has a new life, or when it has been failed for so long
     /// that the attempt's lease has lapsed.
     #[must_use]
-    pub fn is_over(&self, attempt: &Attempt) -> bool {
+    pub fn is_attempt_over(&self, attempt: &Attempt) -> bool {
         self.vms.get(attempt.vm.as_str()).is_none_or(|vm| {
             vm.incarnation > attempt.vm_incarnation
                 || vm.phase == VmPhase::Failed && self.time_ms >= vm.evidence_ms + LOST_AFTER_MS
