--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -197,7 +197,7 @@
         .pools
         .iter()
         .filter_map(|name| state.pools().get(name.as_str()))
-        .filter(|pool| pool.availability().spare() == 0 && is_due(pool))
+        .filter(|pool| pool.availability().spare_vms() == 0 && is_due(pool))
         .take(NAMED_POOLS)
         .map(|pool| format!("{} {} of {}", pool.spec.name, pool.available, pool.floor()))
         .collect();
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -196,7 +196,7 @@
         return WaitReason::Turn;
     };
     let availability = pool.availability();
-    if availability.spare() == 0 {
+    if availability.spare_vms() == 0 {
         WaitReason::Budget(availability)
     } else if !pool.allows_zone(&vm.zone) {
         WaitReason::OtherZone
--- a/crates/decisions/src/forecast.rs
+++ b/crates/decisions/src/forecast.rs
@@ -92,7 +92,7 @@
         let due = pool.vms.iter().filter(|vm| is_due(wave, vm)).count();
         let due = u32::try_from(due).unwrap_or(u32::MAX);
         let claimed: u32 = pool.state.claimed_zones.iter().map(|row| row.1).sum();
-        let slots = pool.state.availability().spare() + claimed;
+        let slots = pool.state.availability().spare_vms() + claimed;
         load.add(due, slots, rounds_until(wave, now_ms, action_ms));
     }
     Forecast {
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -134,7 +134,7 @@
     waves: &mut [RunningWave<'_>],
     plans: &mut Vec<ClaimPlan>,
 ) {
-    let mut slots = pool.state.availability().spare();
+    let mut slots = pool.state.availability().spare_vms();
     if slots == 0 {
         return;
     }
@@ -278,7 +278,7 @@
         kept = kept.plus(&percent_of(&vm.capacity, tuning.min_free_percent));
     }
     let claimed: u32 = pool.state.claimed_zones.iter().map(|row| row.1).sum();
-    let least = (pool.state.availability().spare() + claimed) as usize;
+    let least = (pool.state.availability().spare_vms() + claimed) as usize;
     let mut is_cordoned = tuning.can_cordon;
     let mut found: Vec<Upcoming<'a>> = Vec::new();
     for candidate in candidates(state, pool, tuning, now_ms, waves) {
--- a/crates/experiment/src/policies.rs
+++ b/crates/experiment/src/policies.rs
@@ -120,7 +120,7 @@
     let Some(zone) = zone.or_else(|| due.first().map(|vm| &vm.zone)) else {
         return Vec::new();
     };
-    let count = pool.state.availability().spare().min(limit) as usize;
+    let count = pool.state.availability().spare_vms().min(limit) as usize;
     due.into_iter()
         .filter(|vm| vm.zone == *zone)
         .take(count)
--- a/crates/state/src/availability.rs
+++ b/crates/state/src/availability.rs
@@ -19,7 +19,7 @@
 impl PoolAvailability {
     /// Returns how many more VMs planned work may take now.
     #[must_use]
-    pub fn spare(&self) -> u32 {
+    pub fn spare_vms(&self) -> u32 {
         self.available.saturating_sub(self.floor)
     }
 }
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -61,7 +61,7 @@
             return Ok(());
         };
         let taken = u32::from(vm.is_available());
-        if taken > pool.availability().spare() {
+        if taken > pool.availability().spare_vms() {
             return Err(Rejection::BudgetExhausted {
                 pool: vm.pool.clone(),
                 available: pool.available,
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -390,7 +390,7 @@
             });
         }
         match self.pools.get(vm.pool.as_str()) {
-            Some(pool) if vm.is_available() && pool.availability().spare() == 0 => {
+            Some(pool) if vm.is_available() && pool.availability().spare_vms() == 0 => {
                 Err(Rejection::BudgetExhausted {
                     pool: vm.pool.clone(),
                     available: pool.available,
