--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -1,60 +1,61 @@
-//! What the customer's weights mean for waves and placement.
+//! Parameters of waves and placement, derived from the policy's weights.
 
 use lynxwheel_protocol::Weights;
 
-/// Time for which an equal weighing waits for a job rather than move it, in milliseconds.
-const BASE_PATIENCE_MS: u64 = 10 * 60 * 1_000;
+/// Wait for a job before it is moved when all weights are equal, in milliseconds.
+const BASE_JOB_WAIT_MS: u64 = 10 * 60 * 1_000;
 
-/// Longest time for which any weighing waits for a job that could be moved, in milliseconds.
-const MAX_PATIENCE_MS: u64 = 2 * 60 * 60 * 1_000;
+/// Upper bound of the wait for a job that could be moved, in milliseconds.
+const MAX_JOB_WAIT_MS: u64 = 2 * 60 * 60 * 1_000;
 
-/// First step of a wave when roll-out weighs most, in percent of the VMs that it maintains.
-const EAGER_FIRST_STEP_PERCENT: u32 = 10;
+/// First step of a wave when roll-out outweighs the buffer, in percent of the wave's VMs.
+const FAST_FIRST_STEP_PERCENT: u32 = 10;
 
-/// First step of a wave otherwise, in percent of the VMs that it maintains.
-const CAREFUL_FIRST_STEP_PERCENT: u32 = 5;
+/// First step of a wave otherwise, in percent of the wave's VMs.
+const DEFAULT_FIRST_STEP_PERCENT: u32 = 5;
 
-/// Room for new starts that a pool keeps when roll-out weighs most, in percent.
-const EAGER_ROOM_PERCENT: u32 = 15;
+/// Free capacity of a pool when roll-out outweighs the buffer, in percent.
+const FAST_MIN_FREE_PERCENT: u32 = 15;
 
-/// Room for new starts that a pool keeps otherwise, in percent.
-const CAREFUL_ROOM_PERCENT: u32 = 30;
+/// Free capacity of a pool otherwise, in percent.
+const DEFAULT_MIN_FREE_PERCENT: u32 = 30;
 
-/// The same decisions with other weights.
+/// Parameters of the planning functions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Tuning {
-    /// VMs that a wave claims before the first one is done, in percent of its VMs.
+    /// VMs that a wave may claim before the first one is done, in percent of its VMs.
     pub first_step_percent: u32,
-    /// A job that ends within this time is waited for; one that runs longer is moved.
+    /// Longest remaining run time of a job that is waited for; longer jobs are moved.
     pub max_job_wait_ms: u64,
-    /// Whether VMs that planned work takes next are kept free of new starts.
+    /// Whether VMs that planned work takes next are cordoned.
     pub can_cordon: bool,
-    /// Room for new starts that a pool keeps while VMs are kept free, in percent of its capacity.
+    /// Free capacity that a pool keeps for new starts when VMs are cordoned, in percent.
     pub min_free_percent: u32,
 }
 
 impl Tuning {
-    /// Derives the tuning from the weights in force.
+    /// Derives the parameters from the weights in force.
     ///
-    /// Waiting for a job costs roll-out time and moving it costs a move, so the patience grows
-    /// with the weight of moves and buffer in proportion to that of roll-out.
+    /// Waiting for a job delays the roll-out and moving it interrupts the job, so the wait grows
+    /// with the weights of moves and buffer relative to that of roll-out.
     #[must_use]
     pub fn new(weights: Weights) -> Self {
-        let roll_out = u64::from(weights.roll_out.max(1));
-        let others = u64::from(weights.buffer) + u64::from(weights.moves);
-        let is_eager = weights.roll_out > weights.buffer;
+        let roll_out_weight = u64::from(weights.roll_out.max(1));
+        let other_weights = u64::from(weights.buffer) + u64::from(weights.moves);
+        let prefers_roll_out = weights.roll_out > weights.buffer;
         Self {
-            first_step_percent: if is_eager {
-                EAGER_FIRST_STEP_PERCENT
+            first_step_percent: if prefers_roll_out {
+                FAST_FIRST_STEP_PERCENT
             } else {
-                CAREFUL_FIRST_STEP_PERCENT
+                DEFAULT_FIRST_STEP_PERCENT
             },
-            max_job_wait_ms: (BASE_PATIENCE_MS * others / (2 * roll_out)).min(MAX_PATIENCE_MS),
+            max_job_wait_ms: (BASE_JOB_WAIT_MS * other_weights / (2 * roll_out_weight))
+                .min(MAX_JOB_WAIT_MS),
             can_cordon: true,
-            min_free_percent: if is_eager {
-                EAGER_ROOM_PERCENT
+            min_free_percent: if prefers_roll_out {
+                FAST_MIN_FREE_PERCENT
             } else {
-                CAREFUL_ROOM_PERCENT
+                DEFAULT_MIN_FREE_PERCENT
             },
         }
     }
