--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -13,6 +13,7 @@
 
 mod action_step;
 mod admission;
+mod allocation;
 mod claim_review;
 mod drain;
 mod explain;
@@ -21,7 +22,6 @@
 mod placement;
 mod preemption;
 mod rendezvous;
-mod room;
 mod routing;
 mod tuning;
 mod verdicts;
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
+        allocation::{PoolRoom, Tier},
         fleet_view::FleetView,
         preemption::{Preemption, make_room},
-        room::{PoolRoom, Tier},
         tuning::Tuning,
         waves::{RunningWave, running_waves},
     },
--- a/crates/decisions/src/preemption.rs
+++ b/crates/decisions/src/preemption.rs
@@ -1,7 +1,7 @@
 //! Stopping lower work for urgent work.
 
 use {
-    crate::room::PoolRoom,
+    crate::allocation::PoolRoom,
     lynxwheel_protocol::{Class, JobName, Resources},
     lynxwheel_state::{FleetState, JobState},
     std::cmp::Reverse,
