--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,7 @@
 //! Pure decisions of lynxwheel: routing, waves, moves and placement.
 //!
-//! A decision takes the folded state and what the node knows besides, and returns what to do with
-//! the reason as data. It reads no clock, does no I/O and holds no hidden randomness.
+//! A decision takes the folded state and the node's own observations, and returns what to do and
+//! why as data. It reads no clock, does no I/O and uses no randomness.
 //!
 //! ```
 //! use lynxwheel_decisions::rendezvous_rank;
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        allocation::{PoolRoom, Tier},
+        allocation::{PlacementTier, PoolAllocation},
         fleet_view::FleetView,
-        preemption::{Preemption, make_room},
+        preemption::{Preemption, preempt_for},
         tuning::Tuning,
         waves::{RunningWave, running_waves},
     },
@@ -12,21 +12,21 @@
     lynxwheel_state::{FleetState, JobPhase, JobState, TeamState},
 };
 
-/// Room left above the observed use of earlier attempts, in percent of it.
+/// Margin above the observed usage of earlier attempts, in percent of it.
 const ESTIMATE_HEADROOM_PERCENT: u64 = 20;
 
-/// Why a job is placed where it is.
+/// Why a VM was chosen for a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementReason {
     /// Tightest fit among the VMs that no planned work takes.
     Packed,
     /// Least loaded zone and rack among the VMs that no planned work takes.
     Spread,
-    /// Only VMs that a wave takes later have room.
+    /// Only VMs that a wave takes later have enough free capacity.
     OnDueVm,
-    /// Urgent, and only VMs that are being emptied have room.
+    /// The job is urgent, and only cordoned VMs have enough free capacity.
     OnCordonedVm,
-    /// Only VMs on which it failed before have room.
+    /// Only VMs on which the job failed before have enough free capacity.
     RetriedOnSameVm,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// A start to propose.
+/// A start of a job's attempt to propose.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Placement {
     /// Job.
@@ -53,7 +53,7 @@
     pub attempt: u32,
     /// VM.
     pub vm: VmName,
-    /// Demand to reserve.
+    /// Resources to reserve.
     pub reserved: Resources,
     /// Reason.
     pub reason: PlacementReason,
@@ -62,13 +62,14 @@
 /// Outcome of one round of placement.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PlacementPlan {
-    /// Starts, each of which the fold would accept after those before it.
+    /// Starts, each of which the fold accepts if those before it were applied.
     pub starts: Vec<Placement>,
-    /// Attempts to stop for urgent work.
+    /// Attempts to stop for urgent jobs.
     pub stops: Vec<Preemption>,
 }
 
-/// Plans starts of waiting jobs, urgent ones first, and stops that make room for urgent ones.
+/// Plans up to `limit` starts of pending jobs, by class and waiting time, and the stops that free
+/// resources for urgent jobs.
 #[must_use]
 pub fn plan_placements(
     state: &FleetState,
@@ -76,30 +77,30 @@
     now_ms: u64,
     limit: usize,
 ) -> PlacementPlan {
-    let mut waiting: Vec<&JobState> = state
+    let mut pending: Vec<&JobState> = state
         .jobs()
         .iter()
         .filter(|job| job.phase == JobPhase::Pending)
         .collect();
-    if waiting.is_empty() {
+    if pending.is_empty() {
         return PlacementPlan::default();
     }
-    waiting.sort_by_key(|job| (job.spec.class, job.pending_since_ms));
-    let mut round = Round::new(state, tuning, now_ms);
+    pending.sort_by_key(|job| (job.spec.class, job.pending_since_ms));
+    let mut round = PlacementRound::new(state, tuning, now_ms);
     let mut plan = PlacementPlan::default();
-    for job in waiting {
+    for job in pending {
         if plan.starts.len() >= limit {
             break;
         }
-        round.place(job, &mut plan);
+        round.place_job(job, &mut plan);
     }
     plan
 }
 
-/// Returns what to reserve for the next attempt of a job.
+/// Returns the resources to reserve for the next attempt of a job.
 ///
-/// Declared sizes are often far off, so what earlier attempts used goes before the declaration:
-/// with some headroom up to what was declared, and as observed above it.
+/// Declared demands are often far off, so the observed usage of earlier attempts takes precedence:
+/// a margin is added up to the declared demand, and usage above it counts as observed.
 #[must_use]
 pub fn estimate_demand(job: &JobState) -> Resources {
     let used = &job.estimate.used;
@@ -115,52 +116,52 @@
 }
 
 fn with_headroom(used: u32, declared: u32) -> u32 {
-    let raised = u64::from(used) * (100 + ESTIMATE_HEADROOM_PERCENT) / 100;
-    let raised = u32::try_from(raised).unwrap_or(u32::MAX);
-    raised.min(declared).max(used)
+    let with_margin = u64::from(used) * (100 + ESTIMATE_HEADROOM_PERCENT) / 100;
+    let with_margin = u32::try_from(with_margin).unwrap_or(u32::MAX);
+    with_margin.min(declared).max(used)
 }
 
-/// What is left of VMs and quotas during one round.
-struct Round<'a> {
+/// State of one round of placement: resources of the pools' VMs and use of the teams' quotas.
+struct PlacementRound<'a> {
     view: FleetView<'a>,
     tuning: Tuning,
     now_ms: u64,
     waves: Vec<RunningWave<'a>>,
-    rooms: Vec<Option<PoolRoom<'a>>>,
+    allocations: Vec<Option<PoolAllocation<'a>>>,
     teams: Vec<(&'a TeamState, Resources)>,
 }
 
-impl<'a> Round<'a> {
+impl<'a> PlacementRound<'a> {
     fn new(state: &'a FleetState, tuning: &Tuning, now_ms: u64) -> Self {
         let view = FleetView::new(state);
         let waves = running_waves(&view, tuning);
-        let rooms = view.pools.iter().map(|_| None).collect();
+        let allocations = view.pools.iter().map(|_| None).collect();
         let teams = state.teams().iter().map(|team| (team, team.used)).collect();
         Self {
             view,
             tuning: *tuning,
             now_ms,
             waves,
-            rooms,
+            allocations,
             teams,
         }
     }
 
-    fn place(&mut self, job: &JobState, plan: &mut PlacementPlan) {
+    fn place_job(&mut self, job: &JobState, plan: &mut PlacementPlan) {
         let demand = estimate_demand(job);
         let Some(pool) = self.view.pool_index(job.spec.pool.as_str()) else {
             return;
         };
         let is_urgent = job.spec.class == Class::Urgent;
-        let known = self.rooms[pool].as_ref();
-        if !is_urgent && known.is_some_and(|room| room.is_hopeless(job, &demand)) {
+        let known = self.allocations[pool].as_ref();
+        if !is_urgent && known.is_some_and(|known| known.is_unplaceable(job, &demand)) {
             return;
         }
-        let Some(team) = self.team_with_quota(job, &demand) else {
+        let Some(team) = self.team_with_free_quota(job, &demand) else {
             return;
         };
-        let room = self.rooms[pool].get_or_insert_with(|| {
-            PoolRoom::new(
+        let allocation = self.allocations[pool].get_or_insert_with(|| {
+            PoolAllocation::new(
                 self.view.state,
                 &self.view.pools[pool],
                 &self.tuning,
@@ -168,24 +169,28 @@
                 &self.waves,
             )
         });
-        let Some(index) = room.choose(job, &demand) else {
+        let Some(index) = allocation.choose_vm(job, &demand) else {
             if is_urgent {
-                make_room(self.view.state, room, job, &demand, &mut plan.stops);
+                preempt_for(self.view.state, allocation, job, &demand, &mut plan.stops);
             }
             return;
         };
-        room.take(index, &demand);
+        allocation.reserve(index, &demand);
         self.teams[team].1 = self.teams[team].1.plus(&demand);
         plan.starts.push(Placement {
             job: job.spec.name.clone(),
             attempt: job.attempts + 1,
-            vm: room.vms[index].vm.name.clone(),
+            vm: allocation.vms[index].vm.name.clone(),
             reserved: demand,
-            reason: reason_of(job, room.vms[index].tier, &room.vms[index].vm.name),
+            reason: placement_reason(
+                job,
+                allocation.vms[index].tier,
+                &allocation.vms[index].vm.name,
+            ),
         });
     }
 
-    fn team_with_quota(&self, job: &JobState, demand: &Resources) -> Option<usize> {
+    fn team_with_free_quota(&self, job: &JobState, demand: &Resources) -> Option<usize> {
         let index = self
             .teams
             .binary_search_by(|row| row.0.spec.name.cmp(&job.spec.team))
@@ -195,14 +200,14 @@
     }
 }
 
-fn reason_of(job: &JobState, tier: Tier, vm: &VmName) -> PlacementReason {
+fn placement_reason(job: &JobState, tier: PlacementTier, vm: &VmName) -> PlacementReason {
     if job.failed_on.binary_search(vm).is_ok() {
         return PlacementReason::RetriedOnSameVm;
     }
     match tier {
-        Tier::Cordoned => PlacementReason::OnCordonedVm,
-        Tier::Due => PlacementReason::OnDueVm,
-        Tier::Settled if job.spec.class == Class::Batch => PlacementReason::Packed,
-        Tier::Settled => PlacementReason::Spread,
+        PlacementTier::Cordoned => PlacementReason::OnCordonedVm,
+        PlacementTier::Due => PlacementReason::OnDueVm,
+        PlacementTier::NotDue if job.spec.class == Class::Batch => PlacementReason::Packed,
+        PlacementTier::NotDue => PlacementReason::Spread,
     }
 }
--- a/crates/decisions/src/preemption.rs
+++ b/crates/decisions/src/preemption.rs
@@ -1,13 +1,13 @@
-//! Stopping lower work for urgent work.
+//! Preemption of lower-class jobs for urgent ones.
 
 use {
-    crate::allocation::PoolRoom,
+    crate::allocation::PoolAllocation,
     lynxwheel_protocol::{Class, JobName, Resources},
     lynxwheel_state::{FleetState, JobState},
     std::cmp::Reverse,
 };
 
-/// An attempt to stop, with its progress kept.
+/// An attempt to checkpoint and stop.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Preemption {
     /// Job.
@@ -16,68 +16,68 @@
     pub attempt: u32,
 }
 
-/// Room that stops on one VM would make.
+/// Stops that would free enough resources on one VM.
 #[derive(Debug)]
-struct Offer<'a> {
+struct PreemptionPlan<'a> {
     vm: usize,
     new_stops: Vec<&'a JobState>,
 }
 
-/// Finds the VM on which the fewest stops make room for an urgent demand, and plans them.
+/// Plans the stops on the VM where the fewest of them suffice for an urgent demand.
 ///
-/// The room is taken for the rest of the round, so that several urgent jobs do not count on the
-/// same stops. An attempt that cannot be checkpointed is never stopped: its run would be lost.
-pub(crate) fn make_room(
+/// The freed resources are reserved for the rest of the round, so that two urgent jobs do not
+/// rely on the same stops. Attempts that cannot be checkpointed are never stopped.
+pub(crate) fn preempt_for(
     state: &FleetState,
-    room: &mut PoolRoom<'_>,
+    allocation: &mut PoolAllocation<'_>,
     urgent: &JobState,
     demand: &Resources,
     stops: &mut Vec<Preemption>,
 ) {
-    let best = (0..room.vms.len())
-        .filter(|vm| room.is_new_to(*vm, urgent))
-        .filter_map(|vm| offer(state, room, vm, demand, stops))
-        .min_by_key(|offer| offer.new_stops.len());
+    let best = (0..allocation.vms.len())
+        .filter(|vm| allocation.is_eligible(*vm, urgent))
+        .filter_map(|vm| plan_preemption(state, allocation, vm, demand, stops))
+        .min_by_key(|plan| plan.new_stops.len());
     let Some(best) = best else {
         return;
     };
     for job in best.new_stops {
         let reserved = job.attempt.as_ref().map(|run| run.reserved);
-        let taken_soon = &mut room.vms[best.vm].taken_soon;
-        *taken_soon = taken_soon.minus(&reserved.unwrap_or_default());
+        let reserved_after_stops = &mut allocation.vms[best.vm].reserved_after_stops;
+        *reserved_after_stops = reserved_after_stops.minus(&reserved.unwrap_or_default());
         stops.push(Preemption {
             job: job.spec.name.clone(),
             attempt: job.attempts,
         });
     }
-    room.take(best.vm, demand);
+    allocation.reserve(best.vm, demand);
 }
 
-fn offer<'a>(
+fn plan_preemption<'a>(
     state: &'a FleetState,
-    room: &PoolRoom<'_>,
+    allocation: &PoolAllocation<'_>,
     vm: usize,
     demand: &Resources,
     stops: &[Preemption],
-) -> Option<Offer<'a>> {
-    let capacity = room.vms[vm].vm.capacity;
-    let mut taken = room.vms[vm].taken_soon;
-    let mut lower: Vec<&JobState> = Vec::new();
-    for name in &room.vms[vm].vm.attempts {
+) -> Option<PreemptionPlan<'a>> {
+    let capacity = allocation.vms[vm].vm.capacity;
+    let mut taken = allocation.vms[vm].reserved_after_stops;
+    let mut preemptible: Vec<&JobState> = Vec::new();
+    for name in &allocation.vms[vm].vm.attempts {
         let job = state.jobs().get(name.as_str())?;
         let attempt = job.attempt.as_ref()?;
-        let is_planned = stops.iter().any(|stop| stop.job == job.spec.name);
-        let is_lower = job.spec.checkpoint && job.spec.class != Class::Urgent;
-        if is_lower && !is_planned && !attempt.stopping {
-            lower.push(job);
+        let is_already_stopped = stops.iter().any(|stop| stop.job == job.spec.name);
+        let is_preemptible = job.spec.checkpoint && job.spec.class != Class::Urgent;
+        if is_preemptible && !is_already_stopped && !attempt.stopping {
+            preemptible.push(job);
         }
     }
-    lower.sort_by_key(|job| {
+    preemptible.sort_by_key(|job| {
         let attempt = job.attempt.as_ref();
         Reverse((job.spec.class, attempt.map(|run| run.since_ms)))
     });
     let mut new_stops = Vec::new();
-    for job in lower {
+    for job in preemptible {
         if demand.plus(&taken).fits(&capacity) {
             break;
         }
@@ -85,5 +85,5 @@
         new_stops.push(job);
     }
     let fits = demand.plus(&taken).fits(&capacity);
-    fits.then_some(Offer { vm, new_stops })
+    fits.then_some(PreemptionPlan { vm, new_stops })
 }
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -237,11 +237,11 @@
 pub fn cordoned_vms(state: &FleetState, tuning: &Tuning, now_ms: u64) -> Vec<VmName> {
     let view = FleetView::new(state);
     let waves = running_waves(&view, tuning);
-    let upcoming = view
+    let planned_vms = view
         .pools
         .iter()
-        .flat_map(|pool| upcoming(state, pool, tuning, now_ms, &waves));
-    let mut names: Vec<VmName> = upcoming
+        .flat_map(|pool| planned_vms(state, pool, tuning, now_ms, &waves));
+    let mut names: Vec<VmName> = planned_vms
         .filter(|next| next.is_cordoned)
         .map(|next| next.vm.clone())
         .collect();
@@ -251,10 +251,10 @@
 
 /// A VM that planned work will take.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Upcoming<'a> {
+pub(crate) struct PlannedVm<'a> {
     pub(crate) vm: &'a VmName,
     /// Expected time until it is empty, in milliseconds.
-    pub(crate) wait_ms: u64,
+    pub(crate) drain_wait_ms: u64,
     /// Whether nothing new should start on it.
     pub(crate) is_cordoned: bool,
 }
@@ -264,13 +264,13 @@
 /// As many VMs are kept free as leave the pool the room that the weights ask for, and at least
 /// one for each VM that the budget lets out of service, without which a full pool's wave would
 /// wait for ever.
-pub(crate) fn upcoming<'a>(
+pub(crate) fn planned_vms<'a>(
     state: &FleetState,
     pool: &PoolView<'a>,
     tuning: &Tuning,
     now_ms: u64,
     waves: &[RunningWave<'_>],
-) -> Vec<Upcoming<'a>> {
+) -> Vec<PlannedVm<'a>> {
     let mut room = Resources::default();
     let mut kept = Resources::default();
     for vm in pool.vms.iter().filter(|vm| vm.is_available()) {
@@ -280,14 +280,14 @@
     let claimed: u32 = pool.state.claimed_zones.iter().map(|row| row.1).sum();
     let least = (pool.state.availability().spare_vms() + claimed) as usize;
     let mut is_cordoned = tuning.can_cordon;
-    let mut found: Vec<Upcoming<'a>> = Vec::new();
+    let mut found: Vec<PlannedVm<'a>> = Vec::new();
     for candidate in candidates(state, pool, tuning, now_ms, waves) {
         room = room.minus(&candidate.vm.free());
         let is_needed = found.len() < least;
         is_cordoned &= is_needed || kept.fits(&room);
-        found.push(Upcoming {
+        found.push(PlannedVm {
             vm: &candidate.vm.name,
-            wait_ms: if tuning.can_cordon {
+            drain_wait_ms: if tuning.can_cordon {
                 candidate.drain.wait_ms
             } else {
                 u64::MAX
