--- a/crates/decisions/src/claim_review.rs
+++ b/crates/decisions/src/claim_review.rs
@@ -73,7 +73,7 @@
 fn halted_waves(view: &FleetView<'_>) -> Vec<WaveName> {
     let waves = view.state.waves().iter();
     waves
-        .filter(|wave| wave.claimed > 0 && !WaveHealth::new(view, wave).goes_on())
+        .filter(|wave| wave.claimed > 0 && !WaveHealth::new(view, wave).can_continue())
         .map(|wave| wave.spec.name.clone())
         .collect()
 }
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -185,7 +185,7 @@
         if wave.spec.goal != WaveGoal::Run {
             return WaitReason::WaveStopped;
         }
-        if !health.goes_on() {
+        if !health.can_continue() {
             return WaitReason::WaveHalted(health);
         }
         if wave.claimed >= ramp_limit(&view, wave, tuning) {
--- a/crates/decisions/src/forecast.rs
+++ b/crates/decisions/src/forecast.rs
@@ -116,7 +116,7 @@
     if wave.spec.goal != WaveGoal::Run {
         return Outlook::Stopped;
     }
-    if !health.goes_on() {
+    if !health.can_continue() {
         return Outlook::Halted(health);
     }
     if load.stuck_pools > 0 {
--- a/crates/decisions/src/wave_health.rs
+++ b/crates/decisions/src/wave_health.rs
@@ -1,4 +1,4 @@
-//! Whether a wave may go on, and how fast.
+//! Health of a wave after its actions, and the limit on its concurrent claims.
 
 use {
     crate::{fleet_view::FleetView, tuning::Tuning},
@@ -6,29 +6,29 @@
     lynxwheel_state::{VmState, WaveState},
 };
 
-/// VMs of one rack that failed after the action and keep the wave off that rack.
-const RACK_FAILURES: usize = 2;
+/// Failures after the action in one rack from which the wave excludes that rack.
+const MIN_RACK_FAILURES: usize = 2;
 
-/// Racks with VMs that failed after the action and halt a wave, besides a share of those done.
-const WAVE_INCIDENTS: usize = 2;
+/// Incidents at which a wave halts before the allowance for maintained VMs.
+const BASE_HALT_INCIDENTS: usize = 2;
 
-/// One incident more is borne for so many VMs done.
-const DONE_PER_INCIDENT: u32 = 20;
+/// Number of maintained VMs for which one more incident is tolerated.
+const VMS_PER_EXTRA_INCIDENT: u32 = 20;
 
-/// VMs done before failures of one rack alone no longer halt a wave.
-const PROVEN_DONE: u32 = 4;
+/// Maintained VMs from which failures in a single rack no longer halt a wave.
+const MIN_PROVEN_VMS: u32 = 4;
 
-/// Time after the action within which a failure is put down to it, in milliseconds.
-const AFTER_ACTION_MS: u64 = 15 * 60 * 1_000;
+/// Time after the action within which a failure is attributed to it, in milliseconds.
+const FAILURE_WINDOW_MS: u64 = 15 * 60 * 1_000;
 
-/// Whether a wave goes on.
+/// Whether a wave may continue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WaveHealth {
-    /// No sign that the action harms.
+    /// No rack has to be excluded.
     Healthy,
-    /// VMs of some racks failed after the action; the wave goes on elsewhere.
-    RacksHeld,
-    /// VMs failed after the action before it proved harmless elsewhere.
+    /// VMs of some racks failed after the action; the wave continues on the other racks.
+    RacksExcluded,
+    /// VMs failed after the action before enough VMs were maintained successfully.
     FailingEarly,
     /// VMs of too many racks failed after the action.
     FailingWidely,
@@ -50,58 +50,60 @@
     }
 }
 
-/// Judgement of a wave with the racks that it keeps off.
+/// Health of a wave and the racks that it excludes.
 #[derive(Clone, Debug)]
-pub(crate) struct Diagnosis<'a> {
+pub(crate) struct HealthAssessment<'a> {
     pub(crate) health: WaveHealth,
-    pub(crate) held_racks: Vec<Rack<'a>>,
+    pub(crate) excluded_racks: Vec<Rack<'a>>,
 }
 
-/// Judges a wave by the VMs that failed after its action and are not back.
+/// Assesses a wave by the VMs that failed after its action and have not recovered.
 ///
-/// A bad action takes down whatever it touches, one domain after the other; a bad rack takes down
-/// its own VMs only. So failures of one rack count as one incident: the rack is left alone, and
-/// the wave halts when incidents add up, or before the action proved harmless anywhere. The halt
-/// ends when the VMs are repaired.
-pub(crate) fn diagnose<'a>(view: &FleetView<'a>, wave: &WaveState) -> Diagnosis<'a> {
+/// A harmful action fails VMs in every rack, a faulty rack only its own. Failures in one rack
+/// therefore count as one incident and exclude that rack. The wave halts when there are too many
+/// incidents, or on failures before enough VMs were maintained, until the VMs recover.
+pub(crate) fn assess_health<'a>(view: &FleetView<'a>, wave: &WaveState) -> HealthAssessment<'a> {
     let mut racks: Vec<Rack<'a>> = member_pools(view, wave)
         .into_iter()
         .flat_map(|pool| view.pools[pool].vms.iter())
-        .filter(|vm| is_victim(vm, wave))
+        .filter(|vm| has_failed_after_action(vm, wave))
         .map(|vm| Rack::of(vm))
         .collect();
     racks.sort_unstable();
-    let victims = racks.len();
-    let held_racks: Vec<Rack<'a>> = racks
+    let failed_vms = racks.len();
+    let excluded_racks: Vec<Rack<'a>> = racks
         .chunk_by(|left, right| left == right)
-        .filter(|rack| rack.len() >= RACK_FAILURES)
+        .filter(|rack| rack.len() >= MIN_RACK_FAILURES)
         .map(|rack| rack[0])
         .collect();
     racks.dedup();
-    let borne = WAVE_INCIDENTS + (wave.done / DONE_PER_INCIDENT) as usize;
-    let health = if racks.len() >= borne {
+    let halt_threshold = BASE_HALT_INCIDENTS + (wave.done / VMS_PER_EXTRA_INCIDENT) as usize;
+    let health = if racks.len() >= halt_threshold {
         WaveHealth::FailingWidely
-    } else if victims >= RACK_FAILURES && wave.done < PROVEN_DONE {
+    } else if failed_vms >= MIN_RACK_FAILURES && wave.done < MIN_PROVEN_VMS {
         WaveHealth::FailingEarly
-    } else if held_racks.is_empty() {
+    } else if excluded_racks.is_empty() {
         WaveHealth::Healthy
     } else {
-        WaveHealth::RacksHeld
+        WaveHealth::RacksExcluded
     };
-    Diagnosis { health, held_racks }
+    HealthAssessment {
+        health,
+        excluded_racks,
+    }
 }
 
 impl WaveHealth {
-    /// Judges a wave by the VMs that failed after its action and are not back.
+    /// Assesses a wave by the VMs that failed after its action and have not recovered.
     #[must_use]
     pub fn new(view: &FleetView<'_>, wave: &WaveState) -> Self {
-        diagnose(view, wave).health
+        assess_health(view, wave).health
     }
 
-    /// Tells whether the wave goes on, at least in part.
+    /// Tells whether the wave may continue, at least on some racks.
     #[must_use]
-    pub fn goes_on(self) -> bool {
-        matches!(self, Self::Healthy | Self::RacksHeld)
+    pub fn can_continue(self) -> bool {
+        matches!(self, Self::Healthy | Self::RacksExcluded)
     }
 
     /// Returns the name used in logs and answers.
@@ -109,7 +111,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Healthy => "healthy",
-            Self::RacksHeld => "racks_held_after_failures",
+            Self::RacksExcluded => "racks_held_after_failures",
             Self::FailingEarly => "failing_early_after_action",
             Self::FailingWidely => "failing_widely_after_action",
         }
@@ -127,8 +129,8 @@
 
 /// Returns how many VMs of a wave may be claimed at once.
 ///
-/// Every completed action lets one more VM out besides its own successor, so that the number
-/// doubles with each step for as long as nothing fails.
+/// Each successful action raises the limit by one, so that the number of claims doubles with each
+/// step until an action fails.
 #[must_use]
 pub fn ramp_limit(view: &FleetView<'_>, wave: &WaveState, tuning: &Tuning) -> u32 {
     let members: u32 = member_pools(view, wave)
@@ -139,11 +141,11 @@
     first_step.max(1) + wave.done.saturating_sub(wave.failed)
 }
 
-fn is_victim(vm: &VmState, wave: &WaveState) -> bool {
+fn has_failed_after_action(vm: &VmState, wave: &WaveState) -> bool {
     if vm.phase != VmPhase::Failed || vm.claim.is_some() {
         return false;
     }
-    let after_ms = vm.evidence_ms.saturating_sub(vm.maintained_ms);
-    let was_done = vm.maintained_ms > wave.started_ms && after_ms <= AFTER_ACTION_MS;
-    was_done || vm.failed_in.as_ref() == Some(&wave.spec.name)
+    let failure_delay_ms = vm.evidence_ms.saturating_sub(vm.maintained_ms);
+    let is_maintained = vm.maintained_ms > wave.started_ms && failure_delay_ms <= FAILURE_WINDOW_MS;
+    is_maintained || vm.failed_in.as_ref() == Some(&wave.spec.name)
 }
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -1,11 +1,11 @@
-//! Planning of maintenance waves and moves: which VMs to claim next.
+//! Planning of claims for maintenance waves and pool moves.
 
 use {
     crate::{
         drain::DrainEstimate,
         fleet_view::{FleetView, PoolView},
         tuning::Tuning,
-        wave_health::{Rack, diagnose, ramp_limit},
+        wave_health::{Rack, assess_health, ramp_limit},
     },
     lynxwheel_protocol::{
         ClaimPurpose, Class, PoolName, Resources, VmName, VmPhase, WaveGoal, ZoneName,
@@ -14,15 +14,15 @@
     std::cmp::Reverse,
 };
 
-/// Time for which waiting urgent work keeps its pool from being claimed, in milliseconds.
-const URGENT_HOLD_MS: u64 = 10_000;
+/// Time for which a newly pending urgent job blocks claims in its pool, in milliseconds.
+const URGENT_CLAIM_HOLD_MS: u64 = 10_000;
 
 /// Why a VM is to be claimed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimReason {
-    /// It is due in a running wave, its pool's budget has room, and it is or will soon be empty.
+    /// The VM is due in a running wave and no job on it has to be waited for.
     DueInWave,
-    /// It was declared into another pool.
+    /// The VM is declared in another pool.
     DeclaredElsewhere,
 }
 
@@ -48,11 +48,11 @@
     pub purpose: ClaimPurpose,
     /// Reason.
     pub reason: ClaimReason,
-    /// Expected drain.
+    /// Estimate of the drain.
     pub drain: DrainEstimate,
 }
 
-/// A VM that planned work waits for.
+/// A VM that a wave or a move has yet to claim.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate<'a> {
     pub(crate) vm: &'a VmState,
@@ -61,24 +61,25 @@
     wave: Option<usize>,
 }
 
-/// A running wave and how many more VMs it may claim.
+/// A running wave with its remaining claims and excluded racks.
 #[derive(Clone, Debug)]
 pub(crate) struct RunningWave<'a> {
     wave: &'a WaveState,
-    room: u32,
-    held_racks: Vec<Rack<'a>>,
+    claims_left: u32,
+    excluded_racks: Vec<Rack<'a>>,
 }
 
-/// Plans the next claims, as many as budgets and ramps allow, each of which the fold would
-/// accept after those before it.
+/// Plans the next claims within the pools' budgets and the waves' ramp limits.
+///
+/// The fold accepts each claim if those before it were applied.
 #[must_use]
 pub fn plan_claims(state: &FleetState, tuning: &Tuning, now_ms: u64) -> Vec<ClaimPlan> {
     let view = FleetView::new(state);
     let mut waves = running_waves(&view, tuning);
     let mut plans = Vec::new();
-    let wanted = pools_wanted_by_urgent(state, now_ms);
+    let held_pools = pools_with_new_urgent_jobs(state, now_ms);
     for pool in &view.pools {
-        if wanted.binary_search(&&pool.state.spec.name).is_ok() {
+        if held_pools.binary_search(&&pool.state.spec.name).is_ok() {
             continue;
         }
         plan_pool(state, pool, tuning, now_ms, &mut waves, &mut plans);
@@ -86,16 +87,16 @@
     plans
 }
 
-/// Returns the pools in which urgent work has just begun to wait; sorted.
+/// Returns the pools with newly pending urgent jobs, sorted.
 ///
-/// Room that is being made for it must not be claimed in the moment in which it is free. Urgent
-/// work that waits for longer fits nowhere for now and must not hold the wave up.
-fn pools_wanted_by_urgent(state: &FleetState, now_ms: u64) -> Vec<&PoolName> {
+/// Resources freed for an urgent job by preemption must not be claimed before the job starts. An
+/// urgent job that is pending for longer fits nowhere and must not block the wave.
+fn pools_with_new_urgent_jobs(state: &FleetState, now_ms: u64) -> Vec<&PoolName> {
     let mut pools: Vec<&PoolName> = state
         .jobs()
         .iter()
         .filter(|job| job.phase == JobPhase::Pending && job.spec.class == Class::Urgent)
-        .filter(|job| job.pending_since_ms + URGENT_HOLD_MS > now_ms)
+        .filter(|job| job.pending_since_ms + URGENT_CLAIM_HOLD_MS > now_ms)
         .map(|job| &job.spec.pool)
         .collect();
     pools.sort_unstable();
@@ -103,24 +104,26 @@
     pools
 }
 
-/// Returns the waves that are under way; one that halted has no room, but the VMs that it takes
-/// next are kept free, since they would fill up again with long jobs meanwhile.
+/// Returns the running waves.
+///
+/// A halted wave has no claims left but still cordons its next VMs, which would otherwise fill up
+/// with long jobs.
 pub(crate) fn running_waves<'a>(view: &FleetView<'a>, tuning: &Tuning) -> Vec<RunningWave<'a>> {
     view.state
         .waves()
         .iter()
         .filter(|wave| wave.spec.goal == WaveGoal::Run)
         .map(|wave| {
-            let diagnosis = diagnose(view, wave);
-            let limit = if diagnosis.health.goes_on() {
+            let assessment = assess_health(view, wave);
+            let limit = if assessment.health.can_continue() {
                 ramp_limit(view, wave, tuning)
             } else {
                 0
             };
             RunningWave {
                 wave,
-                room: limit.saturating_sub(wave.claimed),
-                held_racks: diagnosis.held_racks,
+                claims_left: limit.saturating_sub(wave.claimed),
+                excluded_racks: assessment.excluded_racks,
             }
         })
         .collect()
@@ -134,36 +137,39 @@
     waves: &mut [RunningWave<'_>],
     plans: &mut Vec<ClaimPlan>,
 ) {
-    let mut slots = pool.state.availability().spare_vms();
-    if slots == 0 {
+    let mut budget_left = pool.state.availability().spare_vms();
+    if budget_left == 0 {
         return;
     }
     let mut ready = candidates(state, pool, tuning, now_ms, waves);
-    ready.retain(|candidate| candidate.drain.is_ready() && !candidate.is_held(waves));
+    ready.retain(|candidate| candidate.drain.is_ready() && !candidate.is_on_excluded_rack(waves));
     let mut zones = claimed_zones(pool);
-    let order = zones_by_ready(&ready);
-    for zone in order {
+    let ready_zones = zones_by_ready_count(&ready);
+    for zone in ready_zones {
         open_zone(pool, &mut zones, zone.zone);
     }
     for candidate in ready {
-        let has_room = candidate.wave.is_none_or(|wave| waves[wave].room > 0);
-        if slots == 0 || !has_room || zones.binary_search(&candidate.vm.zone).is_err() {
+        let has_claims_left = candidate
+            .wave
+            .is_none_or(|wave| waves[wave].claims_left > 0);
+        if budget_left == 0 || !has_claims_left || zones.binary_search(&candidate.vm.zone).is_err()
+        {
             continue;
         }
-        slots -= 1;
+        budget_left -= 1;
         if let Some(wave) = candidate.wave {
-            waves[wave].room -= 1;
+            waves[wave].claims_left -= 1;
         }
         plans.push(candidate.into_plan());
     }
 }
 
 impl Candidate<'_> {
-    /// Tells whether its wave keeps off its rack.
-    fn is_held(&self, waves: &[RunningWave<'_>]) -> bool {
+    /// Tells whether the candidate's wave excludes its rack.
+    fn is_on_excluded_rack(&self, waves: &[RunningWave<'_>]) -> bool {
         self.wave.is_some_and(|wave| {
-            let held = &waves[wave].held_racks;
-            held.binary_search(&Rack::of(self.vm)).is_ok()
+            let excluded = &waves[wave].excluded_racks;
+            excluded.binary_search(&Rack::of(self.vm)).is_ok()
         })
     }
 
@@ -183,7 +189,7 @@
     }
 }
 
-/// Returns the VMs of a pool that planned work waits for, the one that is empty soonest first.
+/// Returns the VMs of a pool that planned work has yet to claim, in order of drain cost.
 fn candidates<'a>(
     state: &FleetState,
     pool: &PoolView<'a>,
@@ -207,11 +213,10 @@
     found
 }
 
-/// Returns the zones of ready candidates, the one with the most of them first.
+/// Returns the zones of ready candidates, the one with the most candidates first.
 ///
-/// A pool may have one zone open at a time, and a claim lasts little longer than the action; so
-/// the zone that keeps the budget's slots busy for longest goes first.
-fn zones_by_ready<'a>(candidates: &[Candidate<'a>]) -> Vec<ZoneCount<'a>> {
+/// The budget may allow claims in one zone only, so the zone with the most work goes first.
+fn zones_by_ready_count<'a>(candidates: &[Candidate<'a>]) -> Vec<ZoneCount<'a>> {
     let mut zones: Vec<ZoneCount<'a>> = Vec::new();
     for candidate in candidates {
         let zone = &candidate.vm.zone;
@@ -224,15 +229,14 @@
     zones
 }
 
-/// Ready candidates of a zone.
+/// Number of ready candidates in a zone.
 #[derive(Clone, Copy, Debug)]
 struct ZoneCount<'a> {
     zone: &'a ZoneName,
     ready: usize,
 }
 
-/// Returns the VMs on which nothing new is started but urgent work, since planned work takes
-/// them next; sorted.
+/// Returns the VMs that planned work takes next, sorted; only urgent jobs are started on them.
 #[must_use]
 pub fn cordoned_vms(state: &FleetState, tuning: &Tuning, now_ms: u64) -> Vec<VmName> {
     let view = FleetView::new(state);
@@ -242,8 +246,8 @@
         .iter()
         .flat_map(|pool| planned_vms(state, pool, tuning, now_ms, &waves));
     let mut names: Vec<VmName> = planned_vms
-        .filter(|next| next.is_cordoned)
-        .map(|next| next.vm.clone())
+        .filter(|planned| planned.is_cordoned)
+        .map(|planned| planned.vm.clone())
         .collect();
     names.sort_unstable();
     names
@@ -253,17 +257,17 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlannedVm<'a> {
     pub(crate) vm: &'a VmName,
-    /// Expected time until it is empty, in milliseconds.
+    /// Expected time until the VM is empty, in milliseconds.
     pub(crate) drain_wait_ms: u64,
-    /// Whether nothing new should start on it.
+    /// Whether only urgent jobs may start on the VM.
     pub(crate) is_cordoned: bool,
 }
 
 /// Returns the VMs of a pool that planned work will take, sorted by name.
 ///
-/// As many VMs are kept free as leave the pool the room that the weights ask for, and at least
-/// one for each VM that the budget lets out of service, without which a full pool's wave would
-/// wait for ever.
+/// VMs are cordoned as long as the pool keeps `Tuning::min_free_percent` of free capacity on the
+/// others, and at least one for each VM that the budget lets out of service. Without this minimum
+/// a wave would never progress on a full pool.
 pub(crate) fn planned_vms<'a>(
     state: &FleetState,
     pool: &PoolView<'a>,
@@ -271,20 +275,20 @@
     now_ms: u64,
     waves: &[RunningWave<'_>],
 ) -> Vec<PlannedVm<'a>> {
-    let mut room = Resources::default();
-    let mut kept = Resources::default();
+    let mut free = Resources::default();
+    let mut min_free = Resources::default();
     for vm in pool.vms.iter().filter(|vm| vm.is_available()) {
-        room = room.plus(&vm.free());
-        kept = kept.plus(&percent_of(&vm.capacity, tuning.min_free_percent));
+        free = free.plus(&vm.free());
+        min_free = min_free.plus(&percent_of(&vm.capacity, tuning.min_free_percent));
     }
     let claimed: u32 = pool.state.claimed_zones.iter().map(|row| row.1).sum();
-    let least = (pool.state.availability().spare_vms() + claimed) as usize;
+    let min_cordoned = (pool.state.availability().spare_vms() + claimed) as usize;
     let mut is_cordoned = tuning.can_cordon;
     let mut found: Vec<PlannedVm<'a>> = Vec::new();
     for candidate in candidates(state, pool, tuning, now_ms, waves) {
-        room = room.minus(&candidate.vm.free());
-        let is_needed = found.len() < least;
-        is_cordoned &= is_needed || kept.fits(&room);
+        free = free.minus(&candidate.vm.free());
+        let is_within_minimum = found.len() < min_cordoned;
+        is_cordoned &= is_within_minimum || min_free.fits(&free);
         found.push(PlannedVm {
             vm: &candidate.vm.name,
             drain_wait_ms: if tuning.can_cordon {
@@ -295,7 +299,7 @@
             is_cordoned,
         });
     }
-    found.sort_unstable_by_key(|next| next.vm);
+    found.sort_unstable_by_key(|planned| planned.vm);
     found
 }
 
@@ -331,7 +335,7 @@
     rows.map(|row| row.0.clone()).collect()
 }
 
-/// Opens a zone if the budget allows one more.
+/// Adds a zone to the claimed ones if the budget allows one more.
 fn open_zone(pool: &PoolView<'_>, zones: &mut Vec<ZoneName>, zone: &ZoneName) {
     let limit = pool.state.spec.budget.zones_at_once.max(1) as usize;
     if let Err(row) = zones.binary_search(zone)
