--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -12,8 +12,8 @@
     log::info,
     lynxwheel_engine::{Effect, EndpointAddress, EndpointKey, Endpoints, Event, Now, TaskRef},
     lynxwheel_platform::{
-        AdviceCalls, AppendOutcome, EndpointCalls, STATUS_TOPIC, StoreClient, VmCalls,
-        keyed_record, wave_status,
+        AdviceClient, AppendOutcome, EndpointClient, STATUS_TOPIC, StoreClient, VmClient,
+        encode_keyed_record, encode_wave_status,
     },
     std::time::Duration,
     tokio::time::sleep,
@@ -34,9 +34,9 @@
 #[derive(Clone, Debug)]
 pub struct Calls {
     actor: ActorRef<Owner>,
-    endpoints: EndpointCalls,
-    vms: Option<VmCalls>,
-    advice: Option<AdviceCalls>,
+    endpoints: EndpointClient,
+    vms: Option<VmClient>,
+    advice: Option<AdviceClient>,
     store: StoreClient,
 }
 
@@ -114,9 +114,9 @@
     #[must_use]
     pub fn new(
         actor: ActorRef<Owner>,
-        endpoints: EndpointCalls,
-        vms: Option<VmCalls>,
-        advice: Option<AdviceCalls>,
+        endpoints: EndpointClient,
+        vms: Option<VmClient>,
+        advice: Option<AdviceClient>,
         store: StoreClient,
     ) -> Self {
         Self {
@@ -135,7 +135,7 @@
                 let Some(calls) = &self.vms else {
                     return;
                 };
-                let outcome = calls.move_to(&vm, &pool).await;
+                let outcome = calls.move_to_pool(&vm, &pool).await;
                 info!(
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
                     ""
@@ -146,7 +146,7 @@
                 let Some(calls) = &self.vms else {
                     return;
                 };
-                let outcome = calls.maintain(&vm, wave).await;
+                let outcome = calls.start_maintenance(&vm, wave).await;
                 info!(
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
                     ""
@@ -161,7 +161,7 @@
 
     async fn advise(&self, step: TaskRef, endpoints: &[CompactString]) {
         let answer = match &self.advice {
-            Some(calls) => calls.ask(&step, endpoints).await,
+            Some(calls) => calls.request_tickets(&step, endpoints).await,
             None => Err("no such service in the settings".into()),
         };
         info!(
@@ -179,8 +179,8 @@
     }
 
     async fn publish(&self, wave: u64, is_completed: bool) {
-        let (key, value) = wave_status(wave, is_completed);
-        let record = keyed_record(&key, &value);
+        let (key, value) = encode_wave_status(wave, is_completed);
+        let record = encode_keyed_record(&key, &value);
         loop {
             let records = std::slice::from_ref(&record);
             let outcome = self.store.append(STATUS_TOPIC, records, None, None).await;
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -217,13 +217,13 @@
                 tokio::spawn(async move { watcher::release(&node, epoch).await });
             }
         }
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.carry_out(effects, now, context);
         self.write(now, context);
         // Placing asks for advice at once.
-        let effects = self.engine.take_at_once();
+        let effects = self.engine.take_immediate_effects();
         self.carry_out(effects, now, context);
-        notes::log_notes(self.epoch, &self.engine.take_notes());
+        notes::log_notes(self.epoch, &self.engine.take_log_events());
         self.load.note_message(begun);
     }
 }
@@ -267,7 +267,7 @@
             let event = if is_away { "store_away" } else { "store_back" };
             warn!(event = event, epoch = self.epoch; "");
         }
-        self.engine.set_store_away(is_away);
+        self.engine.set_store_unavailable(is_away);
     }
 
     fn handle_all(&mut self, events: Vec<Event>, now: Now) {
@@ -369,7 +369,7 @@
         if !self.engine.is_open_to(job, account) {
             return OwnerAnswer::OtherAccount;
         }
-        if let Some(state) = self.engine.shown(job) {
+        if let Some(state) = self.engine.job_state(job) {
             return OwnerAnswer::State(state);
         }
         if self.may_deny(job, now) && !self.engine.is_unstored(job) {
@@ -384,7 +384,7 @@
     /// An owner that was cut off or suspended does not know the jobs of its successor; a caller
     /// would be told that its accepted job is gone, or that there was nothing to cancel.
     fn may_deny(&self, job: JobId, now: Now) -> bool {
-        self.engine.shown(job).is_some() || self.is_fresh(now)
+        self.engine.job_state(job).is_some() || self.is_fresh(now)
     }
 
     /// Tells whether the last renewal is so recent that nobody else can believe to be the owner.
@@ -441,7 +441,7 @@
             return;
         }
         loop {
-            let batch = self.engine.cut_batch(now);
+            let batch = self.engine.take_batch(now);
             if !batch.records.is_empty() {
                 let commit = self.writer.commit(&batch.records);
                 self.load.note_batch(commit.bytes());
--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -1,7 +1,7 @@
 //! Client accounts as operators have configured them, and the keys by which callers are known.
 
 use {
-    crate::job::Room,
+    crate::job::Resources,
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
     sha2::{Digest, Sha256},
@@ -46,7 +46,7 @@
 
 /// Why a request's key is none.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum KeyMistake {
+pub enum KeyError {
     /// The request carries no key.
     Missing,
     /// The key is empty.
@@ -59,7 +59,7 @@
     NotAscii,
 }
 
-impl fmt::Display for KeyMistake {
+impl fmt::Display for KeyError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Missing => "no key",
@@ -81,19 +81,19 @@
     /// Jobs a second that are its share when there is not room for everybody.
     pub weight: f64,
     /// Most that it may have running at once on all endpoints; 0 is no limit.
-    pub quota: Room,
+    pub quota: Resources,
 }
 
 impl ClientAccount {
     /// Tells whether runs that take this room together fit into the quota.
     #[must_use]
-    pub fn may_ever_run(&self, room: &Room) -> bool {
+    pub fn may_ever_run(&self, room: &Resources) -> bool {
         !exceeds_quota(room, &self.quota)
     }
 }
 
 /// Tells whether a room is larger than a quota, of which 0 is no limit.
-pub(crate) fn exceeds_quota(room: &Room, quota: &Room) -> bool {
+pub(crate) fn exceeds_quota(room: &Resources, quota: &Resources) -> bool {
     let exceeds = |room: u64, quota: u64| quota > 0 && room > quota;
     exceeds(room.cpu_millis, quota.cpu_millis)
         || exceeds(room.memory_mb, quota.memory_mb)
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -8,8 +8,8 @@
         engine::Engine,
         event::{Effect, EndpointKey, Now},
         free_room::FreeSlot,
-        job::{Room, StepSpec, TaskRef},
-        note::{Note, QuotaWait, ShareWait},
+        job::{Resources, StepSpec, TaskRef},
+        log_event::{LogEvent, QuotaWait, ShareWait},
         quota::AccountNumber,
         state::{Attempt, Job},
         waiting::OpenStep,
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct Slot {
     key: EndpointKey,
-    free: Room,
+    free: Resources,
     siblings: u16,
 }
 
@@ -107,7 +107,7 @@
     /// Notes that tasks wait for their account's quota.
     fn note_quota_wait(&mut self, step: &OpenStep, now: Now) {
         if self.quotas.is_quota_news(step.account, now) {
-            self.notes.push(Note::QuotaReached(QuotaWait {
+            self.log_events.push(LogEvent::QuotaReached(QuotaWait {
                 account: self.quotas.name(step.account).clone(),
                 job: step.first.job,
                 wanted: step.quota_room,
@@ -127,7 +127,7 @@
             && let Some(share_cpu_millis) = self.flooding_share(step.account)
             && self.quotas.is_share_news(step.account, now)
         {
-            self.notes.push(Note::ShareReached(ShareWait {
+            self.log_events.push(LogEvent::ShareReached(ShareWait {
                 account: self.quotas.name(step.account).clone(),
                 job: step.first.job,
                 running: self.quotas.running(step.account),
@@ -154,20 +154,20 @@
 
     /// Updates the free room of the endpoints that have changed, or whose cooldown is over.
     pub(crate) fn refresh_free_room(&mut self, now: Now) {
-        let resting = &mut self.resting_endpoints;
-        let rested = resting.partition_point(|(until_ms, _)| *until_ms <= now.steady_ms);
-        let rested: Vec<EndpointKey> = resting.drain(..rested).map(|(_, key)| key).collect();
-        for key in self.endpoints.take_changed().into_iter().chain(rested) {
+        let cooldown = &mut self.cooling_endpoints;
+        let expired = cooldown.partition_point(|(until_ms, _)| *until_ms <= now.steady_ms);
+        let expired: Vec<EndpointKey> = cooldown.drain(..expired).map(|(_, key)| key).collect();
+        for key in self.endpoints.take_changed().into_iter().chain(expired) {
             let endpoint = self.endpoints.get(key);
             if endpoint.takes_starts(now.steady_ms) {
                 let free_cpu_millis = endpoint.free().cpu_millis;
                 self.free_room.set(key, &endpoint.pool, free_cpu_millis);
                 continue;
             }
-            let resting = (endpoint.rests_until_ms, key);
-            let rests = !endpoint.is_over && endpoint.rests_until_ms > now.steady_ms;
-            if rests && let Err(place) = self.resting_endpoints.binary_search(&resting) {
-                self.resting_endpoints.insert(place, resting);
+            let cooldown = (endpoint.cooldown_until_ms, key);
+            let is_cooling_down = !endpoint.is_over && endpoint.cooldown_until_ms > now.steady_ms;
+            if is_cooling_down && let Err(place) = self.cooling_endpoints.binary_search(&cooldown) {
+                self.cooling_endpoints.insert(place, cooldown);
             }
             self.free_room.remove(key);
         }
@@ -266,7 +266,7 @@
         job.is_dirty = true;
         self.quotas.charge(job.account_number, &spec.room);
         let order = start_order(job, key, task, run, 0);
-        self.forming.push(Effect::Start(Box::new(order)));
+        self.pending_effects.push(Effect::Start(Box::new(order)));
         let endpoint = self.endpoints.get_mut(key);
         endpoint.place(Placed::new(*task, run, spec));
         let free_cpu_millis = endpoint.free().cpu_millis;
@@ -324,7 +324,7 @@
         let endpoint = endpoints.get(key);
         let may_share =
             spec.max_per_endpoint == 0 || siblings(endpoint, task) < spec.max_per_endpoint;
-        if !may_share || !endpoint.free().holds(&needed) || !has_required_label(endpoint, spec) {
+        if !may_share || !endpoint.free().can_fit(&needed) || !has_required_label(endpoint, spec) {
             continue;
         }
         let mismatch = mismatch(endpoint, spec, avoid);
@@ -366,7 +366,7 @@
         .iter()
         .map(|&key| (key, endpoints.get(key)))
         .filter(|(_, endpoint)| has_required_label(endpoint, spec))
-        .filter(|(_, endpoint)| endpoint.free().holds(&needed))
+        .filter(|(_, endpoint)| endpoint.free().can_fit(&needed))
         .map(|(key, endpoint)| Slot {
             key,
             free: endpoint.free(),
@@ -445,7 +445,7 @@
     let needed = spec.charged();
     slots
         .iter_mut()
-        .filter(|slot| slot.free.holds(&needed))
+        .filter(|slot| slot.free.can_fit(&needed))
         .filter(|slot| spec.max_per_endpoint == 0 || slot.siblings < spec.max_per_endpoint)
         .min_by_key(|slot| {
             let mismatch = mismatch(endpoints.get(slot.key), spec, avoid);
@@ -454,6 +454,6 @@
 }
 
 fn take(slot: &mut Slot, spec: &StepSpec) {
-    slot.free = slot.free.less(&spec.charged());
+    slot.free = slot.free.saturating_sub(&spec.charged());
     slot.siblings += 1;
 }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use lynxwheel_engine::{
     Batch, CallOutcome, CallerAnswer, ClientAccount, ClientAccounts, Effect, EndKind, EndedTask,
     EndpointEntry, EndpointReport, Engine, EngineSettings, Event, FleetConfig, JobId, JobSpec,
-    JobState, KeyDigest, Now, Pool, Queue, Record, Room, RunningTask, StartOrder, StepSpec,
+    JobState, KeyDigest, Now, Pool, Queue, Record, Resources, RunningTask, StartOrder, StepSpec,
     TaskRef, VmEntry, VmState,
 };
 
@@ -44,7 +44,7 @@
 pub fn step(count: u16) -> StepSpec {
     StepSpec {
         count,
-        room: Room {
+        room: Resources {
             cpu_millis: 1_000,
             memory_mb: 100,
             gpus: 0,
@@ -60,9 +60,9 @@
         name: name.into(),
         keys: vec![KeyDigest::new(name.as_bytes())],
         weight: 1.0,
-        quota: Room {
+        quota: Resources {
             cpu_millis: cores * 1_000,
-            ..Room::default()
+            ..Resources::default()
         },
     }
 }
@@ -111,7 +111,7 @@
         state: VmState::Up,
         zone: "zone-1".into(),
         labels: vec!["a".into(), "r1".into()],
-        capacity: Room {
+        capacity: Resources {
             cpu_millis: 16_000,
             memory_mb: 64_000,
             gpus: 0,
@@ -128,7 +128,7 @@
         state: VmState::Up,
         zone: "zone-1".into(),
         labels: Vec::new(),
-        capacity: Room::default(),
+        capacity: Resources::default(),
         endpoint: endpoint.into(),
     }])
 }
@@ -209,7 +209,7 @@
             address: ([127, 0, 0, 1], port).into(),
             pool: POOL.into(),
             zone: "zone-1".into(),
-            capacity: Room {
+            capacity: Resources {
                 cpu_millis,
                 memory_mb: 64_000,
                 gpus: 0,
@@ -263,8 +263,8 @@
         });
     }
 
-    pub fn shown(&self, number: u64) -> Option<JobState> {
-        self.engine.shown(job_id(number))
+    pub fn job_state(&self, number: u64) -> Option<JobState> {
+        self.engine.job_state(job_id(number))
     }
 
     /// Advances the clock in ticks.
@@ -288,23 +288,23 @@
 
     /// Stores one batch and carries nothing out that it releases later.
     pub fn settle_without_cleaning(&mut self) {
-        let batch = self.engine.cut_batch(self.now);
+        let batch = self.engine.take_batch(self.now);
         self.store(&batch);
         drop(self.engine.committed(batch, self.now));
     }
 
     fn turn(&mut self) -> bool {
         self.answer_renewals();
-        let mut effects = self.engine.take_at_once();
+        let mut effects = self.engine.take_immediate_effects();
         if !self.is_store_down {
             let batch = match self.in_flight.take() {
                 Some(batch) => batch,
-                None => self.engine.cut_batch(self.now),
+                None => self.engine.take_batch(self.now),
             };
             let has_records = !batch.records.is_empty();
             self.store(&batch);
             effects.extend(self.engine.committed(batch, self.now));
-            effects.extend(self.engine.take_at_once());
+            effects.extend(self.engine.take_immediate_effects());
             if effects.is_empty() && !has_records {
                 return false;
             }
--- a/crates/engine/tests/store_away.rs
+++ b/crates/engine/tests/store_away.rs
@@ -18,14 +18,14 @@
     fleet.list_endpoint("i-1", 16_000);
     fleet.advance(200);
     fleet.submit(1, 1);
-    let batch = fleet.engine.cut_batch(fleet.now);
+    let batch = fleet.engine.take_batch(fleet.now);
     fleet.put_in_flight(batch);
     fleet.is_store_down = true;
     fleet
 }
 
-fn learn(fleet: &mut Fleet, is_store_away: bool) {
-    fleet.engine.set_store_away(is_store_away);
+fn learn(fleet: &mut Fleet, is_store_unavailable: bool) {
+    fleet.engine.set_store_unavailable(is_store_unavailable);
     fleet.advance(100);
 }
 
@@ -60,7 +60,7 @@
     learn(&mut fleet, true);
     fleet.is_store_down = false;
     learn(&mut fleet, false);
-    assert_eq!(fleet.shown(2), None);
+    assert_eq!(fleet.job_state(2), None);
     assert_eq!(fleet.endpoints[0].running.len(), 1);
     fleet.submit(2, 1);
     fleet.advance(100);
@@ -68,7 +68,7 @@
         answers(&fleet, 2),
         [CallerAnswer::Refused, CallerAnswer::Accepted]
     );
-    assert_eq!(fleet.shown(2), Some(JobState::Running));
+    assert_eq!(fleet.job_state(2), Some(JobState::Running));
 }
 
 #[test]
