--- a/crates/decisions/src/verdicts.rs
+++ b/crates/decisions/src/exclusions.rs
@@ -1,4 +1,4 @@
-//! Final answers for jobs that can never run, and quarantine of VMs that fail what they start.
+//! Giving up of jobs that can never run, and quarantine of VMs that fail jobs.
 
 use {
     crate::{
@@ -10,15 +10,15 @@
     std::fmt,
 };
 
-/// Time that a job waits before it is given up, so that a pool that starts can report its VMs,
-/// in milliseconds.
-const SETTLE_MS: u64 = 30_000;
+/// Time for which a job is pending before it may be given up, in milliseconds; new VMs report
+/// their capacity meanwhile.
+const GIVE_UP_DELAY_MS: u64 = 30_000;
 
-/// Failures in a row after which a VM is suspected.
-const SUSPECT_FAILURES: u32 = 3;
+/// Consecutive failures from which a VM may be quarantined.
+const MIN_VM_FAILURES: u32 = 3;
 
-/// Jobs that failed on a suspected VM and nowhere else, after which it is to blame.
-const WITNESSES: usize = 2;
+/// Jobs that must have failed on a VM and on no other for it to be quarantined.
+const MIN_FAILED_JOBS: usize = 2;
 
 /// Length of a quarantine, in milliseconds.
 const QUARANTINE_MS: u64 = 30 * 60 * 1_000;
@@ -59,82 +59,83 @@
     pub until_ms: u64,
 }
 
-/// Plans final answers for waiting jobs that can never run.
+/// Plans to give up pending jobs that can never run.
 #[must_use]
 pub fn plan_give_ups(state: &FleetState, now_ms: u64) -> Vec<GiveUpPlan> {
     let view = FleetView::new(state);
-    let mut limits: Vec<Option<Vec<Resources>>> = vec![None; view.pools.len()];
+    let mut sizes_by_pool: Vec<Option<Vec<Resources>>> = vec![None; view.pools.len()];
     let mut plans = Vec::new();
     for job in state.jobs().iter() {
-        let is_settled = job.pending_since_ms + SETTLE_MS <= now_ms;
-        if job.phase != JobPhase::Pending || !is_settled {
+        let has_waited = job.pending_since_ms + GIVE_UP_DELAY_MS <= now_ms;
+        if job.phase != JobPhase::Pending || !has_waited {
             continue;
         }
         let Some(pool) = view.pool_index(job.spec.pool.as_str()) else {
             continue;
         };
-        let shapes = limits[pool].get_or_insert_with(|| shapes(&view.pools[pool]));
-        plans.extend(hopeless(state, job, shapes).map(|reason| GiveUpPlan {
-            job: job.spec.name.clone(),
-            reason,
-        }));
+        let vm_sizes = sizes_by_pool[pool].get_or_insert_with(|| vm_sizes(&view.pools[pool]));
+        plans.extend(
+            unrunnable_reason(state, job, vm_sizes).map(|reason| GiveUpPlan {
+                job: job.spec.name.clone(),
+                reason,
+            }),
+        );
     }
     plans
 }
 
-/// Returns the distinct sizes of a pool's VMs; none while any VM's size is not yet known.
-fn shapes(pool: &PoolView<'_>) -> Vec<Resources> {
+/// Returns the distinct capacities of a pool's VMs, or none while any of them is unknown.
+fn vm_sizes(pool: &PoolView<'_>) -> Vec<Resources> {
     if pool.vms.iter().any(|vm| vm.incarnation == 0) {
         return Vec::new();
     }
-    let mut shapes: Vec<Resources> = pool.vms.iter().map(|vm| vm.capacity).collect();
-    shapes.sort_unstable();
-    shapes.dedup();
-    shapes
+    let mut vm_sizes: Vec<Resources> = pool.vms.iter().map(|vm| vm.capacity).collect();
+    vm_sizes.sort_unstable();
+    vm_sizes.dedup();
+    vm_sizes
 }
 
-/// Tells why a job can never run, if so.
-pub(crate) fn hopeless(
+/// Returns the reason why a job can never run, if there is one.
+pub(crate) fn unrunnable_reason(
     state: &FleetState,
     job: &JobState,
-    shapes: &[Resources],
+    vm_sizes: &[Resources],
 ) -> Option<GiveUpReason> {
     let demand = estimate_demand(job);
     let team = state.teams().get(job.spec.team.as_str())?;
     if !demand.fits(&team.spec.quota) {
         return Some(GiveUpReason::LargerThanQuota);
     }
-    let fits_any = shapes.is_empty() || shapes.iter().any(|shape| demand.fits(shape));
+    let fits_any = vm_sizes.is_empty() || vm_sizes.iter().any(|size| demand.fits(size));
     (!fits_any).then_some(GiveUpReason::LargerThanAnyVm)
 }
 
-/// Plans quarantines of VMs that fail what runs elsewhere; the fold bounds their number.
+/// Plans quarantines of VMs on which jobs keep failing; the fold bounds their number.
 ///
-/// A bad job fails wherever it runs and must not take VMs with it, so a VM is blamed only by jobs
-/// that failed on it alone.
+/// Only jobs that failed on no other VM count, so that a faulty job does not quarantine VMs.
 #[must_use]
 pub fn plan_quarantines(state: &FleetState) -> Vec<QuarantinePlan> {
     let suspects: Vec<&VmName> = state
         .vms()
         .iter()
-        .filter(|vm| vm.failures >= SUSPECT_FAILURES)
+        .filter(|vm| vm.failures >= MIN_VM_FAILURES)
         .filter(|vm| vm.quarantined_until_ms <= state.time_ms())
         .map(|vm| &vm.name)
         .collect();
     if suspects.is_empty() {
         return Vec::new();
     }
-    let mut witnesses = vec![0; suspects.len()];
+    let mut failed_jobs = vec![0; suspects.len()];
     for job in state.jobs().iter() {
-        if let [only] = job.failed_on.as_slice()
-            && let Ok(row) = suspects.binary_search(&only)
+        if let [vm] = job.failed_on.as_slice()
+            && let Ok(row) = suspects.binary_search(&vm)
         {
-            witnesses[row] += 1;
+            failed_jobs[row] += 1;
         }
     }
-    let blamed = suspects.into_iter().zip(witnesses);
-    blamed
-        .filter(|(_, witnesses)| *witnesses >= WITNESSES)
+    let suspects = suspects.into_iter().zip(failed_jobs);
+    suspects
+        .filter(|(_, failed_jobs)| *failed_jobs >= MIN_FAILED_JOBS)
         .map(|(vm, _)| QuarantinePlan {
             vm: vm.clone(),
             until_ms: state.time_ms() + QUARANTINE_MS,
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -1,13 +1,13 @@
-//! Why a VM, a job or a wave stands where it does.
+//! Explanations of the current state of a VM, job, wave or pool.
 
 use {
     crate::{
         drain::DrainEstimate,
+        exclusions::{GiveUpReason, unrunnable_reason},
         fleet_view::FleetView,
         forecast::{Forecast, forecast},
         placement::estimate_demand,
         tuning::Tuning,
-        verdicts::{GiveUpReason, hopeless},
         wave_health::{WaveHealth, ramp_limit},
         waves::{cordoned_vms, is_due},
     },
@@ -18,11 +18,11 @@
     std::fmt,
 };
 
-/// Why something stands where it does.
+/// Explanation of a resource's current state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Explanation {
-    /// It is not declared, or its kind is not decided about.
-    NothingToSay,
+    /// The resource is not declared, or its kind has no explanation.
+    NotExplained,
     /// A VM.
     Vm(VmExplanation),
     /// A job.
@@ -33,32 +33,32 @@
     Pool(PoolAvailability),
 }
 
-/// Why a VM is in service or not.
+/// Why a VM is in or out of service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum VmExplanation {
-    /// It is not live.
+    /// The VM is not live.
     NotLive(VmPhase),
-    /// A node takes it out of service.
+    /// The VM is claimed for planned work.
     Claimed {
-        /// For what.
+        /// Purpose of the claim.
         purpose: ClaimPurpose,
-        /// How far it has come.
+        /// Stage of the claim.
         stage: ClaimStage,
-        /// Node.
+        /// Node that holds the claim.
         holder: NodeName,
-        /// Jobs still on it.
+        /// Jobs still running on the VM.
         jobs: usize,
     },
-    /// Planned work takes it next, and it takes no new jobs until then.
-    KeptFree(DrainEstimate),
-    /// Planned work takes it later.
-    Waits(WaitReason),
-    /// It keeps new jobs off until then, in milliseconds since the epoch.
+    /// Planned work takes the VM next, and only urgent jobs are started on it until then.
+    Cordoned(DrainEstimate),
+    /// Planned work takes the VM later.
+    Waiting(WaitReason),
+    /// No new jobs are started on the VM for a time.
     Quarantined {
-        /// End.
+        /// End of the quarantine, in milliseconds since the epoch.
         until_ms: u64,
     },
-    /// In service, and nothing waits for it.
+    /// The VM is in service, and no planned work takes it.
     InService,
 }
 
@@ -69,57 +69,57 @@
     WaveStopped,
     /// The wave halted on failures.
     WaveHalted(WaveHealth),
-    /// The wave has as many VMs out of service as it may for now.
+    /// The wave has reached its limit on concurrent claims.
     RampLimit,
-    /// The pool has no more than it must keep.
-    Budget(PoolAvailability),
-    /// The pool has another zone open.
+    /// The pool has no more VMs available than it must keep.
+    BudgetExhausted(PoolAvailability),
+    /// The pool's claims are in as many other zones as its budget allows.
     OtherZone,
-    /// Jobs on it are waited for.
-    Jobs(DrainEstimate),
-    /// It is its turn.
-    Turn,
+    /// Jobs on the VM have to end first.
+    RunningJobs(DrainEstimate),
+    /// Nothing prevents a claim in one of the next rounds.
+    NextRound,
 }
 
-/// Why a job runs or waits.
+/// Why a job is running, pending or final.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum JobExplanation {
-    /// An attempt runs or may run there.
+    /// An attempt runs or may run.
     Running {
-        /// VM.
+        /// VM of the attempt.
         vm: VmName,
-        /// Whether it was asked to stop.
+        /// Whether the attempt was asked to stop.
         stopping: bool,
     },
-    /// It has its final answer.
+    /// The job is in a final phase.
     Final {
         /// Phase.
         phase: JobPhase,
-        /// Reason shown to people.
+        /// Reason shown to operators.
         reason: String,
     },
-    /// It can never run and gets its final answer soon.
-    Hopeless(GiveUpReason),
-    /// Its team's quota is used up.
-    Quota,
-    /// No VM of its pool is available.
+    /// The job can never run and will be given up.
+    Unrunnable(GiveUpReason),
+    /// The job's demand exceeds what is left of its team's quota.
+    QuotaExhausted,
+    /// No VM of the job's pool is available.
     NoVmAvailable,
-    /// VMs with room are kept free for planned work, are quarantined or failed it before.
-    RoomNotUsable {
-        /// Such VMs.
+    /// All VMs with enough free capacity are cordoned, are quarantined or failed the job before.
+    FreeVmsExcluded {
+        /// Number of such VMs.
         vms: u32,
     },
-    /// No VM has room for it.
-    NoRoom,
-    /// It starts in the next round.
-    Next,
+    /// No available VM has enough free capacity.
+    NoFreeCapacity,
+    /// The job starts in the next round.
+    StartsNext,
 }
 
-/// Explains where the resource that `reference` names stands.
+/// Explains the current state of the resource that `reference` names.
 #[must_use]
 pub fn explain(state: &FleetState, reference: &ResourceRef, now_ms: u64) -> Explanation {
     let name = reference.name.as_str();
-    let found = match reference.kind {
+    let explanation = match reference.kind {
         Kind::Vm => state
             .vms()
             .get(name)
@@ -138,7 +138,7 @@
             .map(|pool| Explanation::Pool(pool.availability())),
         Kind::Policy | Kind::Service | Kind::Team => None,
     };
-    found.unwrap_or(Explanation::NothingToSay)
+    explanation.unwrap_or(Explanation::NotExplained)
 }
 
 fn explain_vm(state: &FleetState, vm: &VmState, now_ms: u64) -> VmExplanation {
@@ -157,11 +157,11 @@
     let tuning = Tuning::new(state.weights());
     let drain = DrainEstimate::new(state, vm, &tuning, now_ms);
     if wave.is_some() || vm.wanted_pool != vm.pool {
-        let kept_free = cordoned_vms(state, &tuning, now_ms);
-        return if kept_free.binary_search(&vm.name).is_ok() && !drain.is_ready() {
-            VmExplanation::KeptFree(drain)
+        let cordoned = cordoned_vms(state, &tuning, now_ms);
+        return if cordoned.binary_search(&vm.name).is_ok() && !drain.is_ready() {
+            VmExplanation::Cordoned(drain)
         } else {
-            VmExplanation::Waits(wait_reason(state, vm, wave, &drain, &tuning))
+            VmExplanation::Waiting(wait_reason(state, vm, wave, &drain, &tuning))
         };
     }
     if vm.quarantined_until_ms > state.time_ms() {
@@ -193,17 +193,17 @@
         }
     }
     let Some(pool) = state.pools().get(vm.pool.as_str()) else {
-        return WaitReason::Turn;
+        return WaitReason::NextRound;
     };
     let availability = pool.availability();
     if availability.spare_vms() == 0 {
-        WaitReason::Budget(availability)
+        WaitReason::BudgetExhausted(availability)
     } else if !pool.allows_zone(&vm.zone) {
         WaitReason::OtherZone
     } else if !drain.is_ready() {
-        WaitReason::Jobs(*drain)
+        WaitReason::RunningJobs(*drain)
     } else {
-        WaitReason::Turn
+        WaitReason::NextRound
     }
 }
 
@@ -220,47 +220,49 @@
             reason: job.reason.as_str().into(),
         };
     }
-    explain_waiting(state, job, now_ms)
+    explain_pending_job(state, job, now_ms)
 }
 
-fn explain_waiting(state: &FleetState, job: &JobState, now_ms: u64) -> JobExplanation {
+fn explain_pending_job(state: &FleetState, job: &JobState, now_ms: u64) -> JobExplanation {
     let members: Vec<&VmState> = state
         .vms()
         .iter()
         .filter(|vm| vm.pool == job.spec.pool)
         .collect();
-    let is_known = members.iter().all(|vm| vm.incarnation > 0);
-    let shapes: Vec<_> = members.iter().map(|vm| vm.capacity).collect();
-    if let Some(reason) = hopeless(state, job, if is_known { &shapes } else { &[] }) {
-        return JobExplanation::Hopeless(reason);
+    let has_known_sizes = members.iter().all(|vm| vm.incarnation > 0);
+    let vm_sizes: Vec<_> = members.iter().map(|vm| vm.capacity).collect();
+    if let Some(reason) =
+        unrunnable_reason(state, job, if has_known_sizes { &vm_sizes } else { &[] })
+    {
+        return JobExplanation::Unrunnable(reason);
     }
     let demand = estimate_demand(job);
     let team = state.teams().get(job.spec.team.as_str());
     let has_quota = team.is_some_and(|team| team.used.plus(&demand).fits(&team.spec.quota));
     if !has_quota {
-        return JobExplanation::Quota;
+        return JobExplanation::QuotaExhausted;
     }
     let available: Vec<&VmState> = members.into_iter().filter(|vm| vm.is_available()).collect();
     if available.is_empty() {
         return JobExplanation::NoVmAvailable;
     }
-    let kept_free = cordoned_vms(state, &Tuning::new(state.weights()), now_ms);
-    let roomy: Vec<&VmState> = available
+    let cordoned = cordoned_vms(state, &Tuning::new(state.weights()), now_ms);
+    let with_capacity: Vec<&VmState> = available
         .into_iter()
         .filter(|vm| demand.fits(&vm.free()))
         .collect();
     let is_usable = |vm: &&VmState| {
-        kept_free.binary_search(&vm.name).is_err()
+        cordoned.binary_search(&vm.name).is_err()
             && vm.quarantined_until_ms <= state.time_ms()
             && job.failed_on.binary_search(&vm.name).is_err()
     };
-    if roomy.is_empty() {
-        JobExplanation::NoRoom
-    } else if roomy.iter().any(is_usable) {
-        JobExplanation::Next
+    if with_capacity.is_empty() {
+        JobExplanation::NoFreeCapacity
+    } else if with_capacity.iter().any(is_usable) {
+        JobExplanation::StartsNext
     } else {
-        JobExplanation::RoomNotUsable {
-            vms: u32::try_from(roomy.len()).unwrap_or(u32::MAX),
+        JobExplanation::FreeVmsExcluded {
+            vms: u32::try_from(with_capacity.len()).unwrap_or(u32::MAX),
         }
     }
 }
@@ -268,7 +270,7 @@
 impl fmt::Display for Explanation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NothingToSay => formatter.write_str("nothing is decided about it"),
+            Self::NotExplained => formatter.write_str("nothing is decided about it"),
             Self::Vm(vm) => vm.fmt(formatter),
             Self::Job(job) => job.fmt(formatter),
             Self::Wave(forecast) => forecast.fmt(formatter),
@@ -300,12 +302,12 @@
                     "out of service for {what}, {stage:?} by {holder}, {jobs} jobs on it"
                 )
             }
-            Self::KeptFree(drain) => write!(
+            Self::Cordoned(drain) => write!(
                 formatter,
                 "takes no new jobs, planned work takes it in about {} s",
                 drain.wait_ms / 1_000
             ),
-            Self::Waits(reason) => reason.fmt(formatter),
+            Self::Waiting(reason) => reason.fmt(formatter),
             Self::Quarantined { until_ms } => {
                 write!(
                     formatter,
@@ -325,19 +327,19 @@
             Self::RampLimit => {
                 formatter.write_str("waits: the wave has as many VMs out as it may for now")
             }
-            Self::Budget(pool) => write!(
+            Self::BudgetExhausted(pool) => write!(
                 formatter,
                 "waits: {} VMs of its pool are available and {} must stay",
                 pool.available, pool.floor
             ),
             Self::OtherZone => formatter.write_str("waits: its pool has another zone open"),
-            Self::Jobs(drain) => write!(
+            Self::RunningJobs(drain) => write!(
                 formatter,
                 "waits: {} jobs on it have to end, in about {} s",
                 drain.awaited_jobs,
                 drain.wait_ms / 1_000
             ),
-            Self::Turn => formatter.write_str("waits for its turn"),
+            Self::NextRound => formatter.write_str("waits for its turn"),
         }
     }
 }
@@ -350,15 +352,15 @@
             }
             Self::Running { vm, .. } => write!(formatter, "runs on VM {vm}"),
             Self::Final { phase, reason } => write!(formatter, "{phase:?}: {reason}"),
-            Self::Hopeless(reason) => write!(formatter, "can never run: {reason}"),
-            Self::Quota => formatter.write_str("waits: its team's quota is used up"),
+            Self::Unrunnable(reason) => write!(formatter, "can never run: {reason}"),
+            Self::QuotaExhausted => formatter.write_str("waits: its team's quota is used up"),
             Self::NoVmAvailable => formatter.write_str("waits: no VM of its pool is available"),
-            Self::RoomNotUsable { vms } => write!(
+            Self::FreeVmsExcluded { vms } => write!(
                 formatter,
                 "waits: {vms} VMs with room are kept free, are quarantined or failed it"
             ),
-            Self::NoRoom => formatter.write_str("waits: no VM of its pool has room"),
-            Self::Next => formatter.write_str("starts next"),
+            Self::NoFreeCapacity => formatter.write_str("waits: no VM of its pool has room"),
+            Self::StartsNext => formatter.write_str("starts next"),
         }
     }
 }
--- a/crates/decisions/src/forecast.rs
+++ b/crates/decisions/src/forecast.rs
@@ -1,4 +1,4 @@
-//! Forecast of a wave against its deadline.
+//! Forecast of a wave's completion against its deadline.
 
 use {
     crate::{
@@ -11,32 +11,32 @@
     std::fmt,
 };
 
-/// Time of one action before any was observed, in milliseconds.
+/// Assumed duration of an action before any was observed, in milliseconds.
 const DEFAULT_ACTION_MS: u64 = 5 * 60 * 1_000;
 
-/// Whether a wave can finish in time.
+/// Expected completion of a wave.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outlook {
     /// Every VM is maintained.
     Complete,
-    /// Finishes by then, in milliseconds since the epoch.
+    /// Finishes by its deadline, if it has one.
     InTime {
-        /// When it finishes.
+        /// Expected completion, in milliseconds since the epoch.
         finish_ms: u64,
     },
     /// Cannot finish by its deadline under the budgets.
     Late {
-        /// When it finishes, in milliseconds since the epoch.
+        /// Expected completion, in milliseconds since the epoch.
         finish_ms: u64,
-        /// VMs that the pools would need besides to finish by the deadline.
-        needs_vms: u32,
+        /// Additional VMs that the pools need to finish by the deadline.
+        missing_vms: u32,
     },
-    /// Some pools have no room under their budgets, so that it never finishes.
-    NoRoom {
-        /// Pools without room.
-        pools: u32,
-        /// VMs that they need at least.
-        needs_vms: u32,
+    /// Never finishes, since the budgets of some pools allow no VM out of service.
+    NoBudget {
+        /// Pools whose budget is exhausted.
+        blocked_pools: u32,
+        /// Additional VMs that the pools need.
+        missing_vms: u32,
     },
     /// The operator paused or aborted it.
     Stopped,
@@ -44,7 +44,7 @@
     Halted(WaveHealth),
 }
 
-/// Forecast of a wave.
+/// Remaining work of a wave and its expected completion.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Forecast {
     /// VMs still to maintain.
@@ -62,15 +62,18 @@
             }
             Outlook::Late {
                 finish_ms,
-                needs_vms,
+                missing_vms,
             } => write!(
                 formatter,
-                "cannot finish in time under this budget: needs {needs_vms} more VMs or until \
+                "cannot finish in time under this budget: needs {missing_vms} more VMs or until \
                  {finish_ms}"
             ),
-            Outlook::NoRoom { pools, needs_vms } => write!(
+            Outlook::NoBudget {
+                blocked_pools,
+                missing_vms,
+            } => write!(
                 formatter,
-                "cannot finish under this budget: VMs needed: {needs_vms}, in pools: {pools}"
+                "cannot finish under this budget: VMs needed: {missing_vms}, in pools: {blocked_pools}"
             ),
             Outlook::Stopped => write!(formatter, "stopped by the operator"),
             Outlook::Halted(health) => write!(formatter, "halted: {}", health.as_str()),
@@ -78,7 +81,7 @@
     }
 }
 
-/// Forecasts a wave from the budgets and the action times seen so far.
+/// Forecasts a wave from the pools' budgets and the mean duration of its actions.
 #[must_use]
 pub fn forecast(state: &FleetState, wave: &WaveState, now_ms: u64) -> Forecast {
     let view = FleetView::new(state);
@@ -86,31 +89,35 @@
         .acting_ms
         .checked_div(u64::from(wave.done))
         .map_or(DEFAULT_ACTION_MS, |mean_ms| mean_ms.max(1));
-    let mut load = Load::default();
+    let mut work = RemainingWork::default();
     for index in member_pools(&view, wave) {
         let pool = &view.pools[index];
         let due = pool.vms.iter().filter(|vm| is_due(wave, vm)).count();
         let due = u32::try_from(due).unwrap_or(u32::MAX);
         let claimed: u32 = pool.state.claimed_zones.iter().map(|row| row.1).sum();
-        let slots = pool.state.availability().spare_vms() + claimed;
-        load.add(due, slots, rounds_until(wave, now_ms, action_ms));
+        let concurrency = pool.state.availability().spare_vms() + claimed;
+        work.add(
+            due,
+            concurrency,
+            rounds_before_deadline(wave, now_ms, action_ms),
+        );
     }
     Forecast {
-        remaining: load.remaining,
-        outlook: outlook(&view, wave, &load, now_ms, action_ms),
+        remaining: work.remaining,
+        outlook: outlook(&view, wave, &work, now_ms, action_ms),
     }
 }
 
 fn outlook(
     view: &FleetView<'_>,
     wave: &WaveState,
-    load: &Load,
+    work: &RemainingWork,
     now_ms: u64,
     action_ms: u64,
 ) -> Outlook {
     let health = WaveHealth::new(view, wave);
-    let finish_ms = now_ms + u64::from(load.rounds) * action_ms;
-    if load.remaining == 0 {
+    let finish_ms = now_ms + u64::from(work.rounds) * action_ms;
+    if work.remaining == 0 {
         return Outlook::Complete;
     }
     if wave.spec.goal != WaveGoal::Run {
@@ -119,23 +126,23 @@
     if !health.can_continue() {
         return Outlook::Halted(health);
     }
-    if load.stuck_pools > 0 {
-        return Outlook::NoRoom {
-            pools: load.stuck_pools,
-            needs_vms: load.needs_vms.max(load.stuck_pools),
+    if work.blocked_pools > 0 {
+        return Outlook::NoBudget {
+            blocked_pools: work.blocked_pools,
+            missing_vms: work.missing_vms.max(work.blocked_pools),
         };
     }
     if wave.spec.deadline_ms > 0 && finish_ms > wave.spec.deadline_ms {
         return Outlook::Late {
             finish_ms,
-            needs_vms: load.needs_vms,
+            missing_vms: work.missing_vms,
         };
     }
     Outlook::InTime { finish_ms }
 }
 
-/// Returns how many actions fit one after the other before the deadline.
-fn rounds_until(wave: &WaveState, now_ms: u64, action_ms: u64) -> u32 {
+/// Returns how many consecutive actions fit before the deadline, at least one.
+fn rounds_before_deadline(wave: &WaveState, now_ms: u64, action_ms: u64) -> u32 {
     if wave.spec.deadline_ms == 0 {
         return u32::MAX;
     }
@@ -145,25 +152,26 @@
         .max(1)
 }
 
+/// Work that remains in all pools of a wave.
 #[derive(Debug, Default)]
-struct Load {
+struct RemainingWork {
     remaining: u32,
     rounds: u32,
-    needs_vms: u32,
-    stuck_pools: u32,
+    missing_vms: u32,
+    blocked_pools: u32,
 }
 
-impl Load {
-    fn add(&mut self, due: u32, slots: u32, rounds_left: u32) {
+impl RemainingWork {
+    fn add(&mut self, due: u32, concurrency: u32, rounds_available: u32) {
         self.remaining += due;
         if due == 0 {
             return;
         }
-        self.needs_vms += due.div_ceil(rounds_left).saturating_sub(slots);
-        if slots == 0 {
-            self.stuck_pools += 1;
+        self.missing_vms += due.div_ceil(rounds_available).saturating_sub(concurrency);
+        if concurrency == 0 {
+            self.blocked_pools += 1;
             return;
         }
-        self.rounds = self.rounds.max(due.div_ceil(slots));
+        self.rounds = self.rounds.max(due.div_ceil(concurrency));
     }
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -16,6 +16,7 @@
 mod allocation;
 mod claim_review;
 mod drain;
+mod exclusions;
 mod explain;
 mod fleet_view;
 mod forecast;
@@ -24,7 +25,6 @@
 mod rendezvous;
 mod routing;
 mod tuning;
-mod verdicts;
 mod wave_health;
 mod waves;
 
@@ -35,6 +35,7 @@
 };
 pub use claim_review::{ClaimReview, ReleaseReason, ReviewStep, review_claims};
 pub use drain::{DrainEstimate, remaining_ms};
+pub use exclusions::{GiveUpPlan, GiveUpReason, QuarantinePlan, plan_give_ups, plan_quarantines};
 pub use explain::{Explanation, JobExplanation, VmExplanation, WaitReason, explain};
 pub use fleet_view::{FleetView, PoolView};
 pub use forecast::{Forecast, Outlook, forecast};
@@ -46,6 +47,5 @@
     least_loaded_in_share, slot_shares,
 };
 pub use tuning::Tuning;
-pub use verdicts::{GiveUpPlan, GiveUpReason, QuarantinePlan, plan_give_ups, plan_quarantines};
 pub use wave_health::{WaveHealth, ramp_limit};
 pub use waves::{ClaimPlan, ClaimReason, cordoned_vms, is_due, plan_claims};
--- a/crates/decisions/tests/waves.rs
+++ b/crates/decisions/tests/waves.rs
@@ -219,7 +219,7 @@
     let late = forecast(&fleet.state, wave, fleet.now_ms);
     let expected = Outlook::Late {
         finish_ms: fleet.now_ms + 8 * action_ms,
-        needs_vms: 3,
+        missing_vms: 3,
     };
     assert_eq!(late.outlook, expected);
 }
@@ -229,9 +229,9 @@
     let fleet = running(8, 1, 8);
     let wave = fleet.state.waves().first().unwrap();
     let outlook = forecast(&fleet.state, wave, fleet.now_ms).outlook;
-    let expected = Outlook::NoRoom {
-        pools: 1,
-        needs_vms: 1,
+    let expected = Outlook::NoBudget {
+        blocked_pools: 1,
+        missing_vms: 1,
     };
     assert_eq!(outlook, expected);
 }
