--- a/crates/coordination/src/snapshots.rs
+++ b/crates/coordination/src/snapshots.rs
@@ -1,7 +1,7 @@
 //! Writing snapshots into the log service.
 
 use {
-    crate::{log_client::LogClient, node::Node, snapshot_chunks::cut_snapshot},
+    crate::{log_client::LogClient, node::Node, snapshot_chunks::split_snapshot},
     log::{error, info, warn},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{RecordBody, SnapshotId, encode_chunk},
@@ -37,7 +37,7 @@
         }
         if let Some(id) = write(&node, &log).await {
             node.proposer()
-                .is_accepted(RecordBody::Snapshot { id })
+                .propose_and_confirm(RecordBody::Snapshot { id })
                 .await;
         }
         due_since_ms = None;
@@ -65,12 +65,13 @@
         return true;
     }
     let age_ms = now_ms.saturating_sub(state.snapshot_ms());
-    records >= settings.snapshot_records || records > 1 && age_ms >= settings.snapshot_period_ms
+    records >= settings.snapshot_interval_records
+        || records > 1 && age_ms >= settings.snapshot_interval_ms
 }
 
 async fn write(node: &Node, log: &LogClient) -> Option<SnapshotId> {
     let state = node.state();
-    let Some(chunks) = cut_snapshot(&state, node.incarnation()) else {
+    let Some(chunks) = split_snapshot(&state, node.incarnation()) else {
         error!(event = "snapshot_failed", offset = state.offset(); "the state cannot be encoded");
         return None;
     };
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -74,7 +74,7 @@
             self.quotas.release(job.account_number, &spec.room);
         }
         let endpoint = self.endpoints.get_mut(attempt.endpoint);
-        endpoint.release(task, run, now.steady_ms);
+        endpoint.remove_run(task, run, now.steady_ms);
         self.log_events.push(LogEvent::RunEnded {
             task: *task,
             run,
@@ -150,7 +150,7 @@
                 }
             }
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
         }
     }
 
@@ -256,7 +256,7 @@
             }
             CallOutcome::Unsent | CallOutcome::Unknown => self.call_failed(key, now),
             CallOutcome::OtherLife => self.endpoint_over(key, now),
-            CallOutcome::Fenced => self.immediate_effects.push(Effect::Resign),
+            CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
         }
     }
 
@@ -289,8 +289,8 @@
         let Some(spec) = job.step_spec(name) else {
             return;
         };
-        let (lasts, is_gang) = (spec.long_running, spec.gang);
-        if lasts {
+        let (is_long_running, is_gang) = (spec.long_running, spec.gang);
+        if is_long_running {
             self.remove_attempt(name, run, RunEnd::Reported(EndKind::Done), now);
             return;
         }
@@ -349,14 +349,14 @@
         endpoint.cooldown_until_ms = endpoint.cooldown_until_ms.max(now.steady_ms + cooldown_ms);
         let max_attempts = self.jobs[place].queue.max_attempts;
         let job = &mut self.jobs[place];
-        let lasts = job
+        let is_long_running = job
             .step_spec(&ended.task)
             .is_some_and(|spec| spec.long_running);
         let mut is_hopeless = false;
         if let Some(task) = job.task_mut(&ended.task) {
             task.failed += 1;
             task.avoid = Some(key);
-            is_hopeless = !lasts && task.failed >= max_attempts;
+            is_hopeless = !is_long_running && task.failed >= max_attempts;
         }
         self.remove_attempt(
             &ended.task,
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -103,20 +103,20 @@
         token: ReplyToken,
     },
     /// A configuration came into force.
-    Config(Arc<FleetConfig>),
+    ConfigChanged(Arc<FleetConfig>),
     /// An endpoint's entry was written, or was found.
-    Listed {
+    Registered {
         /// Entry.
         entry: Box<EndpointEntry>,
         /// Whether it was written after others that are known, not found among them.
         is_fresh: bool,
     },
     /// An endpoint's entry was removed.
-    Unlisted(CompactString),
+    Deregistered(CompactString),
     /// The platform's list of VMs, whole.
-    Vms(Vec<VmEntry>),
+    VmsListed(Vec<VmEntry>),
     /// An operator orders maintenance.
-    Wave(WaveOrder),
+    WaveOrdered(WaveOrder),
     /// Answer to a start.
     Started {
         /// Endpoint.
@@ -167,7 +167,7 @@
         is_done: bool,
     },
     /// Answer to a move or to maintenance.
-    VmAnswer {
+    VmOrderAnswered {
         /// VM.
         vm: CompactString,
         /// Outcome.
@@ -239,14 +239,14 @@
         percent: u8,
     },
     /// Move a VM to another pool.
-    Move {
+    MoveVm {
         /// VM.
         vm: CompactString,
         /// Pool.
         pool: CompactString,
     },
     /// Begin the maintenance of a VM.
-    Maintain {
+    MaintainVm {
         /// VM.
         vm: CompactString,
         /// Wave.
@@ -267,7 +267,7 @@
         answer: CallerAnswer,
     },
     /// Give up ownership: a newer owner gives orders.
-    Resign,
+    StepDown,
 }
 
 /// Order to start a run.
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         attempts::start_order,
-        endpoint_table::Endpoints,
-        endpoints::{Endpoint, Placed},
+        endpoint_table::EndpointTable,
+        endpoints::{Endpoint, PlacedRun},
         engine::Engine,
         event::{Effect, EndpointKey, Now},
         free_room::FreeSlot,
@@ -165,7 +165,7 @@
                 continue;
             }
             let cooldown = (endpoint.cooldown_until_ms, key);
-            let is_cooling_down = !endpoint.is_over && endpoint.cooldown_until_ms > now.steady_ms;
+            let is_cooling_down = !endpoint.has_ended && endpoint.cooldown_until_ms > now.steady_ms;
             if is_cooling_down && let Err(place) = self.cooling_endpoints.binary_search(&cooldown) {
                 self.cooling_endpoints.insert(place, cooldown);
             }
@@ -268,7 +268,7 @@
         let order = start_order(job, key, task, run, 0);
         self.pending_effects.push(Effect::Start(Box::new(order)));
         let endpoint = self.endpoints.get_mut(key);
-        endpoint.place(Placed::new(*task, run, spec));
+        endpoint.add_run(PlacedRun::new(*task, run, spec));
         let free_cpu_millis = endpoint.free().cpu_millis;
         self.free_room.set(key, &endpoint.pool, free_cpu_millis);
     }
@@ -302,7 +302,7 @@
 
 fn siblings(endpoint: &Endpoint, name: &TaskRef) -> u16 {
     let count = endpoint
-        .placed
+        .placed_runs
         .iter()
         .filter(|placed| placed.task.is_sibling(name))
         .count();
@@ -312,13 +312,13 @@
 /// Returns the best match for a task, of `slots` with enough processor free, the fullest
 /// first.
 pub(crate) fn best_fit(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &[FreeSlot],
     task: &TaskRef,
     spec: &StepSpec,
     avoid: Option<EndpointKey>,
 ) -> Option<EndpointKey> {
-    let needed = spec.charged();
+    let needed = spec.reserved_resources();
     let mut best: Option<(Mismatch, EndpointKey)> = None;
     for &(_, key) in slots {
         let endpoint = endpoints.get(key);
@@ -343,12 +343,16 @@
     let is_remote = !spec.data_rack.is_empty() && !endpoint.has_label(&spec.data_rack);
     let disturbed = if spec.fills {
         endpoint
-            .placed
+            .placed_runs
             .iter()
-            .filter(|placed| placed.serves)
+            .filter(|placed| placed.is_serving)
+            .count()
+    } else if spec.is_serving() {
+        endpoint
+            .placed_runs
+            .iter()
+            .filter(|placed| placed.is_filler)
             .count()
-    } else if spec.serves() {
-        endpoint.placed.iter().filter(|placed| placed.fills).count()
     } else {
         0
     };
@@ -356,12 +360,12 @@
 }
 
 fn slots(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     members: &[EndpointKey],
     name: &TaskRef,
     spec: &StepSpec,
 ) -> Vec<Slot> {
-    let needed = spec.charged();
+    let needed = spec.reserved_resources();
     members
         .iter()
         .map(|&key| (key, endpoints.get(key)))
@@ -377,7 +381,7 @@
 
 /// Chooses an endpoint for each task that fits.
 fn choose_each(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &mut [Slot],
     job: &Job,
     name: &TaskRef,
@@ -399,7 +403,7 @@
 
 /// Chooses endpoints for all tasks of a gang, in one rack if they are slower otherwise, or none.
 fn choose_gang(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &mut [Slot],
     job: &Job,
     name: &TaskRef,
@@ -426,7 +430,7 @@
 }
 
 /// Returns the labels that stand for racks: every label but the first, which is the kind.
-fn racks(endpoints: &Endpoints, slots: &[Slot]) -> Vec<CompactString> {
+fn racks(endpoints: &EndpointTable, slots: &[Slot]) -> Vec<CompactString> {
     let mut racks: Vec<CompactString> = slots
         .iter()
         .flat_map(|slot| endpoints.get(slot.key).labels.iter().skip(1).cloned())
@@ -437,12 +441,12 @@
 }
 
 fn best_slot<'a>(
-    endpoints: &Endpoints,
+    endpoints: &EndpointTable,
     slots: &'a mut [Slot],
     spec: &StepSpec,
     avoid: Option<EndpointKey>,
 ) -> Option<&'a mut Slot> {
-    let needed = spec.charged();
+    let needed = spec.reserved_resources();
     slots
         .iter_mut()
         .filter(|slot| slot.free.can_fit(&needed))
@@ -454,6 +458,6 @@
 }
 
 fn take(slot: &mut Slot, spec: &StepSpec) {
-    slot.free = slot.free.saturating_sub(&spec.charged());
+    slot.free = slot.free.saturating_sub(&spec.reserved_resources());
     slot.siblings += 1;
 }
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -5,7 +5,7 @@
 use {
     common::{Fleet, POOL, job_id, step},
     lynxwheel_engine::{
-        EndKind, Endpoint, EndpointKey, Endpoints, Engine, Job, JobSpec, Phase, Resources,
+        EndKind, Endpoint, EndpointKey, EndpointTable, Engine, Job, JobSpec, Phase, Resources,
         StepSpec, TaskRef,
     },
     rand::{RngExt, SeedableRng},
@@ -40,7 +40,11 @@
         .map(|(_, endpoint)| Slot {
             endpoint,
             free: endpoint.free(),
-            placed: endpoint.placed.iter().map(|placed| placed.task).collect(),
+            placed: endpoint
+                .placed_runs
+                .iter()
+                .map(|placed| placed.task)
+                .collect(),
         })
         .collect();
     let mut candidates: Vec<Candidate> = engine
@@ -65,7 +69,7 @@
             let Some(slot) = best(&mut slots, &task, &spec, avoid) else {
                 break;
             };
-            slot.free = slot.free.saturating_sub(&spec.charged());
+            slot.free = slot.free.saturating_sub(&spec.reserved_resources());
             slot.placed.push(task);
             starts.push((task, slot.endpoint.key));
         }
@@ -139,7 +143,7 @@
 ) -> Option<&'a mut Slot<'b>> {
     slots
         .iter_mut()
-        .filter(|slot| slot.free.can_fit(&spec.charged()))
+        .filter(|slot| slot.free.can_fit(&spec.reserved_resources()))
         .filter(|slot| {
             spec.required_label.is_empty() || slot.endpoint.has_label(&spec.required_label)
         })
@@ -238,7 +242,7 @@
         let ms = random.random_range(1..6) * 100;
         fleet.advance(ms);
     }
-    let endpoints: &Endpoints = fleet.engine.endpoints();
+    let endpoints: &EndpointTable = fleet.engine.endpoints();
     assert!(endpoints.iter().count() >= 9);
 }
 
