--- a/crates/decisions/src/action_step.rs
+++ b/crates/decisions/src/action_step.rs
@@ -1,30 +1,30 @@
-//! Next step of an action under way on a VM.
+//! Next step of an action that has begun on a VM.
 
 use {
     lynxwheel_protocol::VmPhase,
     lynxwheel_state::{Claim, VmState},
 };
 
-/// What the holder of an acting claim does next.
+/// Next step of the holder of a claim whose action has begun.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ActionStep {
-    /// The VM has a new life: the claim is done.
+    /// The VM is live in a new incarnation; the claim is done.
     Complete,
-    /// The VM may not have been told; the platform carries an action out once for each fence.
+    /// Sends the action, again if need be; the platform executes it once for each fencing number.
     Send,
-    /// The VM was not told in time: the budget is rechecked before a new window opens.
+    /// The action's window has passed; the budget is rechecked and a new window opened.
     Recheck,
-    /// The VM is on its way.
+    /// The VM is not live; waits for its new incarnation.
     Wait,
-    /// The VM did not come back: the claim is done without success.
+    /// The VM did not come back in time; the action has failed.
     GiveUp,
 }
 
 /// Decides the next step of a claim whose action has begun.
 ///
-/// A holder that dies right after the recheck leaves a VM that was never told. Its successor sees
-/// the VM alive in the life that it was claimed in, and tells it; a successor that waited for the
-/// VM to come back would wait until the action is overdue, and the wave with it.
+/// A VM that is still live in the incarnation in which it was claimed has not received the action,
+/// for example because the former holder crashed before sending it. The action is then sent again,
+/// so that the wave does not stall until the timeout.
 #[must_use]
 pub fn next_action_step(vm: &VmState, claim: &Claim, now_ms: u64, timeout_ms: u64) -> ActionStep {
     let is_live = vm.phase == VmPhase::Live;
--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -1,65 +1,65 @@
-//! Admission of requests: waiting for a slot, rates of teams, and retries.
+//! Admission of requests to the queue, rate limits of teams, and the retry budget.
 
 use lynxwheel_protocol::Class;
 
-/// Part of the queue open to ordinary work, in percent.
+/// Part of the queue that requests of class normal may fill, in percent.
 const NORMAL_PERCENT: usize = 80;
 
-/// Part of the queue open to batch work, in percent.
+/// Part of the queue that requests of class batch may fill, in percent.
 const BATCH_PERCENT: usize = 50;
 
-/// Shortest time after which to come back, in milliseconds.
+/// Lower bound of the time after which a refused request may be retried, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// Budget that one retry costs.
+/// Retry budget that one retry consumes.
 const RETRY_COST: u32 = 100;
 
-/// Budget that one request adds, so that retries stay within a tenth of the requests.
+/// Retry budget that one request adds; it limits retries to a tenth of the requests.
 const RETRY_GAIN: u32 = 10;
 
-/// Budget at most, which bounds a burst of retries to 50.
+/// Upper bound of the retry budget; it limits a burst to 50 retries.
 pub const MAX_RETRY_BUDGET: u32 = 50 * RETRY_COST;
 
-/// What a node knows when a request finds no free slot.
+/// State of the queue for a request that finds no free slot.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionView {
     /// Class of the request.
     pub class: Class,
-    /// Requests that wait.
+    /// Requests in the queue.
     pub waiting: usize,
-    /// Requests that wait and would be served before it.
+    /// Requests in the queue that are served before this one.
     pub ahead: usize,
-    /// Requests that may wait at most.
+    /// Capacity of the queue.
     pub max_waiting: usize,
     /// Slots that serve the queue.
     pub slots: u32,
-    /// Mean time for which a request takes a slot, in microseconds; 0 when none is known.
+    /// Mean time for which a request occupies a slot, in microseconds; 0 if unknown.
     pub mean_service_us: u64,
     /// Time until the request's deadline, in milliseconds.
     pub remaining_ms: u64,
 }
 
-/// Whether a request may wait for a slot.
+/// Outcome of the admission of a request to the queue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It waits.
+    /// The request may wait.
     Wait,
-    /// The queue's part for its class is full.
+    /// The part of the queue open to the request's class is full.
     QueueFull {
-        /// When to come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Its turn would come after its deadline.
+    /// No slot is expected to be free before the request's deadline.
     TooLate {
-        /// When to come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
 /// Decides whether a request may wait for a slot.
 ///
-/// Ordinary and batch work may fill only a part of the queue, so that urgent work finds a place
-/// in an overload of the others.
+/// Requests of class normal and batch may fill only a part of the queue, so that urgent ones are
+/// still admitted when the others overload the service.
 #[must_use]
 pub fn admit(view: &AdmissionView) -> Admission {
     let wait_ms = expected_wait_ms(view);
@@ -85,17 +85,17 @@
     turns * view.mean_service_us / u64::from(view.slots.max(1)) / 1_000
 }
 
-/// Requests that a team may still send in a burst.
+/// Token bucket that limits the request rate of a team.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenBucket {
     /// Tokens in thousandths of a request.
     pub tokens_milli: u64,
-    /// When they were counted, in milliseconds of any clock that does not go back.
+    /// Time of the last update, in milliseconds of a monotonic clock.
     pub updated_ms: u64,
 }
 
 impl TokenBucket {
-    /// Fills a bucket for `rate_per_s`.
+    /// Creates a full bucket, which holds the tokens of one second.
     #[must_use]
     pub fn full(rate_per_s: u32, now_ms: u64) -> Self {
         Self {
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the time until the next token, in milliseconds.
+    /// Returns the time until the next token in milliseconds if there is none.
     pub fn take(&mut self, rate_per_s: u32, now_ms: u64) -> Result<(), u64> {
         let rate = u64::from(rate_per_s.max(1));
         let gained = now_ms.saturating_sub(self.updated_ms).saturating_mul(rate);
@@ -123,13 +123,13 @@
     }
 }
 
-/// Returns the retry budget after a further request.
+/// Returns the retry budget after another request.
 #[must_use]
 pub fn budget_after_request(budget: u32) -> u32 {
     (budget + RETRY_GAIN).min(MAX_RETRY_BUDGET)
 }
 
-/// Returns the retry budget after a retry, or `None` when it does not suffice for one.
+/// Returns the retry budget after a retry, or `None` if it does not suffice.
 #[must_use]
 pub fn budget_after_retry(budget: u32) -> Option<u32> {
     budget.checked_sub(RETRY_COST)
--- a/crates/decisions/src/claim_review.rs
+++ b/crates/decisions/src/claim_review.rs
@@ -1,4 +1,4 @@
-//! Review of claims under way: what must be given back or taken over.
+//! Review of the held claims: which to release and which to take over.
 
 use {
     crate::{
@@ -9,27 +9,27 @@
     lynxwheel_state::{Claim, ClaimStage, FleetState, VmState},
 };
 
-/// What to do about a claim.
+/// Step that a review prescribes for a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReviewStep {
-    /// Its holder gives it back.
+    /// The holder releases the claim.
     Release(ReleaseReason),
-    /// A live node takes it over, since its holder is gone.
+    /// Another node takes the claim over, since its holder is not live.
     TakeOver,
 }
 
-/// Why a claim is given back before the action.
+/// Why a claim is released before the action.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReleaseReason {
     /// The operator paused the wave.
     WavePaused,
-    /// The operator aborted the wave or withdrew it.
+    /// The operator aborted or deleted the wave.
     WaveAborted,
-    /// The wave halted on failures.
+    /// The wave halted after failures.
     WaveHalted,
     /// The move is no longer declared.
     MoveNotWanted,
-    /// The pool lost VMs since the claim and needs this one.
+    /// The pool has fallen below its floor since the claim.
     PoolBelowFloor,
 }
 
@@ -47,22 +47,22 @@
     }
 }
 
-/// Finding about one claim.
+/// Review of one claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimReview {
     /// VM.
     pub vm: VmName,
     /// Fencing number of the claim.
     pub fence: u64,
-    /// What to do.
+    /// Step to take.
     pub step: ReviewStep,
 }
 
-/// Reviews the claims under way; `live_nodes` is sorted.
+/// Reviews all claims; `live_nodes` must be sorted.
 #[must_use]
 pub fn review_claims(state: &FleetState, live_nodes: &[NodeName]) -> Vec<ClaimReview> {
     let view = FleetView::new(state);
-    let halted = halted_waves(&view);
+    let halted = halted_wave_names(&view);
     let mut reviews = Vec::new();
     for pool in &view.pools {
         review_pool(state, pool, &halted, live_nodes, &mut reviews);
@@ -70,7 +70,7 @@
     reviews
 }
 
-fn halted_waves(view: &FleetView<'_>) -> Vec<WaveName> {
+fn halted_wave_names(view: &FleetView<'_>) -> Vec<WaveName> {
     let waves = view.state.waves().iter();
     waves
         .filter(|wave| wave.claimed > 0 && !WaveHealth::new(view, wave).can_continue())
@@ -92,13 +92,13 @@
         .iter()
         .filter_map(|vm| vm.claim.as_ref().map(|claim| (*vm, claim)))
         .collect();
-    // The latest drain has lost least work and is undone first.
+    // Releases the latest drains first, which have stopped the fewest jobs.
     claims.sort_by_key(|(_, claim)| std::cmp::Reverse(claim.fence));
     for (vm, claim) in claims {
-        let mut step = own_step(state, vm, claim, halted);
-        let helps =
+        let mut step = release_step(state, vm, claim, halted);
+        let can_be_released =
             claim.stage == ClaimStage::Draining && vm.phase == lynxwheel_protocol::VmPhase::Live;
-        if deficit > 0 && helps {
+        if deficit > 0 && can_be_released {
             deficit -= 1;
             step = Some(ReviewStep::Release(ReleaseReason::PoolBelowFloor));
         }
@@ -113,7 +113,7 @@
     }
 }
 
-fn own_step(
+fn release_step(
     state: &FleetState,
     vm: &VmState,
     claim: &Claim,
--- a/crates/decisions/src/fleet_view.rs
+++ b/crates/decisions/src/fleet_view.rs
@@ -1,27 +1,27 @@
-//! VMs grouped by pool, built once for a round of planning.
+//! VMs grouped by pool for one round of planning.
 
 use lynxwheel_state::{FleetState, PoolState, VmState};
 
-/// A pool with its members.
+/// A pool with its VMs.
 #[derive(Clone, Debug)]
 pub struct PoolView<'a> {
     /// Pool.
     pub state: &'a PoolState,
-    /// Members in order of name.
+    /// VMs in order of name.
     pub vms: Vec<&'a VmState>,
 }
 
-/// Pools in order of name, each with its members.
+/// Pools in order of name, each with its VMs.
 #[derive(Clone, Debug)]
 pub struct FleetView<'a> {
-    /// State that the view was built from.
+    /// State from which the view was built.
     pub state: &'a FleetState,
     /// Pools.
     pub pools: Vec<PoolView<'a>>,
 }
 
 impl<'a> FleetView<'a> {
-    /// Groups the VMs of `state` in one pass.
+    /// Groups the VMs of `state` by pool.
     #[must_use]
     pub fn new(state: &'a FleetState) -> Self {
         let mut pools: Vec<PoolView<'a>> = state
--- a/crates/decisions/src/rendezvous.rs
+++ b/crates/decisions/src/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Order of nodes for a subject by rendezvous hashing.
+//! Rendezvous hashing of nodes.
 
 use {lynxwheel_protocol::NodeName, xxhash_rust::xxh3::xxh3_64_with_seed};
 
-/// Returns how many of `nodes` come before `node` for `subject`.
+/// Returns the rank of `node` among `nodes` for `subject`, from 0.
 ///
-/// The node of rank 0 speaks first and the others wait, which spares rejected proposals; a wrong
-/// view of the nodes costs no more than that.
+/// The node of rank 0 proposes first, which avoids proposals that would be rejected. Nodes with
+/// different views of the live nodes only cause more such rejections.
 #[must_use]
 pub fn rendezvous_rank(subject: &str, node: &NodeName, nodes: &[NodeName]) -> usize {
     let own = weight(subject, node);
--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -1,51 +1,51 @@
-//! Choice of an endpoint for a request, and shares of an endpoint's slots.
+//! Choice of an endpoint for a request, and division of an endpoint's slots among the nodes.
 
 use {
     crate::rendezvous::rendezvous_rank,
     lynxwheel_protocol::{NodeName, VmName, ZoneName},
 };
 
-/// What a node knows of an endpoint when it chooses.
+/// What the choosing node knows about an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointView<'a> {
     /// VM.
     pub vm: &'a VmName,
     /// Zone.
     pub zone: &'a ZoneName,
-    /// Requests of this node in progress on it.
+    /// Requests of this node in progress on the endpoint.
     pub in_progress: u32,
-    /// Requests of the other nodes in progress on it, as they last told.
+    /// Requests of the other nodes in progress on the endpoint, as last reported by them.
     pub peers_in_progress: u32,
-    /// Requests that it serves at once.
+    /// Requests that the endpoint serves concurrently.
     pub slots: u32,
-    /// Slots that are this node's own; over all nodes they add up to `slots`.
+    /// Slots assigned to this node; the shares of all nodes add up to `slots`.
     pub slot_share: u32,
 }
 
-/// What matters of a request for the choice.
+/// Properties of a request that the choice depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
     /// Zone of the choosing node.
     pub zone: &'a ZoneName,
-    /// Spreads equal choices.
+    /// Position at which the search starts; it spreads requests over equally loaded endpoints.
     pub seed: u64,
 }
 
-/// Why an endpoint was chosen or none was.
+/// Why an endpoint was chosen, or none.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteReason {
-    /// Least loaded in the own zone.
+    /// The endpoint is the least loaded one in the node's zone.
     LeastLoadedOwnZone,
-    /// Least loaded in another zone, since the own one has no free slot.
+    /// The endpoint is the least loaded one in another zone; the node's zone has no free slot.
     LeastLoadedOtherZone,
     /// The service has no available endpoint.
     NoEndpoint,
-    /// Every slot is taken.
+    /// No endpoint has a free slot.
     NoFreeSlot,
 }
 
 impl RouteReason {
-    /// Returns the name used in logs and answers.
+    /// Returns the name used in logs and responses.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -62,19 +62,20 @@
 pub struct RouteChoice {
     /// Index of the chosen endpoint.
     pub endpoint: Option<usize>,
-    /// Requests that the choosing node may have in progress on it, this one included.
+    /// Requests that the node may have in progress on the endpoint, including this one.
     pub limit: u32,
     /// Reason.
     pub reason: RouteReason,
 }
 
-/// A way to choose an endpoint.
+/// Function that chooses an endpoint for a request.
 pub type RoutePolicy = fn(&RouteRequest<'_>, &[EndpointView<'_>]) -> RouteChoice;
 
-/// Chooses the endpoint with the fewest requests of all nodes in progress, in the own zone first.
+/// Chooses the endpoint with the fewest requests of all nodes in progress, preferring the node's
+/// zone.
 ///
-/// The peers' counts are as old as their last message, so nodes that choose at the same time may
-/// exceed an endpoint's slots together.
+/// The counts of the other nodes may be stale, so nodes that choose concurrently may together
+/// exceed an endpoint's slots.
 #[must_use]
 pub fn least_loaded(request: &RouteRequest<'_>, endpoints: &[EndpointView<'_>]) -> RouteChoice {
     choose(request, endpoints, |endpoint| {
@@ -82,10 +83,10 @@
     })
 }
 
-/// Chooses among the endpoints on which a slot of this node's own share is free, in the own zone
-/// first, then the one with the fewest requests of all nodes.
+/// Chooses the least loaded endpoint as [`least_loaded`] does, but only among endpoints on which
+/// this node's share has a free slot.
 ///
-/// Shares of one set of nodes add up to the slots, so the nodes never exceed them together.
+/// The shares of all nodes add up to the slots, so the nodes never exceed them together.
 #[must_use]
 pub fn least_loaded_in_share(
     request: &RouteRequest<'_>,
@@ -94,10 +95,10 @@
     choose(request, endpoints, |endpoint| endpoint.slot_share)
 }
 
-/// Returns how many of an endpoint's slots belong to each of `nodes`, in their order.
+/// Returns how many of an endpoint's slots are assigned to each of `nodes`, in the same order.
 ///
-/// Slots are dealt in turn over the nodes in the endpoint's rendezvous order. When a node is lost
-/// only its slots change hands, and each other node gains at most one while nodes are no fewer
+/// Slots are assigned round-robin in the endpoint's rendezvous order. When a node leaves, only its
+/// slots are reassigned, and each other node gains at most one as long as there are no fewer nodes
 /// than slots.
 #[must_use]
 pub fn slot_shares(vm: &VmName, nodes: &[NodeName], slots: u32) -> Vec<u32> {
@@ -108,8 +109,8 @@
         .iter()
         .map(|node| {
             let rank = rendezvous_rank(vm.as_str(), node, nodes);
-            let is_early = u32::try_from(rank).is_ok_and(|rank| rank < slots % count);
-            slots / count + u32::from(is_early)
+            let has_extra_slot = u32::try_from(rank).is_ok_and(|rank| rank < slots % count);
+            slots / count + u32::from(has_extra_slot)
         })
         .collect()
 }
