--- a/crates/decisions/src/claim_review.rs
+++ b/crates/decisions/src/claim_review.rs
@@ -50,7 +50,7 @@
 /// Review of one claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimReview {
-    /// VM.
+    /// Claimed VM.
     pub vm: VmName,
     /// Fencing number of the claim.
     pub fence: u64,
@@ -92,7 +92,7 @@
         .iter()
         .filter_map(|vm| vm.claim.as_ref().map(|claim| (*vm, claim)))
         .collect();
-    // Releases the latest drains first, which have stopped the fewest jobs.
+    // Releases the latest drains first, since they have cost the least work.
     claims.sort_by_key(|(_, claim)| std::cmp::Reverse(claim.fence));
     for (vm, claim) in claims {
         let mut step = release_step(state, vm, claim, halted);
--- a/crates/decisions/src/exclusions.rs
+++ b/crates/decisions/src/exclusions.rs
@@ -44,16 +44,16 @@
 /// A job to give up.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GiveUpPlan {
-    /// Job.
+    /// Job to give up.
     pub job: JobName,
-    /// Reason.
+    /// Why the job can never run.
     pub reason: GiveUpReason,
 }
 
 /// A VM to quarantine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QuarantinePlan {
-    /// VM.
+    /// VM to quarantine.
     pub vm: VmName,
     /// End, in milliseconds since the epoch.
     pub until_ms: u64,
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -93,7 +93,7 @@
     },
     /// The job is in a final phase.
     Final {
-        /// Phase.
+        /// Final phase.
         phase: JobPhase,
         /// Reason shown to operators.
         reason: String,
--- a/crates/decisions/src/fleet_view.rs
+++ b/crates/decisions/src/fleet_view.rs
@@ -5,7 +5,7 @@
 /// A pool with its VMs.
 #[derive(Clone, Debug)]
 pub struct PoolView<'a> {
-    /// Pool.
+    /// Folded state of the pool.
     pub state: &'a PoolState,
     /// VMs in order of name.
     pub vms: Vec<&'a VmState>,
@@ -16,7 +16,7 @@
 pub struct FleetView<'a> {
     /// State from which the view was built.
     pub state: &'a FleetState,
-    /// Pools.
+    /// Views of all pools.
     pub pools: Vec<PoolView<'a>>,
 }
 
--- a/crates/decisions/src/forecast.rs
+++ b/crates/decisions/src/forecast.rs
@@ -49,7 +49,7 @@
 pub struct Forecast {
     /// VMs still to maintain.
     pub remaining: u32,
-    /// Outlook.
+    /// Expected completion.
     pub outlook: Outlook,
 }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -47,15 +47,15 @@
 /// A start of a job's attempt to propose.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Placement {
-    /// Job.
+    /// Job to start.
     pub job: JobName,
-    /// Attempt.
+    /// Number of the new attempt.
     pub attempt: u32,
-    /// VM.
+    /// VM on which to start it.
     pub vm: VmName,
     /// Resources to reserve.
     pub reserved: Resources,
-    /// Reason.
+    /// Why the VM was chosen.
     pub reason: PlacementReason,
 }
 
--- a/crates/decisions/src/preemption.rs
+++ b/crates/decisions/src/preemption.rs
@@ -10,9 +10,9 @@
 /// An attempt to checkpoint and stop.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Preemption {
-    /// Job.
+    /// Job to stop.
     pub job: JobName,
-    /// Attempt.
+    /// Number of the running attempt.
     pub attempt: u32,
 }
 
--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -8,9 +8,9 @@
 /// What the choosing node knows about an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointView<'a> {
-    /// VM.
+    /// VM of the endpoint.
     pub vm: &'a VmName,
-    /// Zone.
+    /// Availability zone of the endpoint.
     pub zone: &'a ZoneName,
     /// Requests of this node in progress on the endpoint.
     pub in_progress: u32,
@@ -64,7 +64,7 @@
     pub endpoint: Option<usize>,
     /// Requests that the node may have in progress on the endpoint, including this one.
     pub limit: u32,
-    /// Reason.
+    /// Why the endpoint was chosen, or none.
     pub reason: RouteReason,
 }
 
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -40,13 +40,13 @@
 /// A claim to propose.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimPlan {
-    /// VM.
+    /// VM to claim.
     pub vm: VmName,
     /// Pool that it belongs to.
     pub pool: PoolName,
-    /// Purpose.
+    /// Purpose of the claim.
     pub purpose: ClaimPurpose,
-    /// Reason.
+    /// Why the VM is claimed.
     pub reason: ClaimReason,
     /// Estimate of the drain.
     pub drain: DrainEstimate,
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -16,7 +16,7 @@
 /// A resource with the revision of its declaration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Declared {
-    /// Declaration.
+    /// Declared resource.
     pub resource: Resource,
     /// Offset of the declaration.
     pub revision: u64,
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -15,18 +15,18 @@
     Pending,
     /// An attempt runs, or may run.
     Running,
-    /// Completed.
+    /// An attempt succeeded.
     Succeeded,
     /// Given up for good.
     GivenUp,
-    /// Cancelled.
+    /// Cancelled by an operator.
     Cancelled,
 }
 
 /// One attempt of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Attempt {
-    /// VM.
+    /// VM on which the attempt is placed.
     pub vm: VmName,
     /// Incarnation of the VM.
     pub vm_incarnation: u64,
@@ -54,11 +54,11 @@
 /// One job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobState {
-    /// Declaration.
+    /// Declaration by the operator.
     pub spec: JobSpec,
     /// Revision of the declaration.
     pub revision: u64,
-    /// Phase.
+    /// Current phase.
     pub phase: JobPhase,
     /// Attempts started so far.
     pub attempts: u32,
@@ -98,7 +98,7 @@
 /// One team.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TeamState {
-    /// Declaration.
+    /// Declaration by the operator.
     pub spec: TeamSpec,
     /// Revision of the declaration.
     pub revision: u64,
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -14,14 +14,14 @@
 pub enum KeyState {
     /// Announced; the request may be running.
     Pending,
-    /// Ended.
+    /// The request has ended with this outcome.
     Ended(KeyOutcome),
 }
 
 /// One key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeyEntry {
-    /// Key.
+    /// Key of the request.
     pub key: RequestKey,
     /// Digest of the request.
     pub request_digest: u64,
@@ -29,7 +29,7 @@
     pub holder: NodeName,
     /// Run of that node.
     pub incarnation: u64,
-    /// State.
+    /// Current state.
     pub state: KeyState,
     /// Fold's time of the intent, in milliseconds since the epoch.
     pub since_ms: u64,
--- a/crates/state/src/verdict.rs
+++ b/crates/state/src/verdict.rs
@@ -32,57 +32,57 @@
     UnknownWriter,
     /// The resource has another revision than expected.
     RevisionConflict {
-        /// Resource.
+        /// Resource that is declared or deleted.
         reference: ResourceRef,
         /// Revision that it has; 0 when it does not exist.
         revision: u64,
     },
     /// A resource that the proposal needs does not exist.
     Missing {
-        /// Resource.
+        /// Resource that is declared or deleted.
         reference: ResourceRef,
     },
     /// The resource is still needed by another one.
     StillNeeded {
-        /// Resource.
+        /// Resource that is declared or deleted.
         reference: ResourceRef,
         /// Resource that needs it.
         by: ResourceRef,
     },
     /// A field of the declaration is out of its range.
     BadField {
-        /// Resource.
+        /// Resource that is declared or deleted.
         reference: ResourceRef,
-        /// Field.
+        /// Name of the field.
         field: String,
         /// What is wrong.
         reason: String,
     },
     /// No such VM.
     UnknownVm {
-        /// VM.
+        /// Name of the VM.
         vm: VmName,
     },
     /// The VM is claimed already.
     AlreadyClaimed {
-        /// VM.
+        /// Name of the VM.
         vm: VmName,
     },
     /// The claim is gone or another node took it over.
     StaleFence {
-        /// VM.
+        /// Name of the VM.
         vm: VmName,
         /// Fencing number in force; 0 when there is no claim.
         fence: u64,
     },
     /// The step does not fit the claim's stage or purpose.
     WrongStage {
-        /// VM.
+        /// Name of the VM.
         vm: VmName,
     },
     /// The pool's availability budget would be broken.
     BudgetExhausted {
-        /// Pool.
+        /// Name of the pool.
         pool: PoolName,
         /// VMs available now.
         available: u32,
@@ -91,37 +91,37 @@
     },
     /// Too many zones of the pool would be claimed at once.
     TooManyZones {
-        /// Pool.
+        /// Name of the pool.
         pool: PoolName,
     },
     /// The wave is paused, aborted or does not include the VM's pool.
     WaveNotRunning {
-        /// Wave.
+        /// Name of the wave.
         wave: WaveName,
     },
     /// The VM does not wait for this move.
     MoveNotWanted {
-        /// VM.
+        /// Name of the VM.
         vm: VmName,
     },
     /// The evidence is older than what is known.
     OldEvidence {
-        /// VM.
+        /// Name of the VM.
         vm: VmName,
     },
     /// The attempt is not the one that the job waits for or runs.
     WrongAttempt {
-        /// Job.
+        /// Name of the job.
         job: JobName,
     },
     /// The VM cannot take the job now.
     VmNotFit {
-        /// VM.
+        /// Name of the VM.
         vm: VmName,
     },
     /// The team's quota would be exceeded.
     QuotaExceeded {
-        /// Team.
+        /// Name of the team.
         team: TeamName,
     },
     /// The key was used before.
@@ -134,7 +134,7 @@
     OldSnapshot,
     /// Not all live nodes know the fold version, or it is not the next one.
     VersionNotKnown {
-        /// Version.
+        /// Version proposed.
         fold_version: u32,
     },
 }
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -22,7 +22,7 @@
 /// A VM taken out of service for planned work.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// Purpose.
+    /// Purpose of the claim.
     pub purpose: ClaimPurpose,
     /// Life of the VM that the claim was made in.
     pub incarnation: u64,
@@ -30,7 +30,7 @@
     pub holder: NodeName,
     /// Fencing number: offset of the claim or of its last takeover.
     pub fence: u64,
-    /// Stage.
+    /// Current stage.
     pub stage: ClaimStage,
     /// Fold's time of the last step, in milliseconds since the epoch.
     pub since_ms: u64,
@@ -41,7 +41,7 @@
 /// One VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmState {
-    /// Name.
+    /// Name of the VM.
     pub name: VmName,
     /// Pool that it belongs to.
     pub pool: PoolName,
@@ -51,9 +51,9 @@
     pub revision: u64,
     /// Platform's count of the machine's lives under this name; 0 before the first report.
     pub incarnation: u64,
-    /// Zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Rack.
+    /// Rack, unique within the zone.
     pub rack: RackName,
     /// Address of its endpoint as `ip:port`.
     pub address: CompactString,
@@ -104,7 +104,7 @@
 /// One pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoolState {
-    /// Declaration.
+    /// Declaration by the operator.
     pub spec: PoolSpec,
     /// Revision of the declaration.
     pub revision: u64,
@@ -135,7 +135,7 @@
 /// One wave.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaveState {
-    /// Declaration.
+    /// Declaration by the operator.
     pub spec: WaveSpec,
     /// Revision of the declaration.
     pub revision: u64,
--- a/crates/state/src/writers.rs
+++ b/crates/state/src/writers.rs
@@ -17,7 +17,7 @@
 pub struct Writer {
     /// Identifies the run.
     pub incarnation: u64,
-    /// Node.
+    /// Name of the node.
     pub node: NodeName,
     /// Highest fold version that the run knows.
     pub fold_version: u32,
