--- a/crates/decisions/benches/planning.rs
+++ b/crates/decisions/benches/planning.rs
@@ -1,4 +1,4 @@
-//! Cost of a round of planning at several sizes.
+//! Cost of a planning round at several fleet sizes.
 
 #[path = "../../state/benches/full_size/mod.rs"]
 mod full_size;
@@ -13,18 +13,18 @@
     lynxwheel_state::FleetState,
 };
 
-/// Quarters of the full size that are measured.
-const QUARTERS: [u64; 4] = [1, 2, 4, 8];
+/// Fleet sizes to measure, in quarters of the full size.
+const FLEET_QUARTERS: [u64; 4] = [1, 2, 4, 8];
 
-/// Starts planned in one round.
+/// Maximum number of starts planned in one round.
 const MAX_STARTS: usize = 256;
 
 fn main() {
     divan::main();
 }
 
-/// Places jobs until no more fit, and lets a wave maintain a few VMs.
-fn busy_fleet(quarters: u64) -> FleetState {
+/// Builds a fleet on which a wave has maintained VMs and no more jobs fit.
+fn full_fleet(quarters: u64) -> FleetState {
     let mut state = fleet(quarters);
     for record in maintenance(&state, 100 * quarters) {
         state.apply(state.offset() + 1, &record);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Plans everything that one round plans.
+/// Runs all planning functions once.
 fn round(state: &FleetState, nodes: &[NodeName]) {
     let now_ms = state.time_ms();
     let tuning = Tuning::new(state.weights());
@@ -68,8 +68,8 @@
     black_box(plan_quarantines(state));
 }
 
-/// A round on a fleet whose jobs all wait.
-#[divan::bench(args = QUARTERS, sample_count = 20)]
+/// A round on a fleet whose jobs are all pending.
+#[divan::bench(args = FLEET_QUARTERS, sample_count = 20)]
 fn round_with_all_waiting(bencher: Bencher, quarters: u64) {
     let state = fleet(quarters);
     let nodes = ["node-1".into()];
@@ -77,17 +77,17 @@
 }
 
 /// A round on a fleet on which no more jobs fit.
-#[divan::bench(args = QUARTERS, sample_count = 20)]
+#[divan::bench(args = FLEET_QUARTERS, sample_count = 20)]
 fn round_on_full_fleet(bencher: Bencher, quarters: u64) {
-    let state = busy_fleet(quarters);
+    let state = full_fleet(quarters);
     let nodes = ["node-1".into()];
     bencher.bench_local(|| round(&state, &nodes));
 }
 
-/// Claims alone on a fleet on which no more jobs fit.
-#[divan::bench(args = QUARTERS, sample_count = 20)]
+/// Planning of claims only, on a fleet on which no more jobs fit.
+#[divan::bench(args = FLEET_QUARTERS, sample_count = 20)]
 fn claims_on_full_fleet(bencher: Bencher, quarters: u64) {
-    let state = busy_fleet(quarters);
+    let state = full_fleet(quarters);
     let tuning = Tuning::new(state.weights());
     bencher.bench_local(|| black_box(plan_claims(&state, &tuning, state.time_ms())));
 }
--- a/crates/decisions/src/drain.rs
+++ b/crates/decisions/src/drain.rs
@@ -64,7 +64,7 @@
 
 /// Estimates the remaining run time of a job, in milliseconds.
 ///
-/// Declared run times are often far off. A job that has exceeded its expected run time is assumed
+/// Declared run times are often inaccurate. A job that has exceeded its expected run time is assumed
 /// to run for another half of the time that it has run so far.
 #[must_use]
 pub fn remaining_ms(job: &JobState, now_ms: u64) -> u64 {
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -99,7 +99,7 @@
 
 /// Returns the resources to reserve for the next attempt of a job.
 ///
-/// Declared demands are often far off, so the observed usage of earlier attempts takes precedence:
+/// Declared demands are often inaccurate, so the observed usage of earlier attempts comes first:
 /// a margin is added up to the declared demand, and usage above it counts as observed.
 #[must_use]
 pub fn estimate_demand(job: &JobState) -> Resources {
--- a/crates/decisions/tests/action_step.rs
+++ b/crates/decisions/tests/action_step.rs
@@ -1,4 +1,4 @@
-//! Next steps of actions under way.
+//! Next steps of actions that have begun.
 
 use {
     lynxwheel_decisions::{ActionStep, next_action_step},
@@ -64,7 +64,7 @@
     ]
 }
 
-/// Returns a VM whose action has begun in its fourth life, and what was reported since.
+/// Returns a VM whose action began in incarnation 4, after a report of `phase` and `incarnation`.
 fn begun_vm(phase: VmPhase, incarnation: u64) -> VmState {
     let mut bodies = declarations();
     bodies.push(report(VmPhase::Live, 4));
@@ -110,11 +110,11 @@
 }
 
 cases! {
-    /// A wave stands still for ten minutes. Its node was killed between the recheck and the call,
-    /// and the successor waited for a VM to come back that had never been told to go.
-    holder_died_before_the_call: Live, 4, 1 => Send;
-    /// The same, but the successor took over only after the window had passed.
-    holder_died_and_the_window_passed: Live, 4, 2 * WINDOW_MS => Recheck;
+    /// The holder crashed between the recheck and the call; its successor must send the action
+    /// instead of waiting for the timeout.
+    holder_crashed_before_sending: Live, 4, 1 => Send;
+    /// As above, but the successor took the claim over after the window.
+    holder_crashed_and_window_passed: Live, 4, 2 * WINDOW_MS => Recheck;
     vm_is_down: Failed, 4, 1 => Wait;
     vm_is_back: Live, 5, 1 => Complete;
     vm_is_back_late: Live, 5, 2 * TIMEOUT_MS => Complete;
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission to a queue, rates of teams and the budget of retries.
+//! Admission to the queue, rate limits of teams and the retry budget.
 
 use {
     lynxwheel_decisions::{
@@ -8,7 +8,7 @@
     lynxwheel_protocol::Class,
 };
 
-/// A queue of 100 with 10 slots of 20 ms each and a request with a second left.
+/// A queue of 100 requests, 10 slots of 20 ms each, and a request with one second left.
 fn view(class: Class, waiting: usize, ahead: usize) -> AdmissionView {
     AdmissionView {
         class,
@@ -30,24 +30,24 @@
 }
 
 admissions! {
-    batch_waits_in_its_half: view(Class::Batch, 49, 49) => Admission::Wait;
-    batch_finds_its_half_full: view(Class::Batch, 50, 50) =>
+    batch_waits_below_its_share: view(Class::Batch, 49, 49) => Admission::Wait;
+    batch_is_refused_at_its_share: view(Class::Batch, 50, 50) =>
         Admission::QueueFull { retry_after_ms: 102 };
-    normal_work_goes_beyond: view(Class::Normal, 79, 79) => Admission::Wait;
-    normal_work_finds_its_part_full: view(Class::Normal, 80, 80) =>
+    normal_waits_below_its_share: view(Class::Normal, 79, 79) => Admission::Wait;
+    normal_is_refused_at_its_share: view(Class::Normal, 80, 80) =>
         Admission::QueueFull { retry_after_ms: 162 };
-    urgent_work_finds_a_place: view(Class::Urgent, 99, 0) => Admission::Wait;
-    nothing_finds_a_place_in_a_full_queue: view(Class::Urgent, 100, 0) =>
+    urgent_waits_below_the_capacity: view(Class::Urgent, 99, 0) => Admission::Wait;
+    full_queue_refuses_urgent: view(Class::Urgent, 100, 0) =>
         Admission::QueueFull { retry_after_ms: 100 };
-    turn_after_the_deadline: AdmissionView { remaining_ms: 50, ..view(Class::Normal, 40, 40) } =>
+    wait_beyond_the_deadline_is_refused: AdmissionView { remaining_ms: 50, ..view(Class::Normal, 40, 40) } =>
         Admission::TooLate { retry_after_ms: 100 };
-    unknown_service_time_refuses_nobody: AdmissionView { mean_service_us: 0, remaining_ms: 1, ..view(Class::Normal, 40, 40) } =>
+    unknown_service_time_is_admitted: AdmissionView { mean_service_us: 0, remaining_ms: 1, ..view(Class::Normal, 40, 40) } =>
         Admission::Wait;
 }
 
-/// A team may send its rate at once and then one request for each part of a second.
+/// A team may send the requests of one second in a burst, and then one for each refilled token.
 #[test]
-fn bucket_gives_the_rate_and_tells_when_to_come_back() {
+fn bucket_limits_the_rate_and_returns_the_wait() {
     let mut bucket = TokenBucket::full(5, 1_000);
     assert!((0..5).all(|_| bucket.take(5, 1_000).is_ok()));
     assert_eq!(bucket.take(5, 1_000), Err(200));
@@ -60,8 +60,7 @@
     );
 }
 
-/// Every endpoint refuses every request. Retries must not grow with the refusals: after the burst
-/// they stay at a tenth of the requests.
+/// When every request is refused, retries stay at a tenth of the requests after the first burst.
 #[test]
 fn retries_stay_within_a_tenth_of_the_requests() {
     let mut budget = MAX_RETRY_BUDGET;
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet folded from records.
+//! A small fleet built by folding records.
 
 use {
     lynxwheel_protocol::{
@@ -20,7 +20,7 @@
 }
 
 impl Fleet {
-    /// One pool of `vms` VMs in one rack for each zone, of which `floor` must stay available.
+    /// Creates a pool of `vms` VMs, of which `floor` must stay available, with one rack per zone.
     pub fn new(vms: usize, zones: usize, floor: u32) -> Self {
         let mut fleet = Self {
             state: FleetState::new(),
@@ -169,7 +169,7 @@
         self.offset
     }
 
-    /// Takes a VM through its maintenance.
+    /// Runs the maintenance of a VM from claim to end.
     pub fn maintain(&mut self, vm: usize, zones: usize, succeeded: bool) {
         let fence = self.claim(vm);
         let name = vm_name(vm);
--- a/crates/decisions/tests/explain.rs
+++ b/crates/decisions/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations of where VMs and jobs stand.
+//! Explanations of the current state of VMs, jobs, waves and pools.
 
 mod common;
 
@@ -19,7 +19,7 @@
     };
 }
 
-fn quiet() -> Fleet {
+fn idle() -> Fleet {
     Fleet::new(4, 2, 2)
 }
 
@@ -32,19 +32,19 @@
 }
 
 fn failed() -> Fleet {
-    let mut fleet = quiet();
+    let mut fleet = idle();
     fleet.report(1, 2, 1, VmPhase::Failed);
     fleet
 }
 
 fn with_job(cores: u32) -> Fleet {
-    let mut fleet = quiet();
+    let mut fleet = idle();
     fleet.job("job", cores, |_| {});
     fleet
 }
 
 fn cancelled() -> Fleet {
-    let mut fleet = quiet();
+    let mut fleet = idle();
     fleet.job("job", 1, |job| job.cancelled = true);
     fleet
 }
@@ -55,8 +55,8 @@
     fleet
 }
 
-fn failed_out() -> Fleet {
-    let mut fleet = quiet();
+fn out_of_attempts() -> Fleet {
+    let mut fleet = idle();
     fleet.job("job", 1, |job| job.max_attempts = 1);
     fleet.start("job", 0);
     fleet.end("job", JobOutcome::Failed);
@@ -70,13 +70,13 @@
 }
 
 explanations! {
-    vm_in_service: quiet(), Vm "vm-00" => "in service";
+    vm_in_service: idle(), Vm "vm-00" => "in service";
     vm_that_was_maintained: maintained(), Vm "vm-00" => "in service";
-    job_that_failed_out: failed_out(), Job "job" => "GivenUp: failed 1 times";
+    job_out_of_attempts: out_of_attempts(), Job "job" => "GivenUp: failed 1 times";
     vm_that_failed: failed(), Vm "vm-01" => "not in service: Failed";
     vm_under_claim: claimed(2), Vm "vm-00"
         => "out of service for maintenance by wave wave, Draining by node-1, 0 jobs on it";
-    vm_behind_the_ramp: claimed(2), Vm "vm-02"
+    vm_beyond_the_ramp_limit: claimed(2), Vm "vm-02"
         => "waits: the wave has as many VMs out as it may for now";
     job_that_starts_next: with_job(1), Job "job" => "starts next";
     job_that_can_never_run: with_job(17), Job "job"
@@ -84,6 +84,6 @@
     job_that_runs: running(), Job "job" => "runs on VM vm-03";
     job_that_was_cancelled: cancelled(), Job "job" => "Cancelled: cancelled by the operator";
     pool_with_a_claim: claimed(3), Pool "pool" => "3 of 4 VMs available, 3 must stay";
-    wave_under_way: claimed(3), Wave "wave" => "4 VMs left, until 2200004";
-    unknown_name: quiet(), Vm "nobody" => "nothing is decided about it";
+    running_wave: claimed(3), Wave "wave" => "4 VMs left, until 2200004";
+    unknown_name: idle(), Vm "nobody" => "nothing is decided about it";
 }
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Starts, stops for urgent work, final answers and quarantines.
+//! Placement, preemption, giving up of jobs, and quarantine of VMs.
 
 mod common;
 
@@ -61,9 +61,9 @@
     fleet
 }
 
-fn blocked_by_giant() -> Fleet {
+fn with_oversized_job() -> Fleet {
     let mut fleet = Fleet::new(1, 1, 0);
-    fleet.job("giant", 17, |_| {});
+    fleet.job("oversized", 17, |_| {});
     fleet.job("new", 16, |_| {});
     fleet
 }
@@ -84,19 +84,18 @@
 
 starts! {
     batch_work_is_packed: packed() => 1, PlacementReason::Packed;
-    work_that_people_wait_for_is_spread: spread() => 1, PlacementReason::Spread;
-    /// A job is moved twice by one wave: it landed on a VM that the wave takes later.
+    normal_work_is_spread: spread() => 1, PlacementReason::Spread;
+    /// Placing a job on a VM that the wave takes later would move the job twice.
     wave_moves_a_job_once: in_wave() => 2, PlacementReason::Spread;
-    /// A job uses up its attempts on a worker that fails everything and so always has room.
-    job_does_not_go_back_to_where_it_failed: failed_once() => 1, PlacementReason::Spread;
-    /// Everything behind a job that fits nowhere waits for ever.
-    giant_blocks_nobody: blocked_by_giant() => 0, PlacementReason::Spread;
+    /// A VM that fails all jobs has the most free capacity and would use up the job's attempts.
+    job_is_not_retried_on_the_same_vm: failed_once() => 1, PlacementReason::Spread;
+    /// A job that fits on no VM must not block the jobs after it.
+    oversized_job_blocks_no_others: with_oversized_job() => 0, PlacementReason::Spread;
 }
 
-/// Outage notices wait for billing to end on a full pool. Billing that can go on elsewhere is
-/// stopped, once, and no more of it than is needed.
+/// An urgent job stops no more attempts than it needs, and none again while they are stopping.
 #[test]
-fn urgent_work_stops_lower_work_once() {
+fn urgent_job_preempts_once() {
     let mut fleet = full(true);
     let stops = plan(&fleet).stops;
     assert_eq!(stops.len(), 1, "{stops:?}");
@@ -107,44 +106,44 @@
     assert!(plan(&fleet).stops.is_empty());
 }
 
-/// A billing run that keeps no progress would be lost by a stop and run twice.
+/// Stopping an attempt that cannot be checkpointed would lose its progress.
 #[test]
-fn run_that_keeps_no_progress_is_not_stopped() {
+fn attempt_without_checkpoint_is_not_preempted() {
     assert!(plan(&full(false)).stops.is_empty());
 }
 
-/// Two urgent jobs count on the same room, and one of them starts late.
+/// Two urgent jobs must not rely on the resources freed by the same stop.
 #[test]
-fn room_that_is_made_counts_once() {
+fn freed_resources_are_reserved_once() {
     let mut fleet = full(true);
     fleet.job("second", 15, |job| job.class = Class::Urgent);
     assert_eq!(plan(&fleet).stops.len(), 2);
 }
 
 #[test]
-fn job_larger_than_any_vm_gets_its_answer() {
-    let mut fleet = blocked_by_giant();
+fn job_larger_than_any_vm_is_given_up() {
+    let mut fleet = with_oversized_job();
     fleet.now_ms += 60_000;
     let plans = plan_give_ups(&fleet.state, fleet.now_ms);
     let answers: Vec<_> = plans
         .iter()
         .map(|plan| (plan.job.as_str(), plan.reason))
         .collect();
-    assert_eq!(answers, [("giant", GiveUpReason::LargerThanAnyVm)]);
+    assert_eq!(answers, [("oversized", GiveUpReason::LargerThanAnyVm)]);
 }
 
 #[test]
-fn job_larger_than_the_quota_gets_its_answer() {
+fn job_larger_than_the_quota_is_given_up() {
     let mut fleet = Fleet::new(1, 1, 0);
-    fleet.job("greedy", 1, |job| job.demand = resources(2_000, 1));
+    fleet.job("over-quota", 1, |job| job.demand = resources(2_000, 1));
     fleet.now_ms += 60_000;
     let plans = plan_give_ups(&fleet.state, fleet.now_ms);
     assert_eq!(plans[0].reason, GiveUpReason::LargerThanQuota);
 }
 
-/// Jobs fail one after the other on a worker that is broken. It is to blame, and it alone.
+/// A VM on which several jobs failed that failed nowhere else is quarantined, and no other VM.
 #[test]
-fn worker_that_fails_everything_is_quarantined() {
+fn vm_that_fails_all_jobs_is_quarantined() {
     let mut fleet = Fleet::new(4, 1, 2);
     for name in ["a", "b", "c"] {
         fleet.job(name, 1, |_| {});
@@ -156,9 +155,9 @@
     assert_eq!(vms, ["vm-03"]);
 }
 
-/// A job that fails everywhere must not take workers with it.
+/// A job that fails on every VM must not cause a quarantine.
 #[test]
-fn bad_job_takes_no_worker_with_it() {
+fn faulty_job_causes_no_quarantine() {
     let mut fleet = Fleet::new(2, 1, 1);
     fleet.job("bad", 1, |job| job.max_attempts = 9);
     for vm in [0, 1, 0, 1, 0, 1] {
@@ -168,15 +167,15 @@
     assert!(plan_quarantines(&fleet.state).is_empty());
 }
 
-/// Jobs beside one that takes more than it declared fail for want of memory. Its reservation
-/// must grow with what it is seen to use.
+/// The reservation of an attempt grows with its observed usage, so that the jobs placed beside it
+/// have enough memory.
 #[test]
-fn observed_use_is_reserved() {
+fn observed_usage_is_reserved() {
     let mut fleet = Fleet::new(1, 1, 0);
-    fleet.job("hungry", 1, |_| {});
-    fleet.start("hungry", 0);
+    fleet.job("heavy", 1, |_| {});
+    fleet.start("heavy", 0);
     fleet.accept(RecordBody::Usage {
-        job: "hungry".into(),
+        job: "heavy".into(),
         attempt: 1,
         used: resources(10, 10),
     });
--- a/crates/decisions/tests/waves.rs
+++ b/crates/decisions/tests/waves.rs
@@ -1,4 +1,4 @@
-//! Claims, their review and the forecast of waves.
+//! Planning and review of claims, and forecasts of waves.
 
 mod common;
 
@@ -101,30 +101,28 @@
 }
 
 claims! {
-    /// A bad image must not take a pool's whole budget before anyone can notice.
-    wave_begins_with_a_small_step: running(24, 1, 16) => [0, 1, 2];
-    /// After four VMs came back, seven may be out at once.
-    wave_grows_with_what_is_done: proven() => [4, 5, 6, 7, 8, 9, 10];
-    /// The pool's floor bounds the step whatever the ramp says.
+    /// A harmful action must not reach a pool's whole budget before its failures are observed.
+    wave_starts_with_its_first_step: running(24, 1, 16) => [0, 1, 2];
+    /// Four maintained VMs raise the limit from three to seven.
+    ramp_grows_with_maintained_vms: proven() => [4, 5, 6, 7, 8, 9, 10];
+    /// The pool's floor bounds the claims below the ramp limit.
     budget_bounds_the_step: running(24, 1, 23) => [0];
-    full_budget_leaves_nothing: running(4, 1, 4) => [];
-    /// Two zones at once would take two failure domains of the pool down together.
+    exhausted_budget_allows_no_claim: running(4, 1, 4) => [];
+    /// Claims in two zones would affect two failure domains of the pool concurrently.
     one_zone_at_a_time: running(24, 2, 16) => [0, 2, 4];
     paused_wave_claims_nothing: Fleet::new(4, 1, 2).with_wave(WaveGoal::Pause) => [];
-    /// A wave seems stuck and holds a VM for an hour: the VM was claimed while a job that cannot
-    /// be moved ran on it, and the claim charged the budget all the while.
+    /// A claim on a VM with a job that cannot be moved would charge the budget until the job ends.
     busy_vm_is_not_claimed: busy() => [];
-    /// A bad image takes VM after VM down. Two failed before any came back: the wave must halt.
+    /// Failures before any VM was maintained successfully halt the wave.
     early_failures_halt_the_wave: failing_early() => [];
-    /// VMs of one rack do not come back although the action proved harmless elsewhere. The wave
-    /// keeps off that rack and goes on in the other zone.
-    failing_rack_is_left_alone: failing_rack() => [9, 11, 13, 15, 17];
+    /// Failures in one rack, after successes in others, exclude only that rack.
+    failing_rack_is_excluded: failing_rack() => [9, 11, 13, 15, 17];
 }
 
 reviews! {
-    sound_claim_is_left_alone: drained_then(WaveGoal::Run), ["node-1"] => vec![];
-    /// A pool falls below its floor: a VM was drained for a wave, then another one failed. The
-    /// drain must be undone, since the drained VM still works.
+    valid_claim_is_kept: drained_then(WaveGoal::Run), ["node-1"] => vec![];
+    /// A VM failed after another one was claimed, and the pool is below its floor: the claimed VM
+    /// is still live and must be released.
     drain_is_undone_when_the_pool_loses_a_vm: drained_then_failed(), ["node-1"]
         => vec![ReviewStep::Release(ReleaseReason::PoolBelowFloor)];
     drain_is_undone_by_pause: drained_then(WaveGoal::Pause), ["node-1"]
@@ -133,15 +131,14 @@
         => vec![ReviewStep::Release(ReleaseReason::WaveAborted)];
     drain_is_undone_by_halt: halted(), ["node-1"]
         => vec![ReviewStep::Release(ReleaseReason::WaveHalted)];
-    /// A VM stays out of service for ever: the node that held its claim is gone. Another node
-    /// must take the claim over, with its charge.
-    claim_of_a_dead_holder_is_taken_over: drained_then(WaveGoal::Run), ["node-2"]
+    /// Without a takeover, the VM would stay out of service after its holder crashed.
+    claim_of_a_crashed_holder_is_taken_over: drained_then(WaveGoal::Run), ["node-2"]
         => vec![ReviewStep::TakeOver];
 }
 
-/// An operator takes a move back while the VM drains for it. The move must be dropped.
+/// A move that is withdrawn while the VM drains must be released.
 #[test]
-fn unnecessary_move_is_dropped() {
+fn withdrawn_move_is_released() {
     let mut fleet = Fleet::new(4, 1, 2);
     let spec = lynxwheel_protocol::PoolSpec {
         name: "target".into(),
@@ -178,8 +175,7 @@
     }
 }
 
-/// A VM reboots although its operator paused the wave: the pause came between the claim and the
-/// recheck. The fold must refuse the action.
+/// The fold must reject an action whose wave was paused between the claim and the recheck.
 #[test]
 fn action_is_refused_after_a_pause() {
     let mut fleet = running(4, 1, 3);
@@ -193,8 +189,7 @@
     assert!(matches!(verdict, Verdict::Rejected(_)), "{verdict:?}");
 }
 
-/// A billing run is cut off by a reboot: its VM was claimed while the run went on. The fold must
-/// refuse the action until the attempt is over.
+/// The fold must reject an action on a VM until the attempt on it has ended.
 #[test]
 fn action_waits_for_the_attempt() {
     let mut fleet = busy();
@@ -211,7 +206,7 @@
 }
 
 #[test]
-fn late_wave_says_what_it_needs() {
+fn late_forecast_counts_missing_vms() {
     let mut fleet = running(8, 1, 7);
     let action_ms = 300_000;
     fleet.wave(WaveGoal::Run, fleet.now_ms + 2 * action_ms);
@@ -225,7 +220,7 @@
 }
 
 #[test]
-fn wave_without_room_says_so() {
+fn forecast_reports_exhausted_budget() {
     let fleet = running(8, 1, 8);
     let wave = fleet.state.waves().first().unwrap();
     let outlook = forecast(&fleet.state, wave, fleet.now_ms).outlook;
