--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -63,7 +63,7 @@
 
 fn with_oversized_job() -> Fleet {
     let mut fleet = Fleet::new(1, 1, 0);
-    fleet.job("oversized", 17, |_| {});
+    fleet.job("giant", 17, |_| {});
     fleet.job("new", 16, |_| {});
     fleet
 }
@@ -129,13 +129,13 @@
         .iter()
         .map(|plan| (plan.job.as_str(), plan.reason))
         .collect();
-    assert_eq!(answers, [("oversized", GiveUpReason::LargerThanAnyVm)]);
+    assert_eq!(answers, [("giant", GiveUpReason::LargerThanAnyVm)]);
 }
 
 #[test]
 fn job_larger_than_the_quota_is_given_up() {
     let mut fleet = Fleet::new(1, 1, 0);
-    fleet.job("over-quota", 1, |job| job.demand = resources(2_000, 1));
+    fleet.job("greedy", 1, |job| job.demand = resources(2_000, 1));
     fleet.now_ms += 60_000;
     let plans = plan_give_ups(&fleet.state, fleet.now_ms);
     assert_eq!(plans[0].reason, GiveUpReason::LargerThanQuota);
@@ -172,10 +172,10 @@
 #[test]
 fn observed_usage_is_reserved() {
     let mut fleet = Fleet::new(1, 1, 0);
-    fleet.job("heavy", 1, |_| {});
-    fleet.start("heavy", 0);
+    fleet.job("hungry", 1, |_| {});
+    fleet.start("hungry", 0);
     fleet.accept(RecordBody::Usage {
-        job: "heavy".into(),
+        job: "hungry".into(),
         attempt: 1,
         used: resources(10, 10),
     });
