--- a/crates/state/src/availability.rs
+++ b/crates/state/src/availability.rs
@@ -8,7 +8,7 @@
 /// Availability of one pool at one offset.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PoolAvailability {
-    /// VMs that belong to the pool.
+    /// VMs that belong to the pool, whatever their phase.
     pub members: u32,
     /// VMs that are available.
     pub available: u32,
@@ -17,7 +17,7 @@
 }
 
 impl PoolAvailability {
-    /// Returns how many more VMs planned work may take now.
+    /// Returns how many available VMs may still be claimed.
     #[must_use]
     pub fn spare_vms(&self) -> u32 {
         self.available.saturating_sub(self.floor)
@@ -25,7 +25,7 @@
 }
 
 impl PoolState {
-    /// Returns the availability.
+    /// Returns the availability of the pool.
     #[must_use]
     pub fn availability(&self) -> PoolAvailability {
         PoolAvailability {
@@ -35,43 +35,43 @@
         }
     }
 
-    /// Counts a VM in.
-    pub(crate) fn count_in(&mut self, vm: &VmState) {
+    /// Adds a VM to the counts.
+    pub(crate) fn add_vm(&mut self, vm: &VmState) {
         self.members += 1;
         self.available += u32::from(vm.is_available());
         if vm.claim.is_some() {
-            self.add_claimed(&vm.zone);
+            self.add_claimed_zone(&vm.zone);
         }
     }
 
-    /// Counts a VM out, as it was counted in.
-    pub(crate) fn count_out(&mut self, vm: &VmState) {
+    /// Subtracts a VM from the counts, in the state in which it was added.
+    pub(crate) fn remove_vm(&mut self, vm: &VmState) {
         self.members -= 1;
         self.available -= u32::from(vm.is_available());
         if vm.claim.is_some() {
-            self.remove_claimed(&vm.zone);
+            self.remove_claimed_zone(&vm.zone);
         }
     }
 
-    /// Tells whether a claim in `zone` keeps to the number of zones at once.
+    /// Tells whether the budget allows a claim in `zone`.
     #[must_use]
     pub fn allows_zone(&self, zone: &ZoneName) -> bool {
-        let is_open = self
+        let is_claimed = self
             .claimed_zones
             .binary_search_by(|row| row.0.cmp(zone))
             .is_ok();
-        let open = u32::try_from(self.claimed_zones.len()).unwrap_or(u32::MAX);
-        is_open || open < self.spec.budget.zones_at_once.max(1)
+        let claimed_count = u32::try_from(self.claimed_zones.len()).unwrap_or(u32::MAX);
+        is_claimed || claimed_count < self.spec.budget.zones_at_once.max(1)
     }
 
-    fn add_claimed(&mut self, zone: &ZoneName) {
+    fn add_claimed_zone(&mut self, zone: &ZoneName) {
         match self.claimed_zones.binary_search_by(|row| row.0.cmp(zone)) {
             Ok(row) => self.claimed_zones[row].1 += 1,
             Err(row) => self.claimed_zones.insert(row, (zone.clone(), 1)),
         }
     }
 
-    fn remove_claimed(&mut self, zone: &ZoneName) {
+    fn remove_claimed_zone(&mut self, zone: &ZoneName) {
         if let Ok(row) = self.claimed_zones.binary_search_by(|row| row.0.cmp(zone)) {
             self.claimed_zones[row].1 -= 1;
             if self.claimed_zones[row].1 == 0 {
--- a/crates/state/src/changes.rs
+++ b/crates/state/src/changes.rs
@@ -1,4 +1,4 @@
-//! What differs between two states, at the cost of what differs.
+//! Comparison of two states, in time proportional to their unshared chunks.
 
 use {
     crate::{
@@ -11,16 +11,16 @@
 /// Names of the resources of one kind that differ between two states.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ChangedNames {
-    /// Resources that are new or whose declaration or folded status differs; sorted.
+    /// Resources that are new or whose declaration or status differs, sorted.
     pub changed: Vec<String>,
-    /// Resources that are no longer declared; sorted.
+    /// Resources that are no longer declared, sorted.
     pub removed: Vec<String>,
 }
 
 impl FleetState {
-    /// Returns what changed in a kind since an earlier state.
+    /// Returns the resources of a kind that differ from those in an earlier state.
     ///
-    /// A wave's progress depends on VMs too, so every wave counts as changed when any VM did.
+    /// The status of a wave depends on its VMs, so all waves count as changed if any VM did.
     #[must_use]
     pub fn changed_since(&self, earlier: &Self, kind: Kind) -> ChangedNames {
         match kind {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Compares two tables; chunks that both share are passed over.
+/// Compares two tables, skipping the chunks that they share.
 fn changed_rows<T: Clone + Keyed<Key = str> + PartialEq>(
     now: &SortedTable<T>,
     earlier: &SortedTable<T>,
@@ -53,14 +53,16 @@
     let mut names = ChangedNames::default();
     let mut earlier = earlier.into_iter().peekable();
     for row in now {
-        while let Some(gone) = earlier.next_if(|old| old.key() < row.key()) {
-            names.removed.push(gone.key().into());
+        while let Some(removed) = earlier.next_if(|old| old.key() < row.key()) {
+            names.removed.push(removed.key().into());
         }
         match earlier.next_if(|old| old.key() == row.key()) {
             Some(old) if old == row => {}
             _ => names.changed.push(row.key().into()),
         }
     }
-    names.removed.extend(earlier.map(|gone| gone.key().into()));
+    names
+        .removed
+        .extend(earlier.map(|removed| removed.key().into()));
     names
 }
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -80,11 +80,11 @@
         match purpose {
             ClaimPurpose::Maintain(name) => {
                 let wave = self.waves.get(name.as_str());
-                let runs = wave.is_some_and(|wave| {
+                let is_running = wave.is_some_and(|wave| {
                     wave.spec.goal == WaveGoal::Run
                         && wave.spec.pools.binary_search(&vm.pool).is_ok()
                 });
-                if runs {
+                if is_running {
                     Ok(())
                 } else {
                     Err(Rejection::WaveNotRunning { wave: name.clone() })
@@ -107,7 +107,7 @@
     ///
     /// A holder that was paused and woke up still believes in its claim; another node has taken
     /// it over meanwhile, which raised the number, so its steps are rejected here.
-    fn fenced(&self, name: &VmName, fence: u64) -> Result<&Claim, Rejection> {
+    fn claim_with_fence(&self, name: &VmName, fence: u64) -> Result<&Claim, Rejection> {
         let claim = self.vms.get(name.as_str()).and_then(|vm| vm.claim.as_ref());
         match claim {
             Some(claim) if claim.fence == fence => Ok(claim),
@@ -126,12 +126,12 @@
     /// An action that was not started within its window may begin again: the platform refuses it
     /// under the old window, and the VM is still in the life that it was claimed in.
     pub(crate) fn begin(&mut self, name: &VmName, fence: u64, not_after_ms: u64) -> Verdict {
-        let claim = match self.fenced(name, fence) {
+        let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim,
             Err(rejection) => return Verdict::Rejected(rejection),
         };
-        let is_again = claim.stage == ClaimStage::Acting;
-        if is_again && !self.has_lapsed(name, claim) {
+        let is_retry = claim.stage == ClaimStage::Acting;
+        if is_retry && !self.has_missed_window(name, claim) {
             return Verdict::Rejected(Rejection::WrongStage { vm: name.clone() });
         }
         let purpose = claim.purpose.clone();
@@ -142,7 +142,7 @@
         self.change_claim(name, |claim| {
             claim.stage = ClaimStage::Acting;
             claim.not_after_ms = not_after_ms;
-            if !is_again {
+            if !is_retry {
                 claim.since_ms = time_ms;
             }
         });
@@ -150,12 +150,12 @@
     }
 
     /// Tells whether the action was not started within its window and cannot be any more.
-    fn has_lapsed(&self, name: &VmName, claim: &Claim) -> bool {
-        let is_same_life = self
+    fn has_missed_window(&self, name: &VmName, claim: &Claim) -> bool {
+        let is_same_incarnation = self
             .vms
             .get(name.as_str())
             .is_some_and(|vm| vm.incarnation == claim.incarnation);
-        is_same_life && self.time_ms > claim.not_after_ms
+        is_same_incarnation && self.time_ms > claim.not_after_ms
     }
 
     /// Checks once more what the claim was accepted for.
@@ -167,12 +167,12 @@
             return Err(Rejection::UnknownVm { vm: name.clone() });
         };
         self.check_purpose(vm, purpose)?;
-        Self::check_empty(vm)?;
+        Self::check_no_attempts(vm)?;
         self.check_floor(name)
     }
 
     /// A VM with an attempt stays as it is, unless it failed and the attempt with it.
-    fn check_empty(vm: &VmState) -> Result<(), Rejection> {
+    fn check_no_attempts(vm: &VmState) -> Result<(), Rejection> {
         if vm.attempts.is_empty() || vm.phase == VmPhase::Failed {
             return Ok(());
         }
@@ -204,7 +204,7 @@
         fence: u64,
         holder: &NodeName,
     ) -> Verdict {
-        if let Err(rejection) = self.fenced(name, fence) {
+        if let Err(rejection) = self.claim_with_fence(name, fence) {
             return Verdict::Rejected(rejection);
         }
         let time_ms = self.time_ms;
@@ -218,7 +218,7 @@
 
     /// Gives a claim back; only before the action, which could still happen later otherwise.
     pub(crate) fn release(&mut self, name: &VmName, fence: u64) -> Verdict {
-        let claim = match self.fenced(name, fence) {
+        let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim.clone(),
             Err(rejection) => return Verdict::Rejected(rejection),
         };
@@ -231,7 +231,7 @@
 
     /// Completes maintenance; the VM counts again only with evidence of its new life.
     pub(crate) fn done(&mut self, name: &VmName, fence: u64, succeeded: bool) -> Verdict {
-        let claim = match self.fenced(name, fence) {
+        let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim.clone(),
             Err(rejection) => return Verdict::Rejected(rejection),
         };
@@ -246,13 +246,13 @@
         let transition_ms = self.transition_ms;
         self.change_vm(name.as_str(), |vm| {
             // Evidence of a later life than the one that was acted on is newer than the action.
-            let is_proven = vm.incarnation > claim.incarnation && vm.phase == VmPhase::Live;
+            let is_back = vm.incarnation > claim.incarnation && vm.phase == VmPhase::Live;
             if !succeeded {
                 vm.phase = VmPhase::Failed;
-            } else if !is_proven {
+            } else if !is_back {
                 vm.phase = VmPhase::Unknown;
             }
-            if !(succeeded && is_proven) {
+            if !(succeeded && is_back) {
                 vm.evidence_ms = transition_ms + 1;
             }
             vm.failed_in = if succeeded { None } else { Some(wave.clone()) };
@@ -260,19 +260,19 @@
                 vm.maintained_ms = time_ms;
             }
         });
-        let acted_ms = time_ms.saturating_sub(claim.since_ms);
-        self.count_done(wave, succeeded, acted_ms);
+        let action_ms = time_ms.saturating_sub(claim.since_ms);
+        self.count_action(wave, succeeded, action_ms);
         Verdict::Accepted
     }
 
-    fn count_done(&mut self, wave: &WaveName, succeeded: bool, acted_ms: u64) {
+    fn count_action(&mut self, wave: &WaveName, succeeded: bool, action_ms: u64) {
         let time_ms = self.time_ms;
         if let Some(wave) = self.waves.get_mut(wave.as_str()) {
             wave.done += u32::from(succeeded);
             wave.failed += u32::from(!succeeded);
             wave.last_done_ms = time_ms;
             if succeeded {
-                wave.acting_ms += acted_ms;
+                wave.acting_ms += action_ms;
             }
         }
     }
@@ -282,7 +282,7 @@
     /// Both pools keep their counts of available VMs, since the VM is unavailable in either
     /// until fresh evidence arrives; the source must still be at its floor without it.
     pub(crate) fn hand_over(&mut self, name: &VmName, fence: u64) -> Verdict {
-        let claim = match self.fenced(name, fence) {
+        let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim.clone(),
             Err(rejection) => return Verdict::Rejected(rejection),
         };
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -127,7 +127,7 @@
                 reason: error.reason,
             });
         }
-        self.check_needs(resource)?;
+        self.check_dependencies(resource)?;
         match resource {
             Resource::Job(spec) => self.check_job_change(spec),
             _ => Ok(()),
@@ -151,7 +151,7 @@
         }
     }
 
-    fn check_needs(&self, resource: &Resource) -> Result<(), Rejection> {
+    fn check_dependencies(&self, resource: &Resource) -> Result<(), Rejection> {
         match self.missing_dependencies(resource).into_iter().next() {
             Some(reference) => Err(Rejection::Missing { reference }),
             None => Ok(()),
@@ -161,12 +161,12 @@
     /// Returns every resource that a declaration refers to and that is not declared.
     #[must_use]
     pub fn missing_dependencies(&self, resource: &Resource) -> Vec<ResourceRef> {
-        let mut needs = resource.needs();
-        needs.retain(|need| !self.names_contain(need.kind, &need.name));
-        needs
+        let mut dependencies = resource.needs();
+        dependencies.retain(|dependency| !self.is_declared(dependency.kind, &dependency.name));
+        dependencies
     }
 
-    fn names_contain(&self, kind: Kind, name: &str) -> bool {
+    fn is_declared(&self, kind: Kind, name: &str) -> bool {
         match kind {
             Kind::Pool => self.pools.get(name).is_some(),
             Kind::Team => self.teams.get(name).is_some(),
@@ -179,7 +179,7 @@
         let Some(job) = self.jobs.get(spec.name.as_str()) else {
             return Ok(());
         };
-        let bad = |field: &str, reason: &str| {
+        let bad_field = |field: &str, reason: &str| {
             Err(Rejection::BadField {
                 reference: ResourceRef::new(Kind::Job, spec.name.as_str()),
                 field: field.into(),
@@ -187,16 +187,16 @@
             })
         };
         if job.is_final() && job.spec != *spec {
-            return bad("name", "the job has its final answer; delete it first");
+            return bad_field("name", "the job has its final answer; delete it first");
         }
         if job.phase == JobPhase::Running && job.spec.team != spec.team {
-            return bad("team", "cannot change while an attempt runs");
+            return bad_field("team", "cannot change while an attempt runs");
         }
         if job.phase == JobPhase::Running && job.spec.pool != spec.pool {
-            return bad("pool", "cannot change while an attempt runs");
+            return bad_field("pool", "cannot change while an attempt runs");
         }
         if job.phase == JobPhase::Running && job.spec.cancelled && !spec.cancelled {
-            return bad("cancelled", "the attempt is being stopped already");
+            return bad_field("cancelled", "the attempt is being stopped already");
         }
         Ok(())
     }
@@ -275,7 +275,7 @@
             attempts: Vec::new(),
         };
         if let Some(pool) = self.pools.get_mut(spec.pool.as_str()) {
-            pool.count_in(&vm);
+            pool.add_vm(&vm);
         }
         self.vms.insert(vm);
     }
@@ -285,7 +285,7 @@
         if let Some(job) = self.jobs.get_mut(spec.name.as_str()) {
             job.spec = spec.clone();
             job.revision = offset;
-            cancel_if_asked(job);
+            cancel_if_requested(job);
             return;
         }
         let mut job = JobState {
@@ -300,7 +300,7 @@
             pending_since_ms: time_ms,
             reason: "".into(),
         };
-        cancel_if_asked(&mut job);
+        cancel_if_requested(&mut job);
         self.jobs.insert(job);
     }
 
@@ -344,7 +344,7 @@
                 if let Some(vm) = self.vms.remove(name)
                     && let Some(pool) = self.pools.get_mut(vm.pool.as_str())
                 {
-                    pool.count_out(&vm);
+                    pool.remove_vm(&vm);
                 }
             }
         }
@@ -368,7 +368,7 @@
             });
         }
         self.check_revision(reference, if_revision)?;
-        if let Some(by) = self.needed_by(reference) {
+        if let Some(by) = self.first_dependent(reference) {
             return Err(Rejection::StillNeeded {
                 reference: reference.clone(),
                 by,
@@ -402,7 +402,7 @@
     }
 
     /// Returns a resource that still needs `reference`.
-    fn needed_by(&self, reference: &ResourceRef) -> Option<ResourceRef> {
+    fn first_dependent(&self, reference: &ResourceRef) -> Option<ResourceRef> {
         self.dependents(reference).into_iter().next()
     }
 
@@ -411,7 +411,7 @@
     pub fn dependents(&self, reference: &ResourceRef) -> Vec<ResourceRef> {
         let name = reference.name.as_str();
         match reference.kind {
-            Kind::Pool => self.pool_dependants(name),
+            Kind::Pool => self.pool_dependents(name),
             Kind::Team => self.jobs_where(|job| job.spec.team.as_str() == name),
             Kind::Vm => self.jobs_where(|job| {
                 let attempt = job.attempt.as_ref();
@@ -424,28 +424,28 @@
                 .map(|attempt| ResourceRef::new(Kind::Vm, attempt.vm.as_str()))
                 .into_iter()
                 .collect(),
-            Kind::Wave => self.vms_where(|vm| claims_for_wave(vm, name)),
+            Kind::Wave => self.vms_where(|vm| is_claimed_for_wave(vm, name)),
             Kind::Policy | Kind::Service => Vec::new(),
         }
     }
 
-    fn jobs_where(&self, is_meant: impl Fn(&JobState) -> bool) -> Vec<ResourceRef> {
+    fn jobs_where(&self, predicate: impl Fn(&JobState) -> bool) -> Vec<ResourceRef> {
         self.jobs
             .iter()
-            .filter(|job| is_meant(job))
+            .filter(|job| predicate(job))
             .map(|job| ResourceRef::new(Kind::Job, job.spec.name.as_str()))
             .collect()
     }
 
-    fn vms_where(&self, is_meant: impl Fn(&VmState) -> bool) -> Vec<ResourceRef> {
+    fn vms_where(&self, predicate: impl Fn(&VmState) -> bool) -> Vec<ResourceRef> {
         self.vms
             .iter()
-            .filter(|vm| is_meant(vm))
+            .filter(|vm| predicate(vm))
             .map(|vm| ResourceRef::new(Kind::Vm, vm.name.as_str()))
             .collect()
     }
 
-    fn pool_dependants(&self, name: &str) -> Vec<ResourceRef> {
+    fn pool_dependents(&self, name: &str) -> Vec<ResourceRef> {
         let mut dependents =
             self.vms_where(|vm| vm.pool.as_str() == name || vm.wanted_pool.as_str() == name);
         let services = self
@@ -464,7 +464,7 @@
     }
 }
 
-fn claims_for_wave(vm: &VmState, wave: &str) -> bool {
+fn is_claimed_for_wave(vm: &VmState, wave: &str) -> bool {
     use lynxwheel_protocol::ClaimPurpose::Maintain;
     let purpose = vm.claim.as_ref().map(|claim| &claim.purpose);
     matches!(purpose, Some(Maintain(name)) if name.as_str() == wave)
@@ -477,7 +477,7 @@
     }
 }
 
-fn cancel_if_asked(job: &mut JobState) {
+fn cancel_if_requested(job: &mut JobState) {
     if !job.spec.cancelled {
         return;
     }
--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/fleet.rs
@@ -19,13 +19,13 @@
 };
 
 /// Time for which keys are kept when no policy is declared, in milliseconds.
-const DEFAULT_KEY_KEEP_MS: u64 = 24 * 60 * 60 * 1_000;
+const DEFAULT_KEY_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
 
 /// Keys kept at most when no policy is declared.
 const DEFAULT_KEY_LIMIT: usize = 65_536;
 
 /// Time by which clocks of the nodes may differ without harm, in milliseconds.
-const MAX_SKEW_MS: u64 = 30_000;
+const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 
 /// Weights when no policy is declared.
 const DEFAULT_WEIGHTS: Weights = Weights {
@@ -96,9 +96,9 @@
         // Judged at the record's own time: what a step notes as "now" must not be older than the
         // step, or evidence from before a restart would count after it.
         self.time_ms = self.time_ms.max(record.time_ms);
-        let verdict = self.judge(offset, record);
+        let verdict = self.apply_record(offset, record);
         self.offset = offset;
-        self.chain = chain_next(self.chain, offset, record, &verdict);
+        self.chain = next_digest(self.chain, offset, record, &verdict);
         verdict
     }
 
@@ -223,10 +223,10 @@
     #[must_use]
     pub fn key_keep_ms(&self) -> u64 {
         self.policy()
-            .map_or(DEFAULT_KEY_KEEP_MS, |policy| policy.key_keep_ms)
+            .map_or(DEFAULT_KEY_RETENTION_MS, |policy| policy.key_keep_ms)
     }
 
-    fn judge(&mut self, offset: u64, record: &Record) -> Verdict {
+    fn apply_record(&mut self, offset: u64, record: &Record) -> Verdict {
         if let RecordBody::Join { node, fold_version } = &record.body {
             let verdict = self.writers.join(Writer {
                 incarnation: record.id.incarnation,
@@ -235,17 +235,17 @@
                 sequence: record.id.sequence,
                 time_ms: record.time_ms,
             });
-            self.note_time(record);
+            self.record_time(record);
             return verdict;
         }
-        if let Some(verdict) = self.writers.note(record.id, record.time_ms) {
+        if let Some(verdict) = self.writers.record_sequence(record.id, record.time_ms) {
             return verdict;
         }
-        self.note_time(record);
-        self.judge_body(offset, record)
+        self.record_time(record);
+        self.apply_body(offset, record)
     }
 
-    fn judge_body(&mut self, offset: u64, record: &Record) -> Verdict {
+    fn apply_body(&mut self, offset: u64, record: &Record) -> Verdict {
         match &record.body {
             RecordBody::Join { .. } => Verdict::Duplicate,
             RecordBody::RaiseVersion { fold_version } => self.raise_version(*fold_version),
@@ -257,7 +257,7 @@
                 reference,
                 if_revision,
             } => self.delete(offset, reference, *if_revision),
-            RecordBody::Report { reports } => self.report(reports),
+            RecordBody::Report { reports } => self.apply_reports(reports),
             RecordBody::Claim {
                 vm,
                 purpose,
@@ -308,12 +308,13 @@
                     since_ms: self.time_ms,
                     offset,
                 };
-                self.intend(entry)
+                self.add_intent(entry)
             }
             RecordBody::Outcome { key, outcome } => {
-                self.keys.end(*key, *outcome, record.id.incarnation)
+                self.keys
+                    .record_outcome(*key, *outcome, record.id.incarnation)
             }
-            RecordBody::Snapshot { id } => self.note_snapshot(*id),
+            RecordBody::Snapshot { id } => self.record_snapshot(*id),
             RecordBody::Tick => Verdict::Accepted,
         }
     }
@@ -330,7 +331,7 @@
         self.snapshot_ms
     }
 
-    fn note_snapshot(&mut self, id: SnapshotId) -> Verdict {
+    fn record_snapshot(&mut self, id: SnapshotId) -> Verdict {
         if self.snapshot.is_some_and(|known| id.offset <= known.offset) {
             return Verdict::Rejected(Rejection::OldSnapshot);
         }
@@ -339,24 +340,24 @@
         Verdict::Accepted
     }
 
-    fn note_time(&mut self, record: &Record) {
+    fn record_time(&mut self, record: &Record) {
         if let Some(writer) = self.writers.get(record.id.incarnation) {
-            self.fold_time.note(&writer.node, record.time_ms);
+            self.fold_time.record(&writer.node, record.time_ms);
             self.time_ms = self.fold_time.now_ms();
             // One below the bound of evidence, so that evidence can follow it even while only one
             // node writes and the time stands still.
-            let latest_ms = self.time_ms + MAX_SKEW_MS - 1;
+            let latest_ms = self.time_ms + MAX_CLOCK_SKEW_MS - 1;
             self.transition_ms = record.time_ms.clamp(self.time_ms, latest_ms);
         }
     }
 
-    fn intend(&mut self, entry: KeyEntry) -> Verdict {
-        let keep_ms = self.key_keep_ms();
+    fn add_intent(&mut self, entry: KeyEntry) -> Verdict {
+        let retention_ms = self.key_keep_ms();
         let limit = self
             .policy()
             .map_or(DEFAULT_KEY_LIMIT, |policy| policy.key_limit as usize);
-        self.keys.expire(self.time_ms.saturating_sub(keep_ms));
-        self.keys.intend(entry, limit)
+        self.keys.expire(self.time_ms.saturating_sub(retention_ms));
+        self.keys.add_intent(entry, limit)
     }
 
     /// Raises the fold version once the latest run of every known node knows the next one.
@@ -385,21 +386,21 @@
             return;
         };
         if let Some(pool) = self.pools.get_mut(vm.pool.as_str()) {
-            pool.count_out(vm);
+            pool.remove_vm(vm);
         }
         change(vm);
         if let Some(pool) = self.pools.get_mut(vm.pool.as_str()) {
-            pool.count_in(vm);
+            pool.add_vm(vm);
         }
     }
 
-    fn report(&mut self, reports: &[VmReport]) -> Verdict {
-        let mut is_news = false;
+    fn apply_reports(&mut self, reports: &[VmReport]) -> Verdict {
+        let mut has_change = false;
         for report in reports {
-            is_news |= self.report_one(report);
+            has_change |= self.apply_report(report);
         }
         match reports.first() {
-            Some(first) if !is_news => Verdict::Rejected(Rejection::OldEvidence {
+            Some(first) if !has_change => Verdict::Rejected(Rejection::OldEvidence {
                 vm: first.vm.clone(),
             }),
             _ => Verdict::Accepted,
@@ -410,33 +411,33 @@
     ///
     /// A finding of a node whose clock runs far ahead would otherwise make all findings of the
     /// others look old, and the VM would keep that phase for good.
-    pub(crate) fn bounded_evidence(&self, evidence_ms: u64) -> u64 {
-        evidence_ms.min(self.time_ms + MAX_SKEW_MS)
+    pub(crate) fn clamp_evidence_ms(&self, evidence_ms: u64) -> u64 {
+        evidence_ms.min(self.time_ms + MAX_CLOCK_SKEW_MS)
     }
 
     /// Takes one finding in when it is newer than what is known.
     ///
     /// The VM list lags and reports race, so a finding counts only when its evidence is not
     /// older than the VM's last transition; otherwise a VM under reboot would count as live.
-    fn report_one(&mut self, report: &VmReport) -> bool {
+    fn apply_report(&mut self, report: &VmReport) -> bool {
         let Some(vm) = self.vms.get(report.vm.as_str()) else {
             return false;
         };
-        let evidence_ms = self.bounded_evidence(report.evidence_ms);
-        let is_same_life = report.incarnation == vm.incarnation;
-        let is_newer = report.incarnation > vm.incarnation || is_same_life;
-        if !is_newer || evidence_ms < vm.evidence_ms {
+        let evidence_ms = self.clamp_evidence_ms(report.evidence_ms);
+        let is_same_incarnation = report.incarnation == vm.incarnation;
+        let is_current = report.incarnation > vm.incarnation || is_same_incarnation;
+        if !is_current || evidence_ms < vm.evidence_ms {
             return false;
         }
         // The list shows a life that the reporting node did not know of, and a probe may have
         // found the VM live in it meanwhile: a node that wakes behind the log would make every
         // VM unknown at once, and no endpoint would be left.
-        let is_same_place = is_same_life && report.address == vm.address;
-        if is_same_place && report.phase == VmPhase::Unknown {
+        let is_same_address = is_same_incarnation && report.address == vm.address;
+        if is_same_address && report.phase == VmPhase::Unknown {
             return false;
         }
         self.change_vm(report.vm.as_str(), |vm| {
-            if !is_same_life {
+            if !is_same_incarnation {
                 vm.failures = 0;
                 vm.quarantined_until_ms = 0;
             }
@@ -452,7 +453,7 @@
     }
 }
 
-fn chain_next(chain: u64, offset: u64, record: &Record, verdict: &Verdict) -> u64 {
+fn next_digest(chain: u64, offset: u64, record: &Record, verdict: &Verdict) -> u64 {
     let outcome = match verdict {
         Verdict::Accepted => 1_u64,
         Verdict::Duplicate => 2,
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs, their attempts and the teams' use.
+//! Jobs, their attempts and the usage of the teams' quotas.
 
 use {
     crate::table::Keyed,
@@ -7,17 +7,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Where a job stands.
+/// Phase of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// Waits for a VM.
+    /// No attempt is placed yet.
     Pending,
-    /// An attempt runs, or may run.
+    /// An attempt runs or may run.
     Running,
     /// An attempt succeeded.
     Succeeded,
-    /// Given up for good.
+    /// Will not be retried.
     GivenUp,
     /// Cancelled by an operator.
     Cancelled,
@@ -28,30 +28,30 @@
 pub struct Attempt {
     /// VM on which the attempt is placed.
     pub vm: VmName,
-    /// Incarnation of the VM.
+    /// Incarnation of the VM at the start.
     pub vm_incarnation: u64,
-    /// Node that starts it.
+    /// Node that starts the attempt.
     pub holder: NodeName,
-    /// Offset of its start, the fencing number of its lease.
+    /// Log offset of the start, which is the fencing number of the lease.
     pub fence: u64,
-    /// Demand reserved.
+    /// Resources reserved on the VM.
     pub reserved: Resources,
-    /// Fold's time of the start, in milliseconds since the epoch.
+    /// Time of the start by the fold, in milliseconds since the epoch.
     pub since_ms: u64,
-    /// Whether it was asked to stop.
+    /// Whether the attempt was asked to stop.
     pub stopping: bool,
 }
 
-/// What earlier attempts showed of a job's real size and run time.
+/// Usage and run time of a job, as observed on its attempts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Estimate {
-    /// Highest use seen.
+    /// Peak usage.
     pub used: Resources,
-    /// Longest completed or aborted run in milliseconds.
+    /// Longest run of an attempt that has ended, in milliseconds.
     pub ran_ms: u64,
 }
 
-/// One job.
+/// State of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobState {
     /// Declaration by the operator.
@@ -68,16 +68,16 @@
     pub failed_on: Vec<VmName>,
     /// Attempt that runs or may run.
     pub attempt: Option<Attempt>,
-    /// Estimate from earlier attempts.
+    /// Observations on the attempts.
     pub estimate: Estimate,
-    /// Fold's time since which it waits, in milliseconds since the epoch.
+    /// Time since which the job is pending by the fold, in milliseconds since the epoch.
     pub pending_since_ms: u64,
-    /// Reason of its final answer.
+    /// Reason for the final phase, shown to operators.
     pub reason: CompactString,
 }
 
 impl JobState {
-    /// Tells whether the job has its final answer.
+    /// Tells whether the job is in a final phase.
     #[must_use]
     pub fn is_final(&self) -> bool {
         matches!(
@@ -95,14 +95,14 @@
     }
 }
 
-/// One team.
+/// State of a team.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TeamState {
     /// Declaration by the operator.
     pub spec: TeamSpec,
     /// Revision of the declaration.
     pub revision: u64,
-    /// What its running attempts have reserved.
+    /// Resources reserved by the running attempts of the team's jobs.
     pub used: Resources,
 }
 
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys of non-idempotent requests.
+//! Idempotency keys of requests that are not idempotent.
 
 use {
     crate::{
@@ -9,31 +9,31 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Where a key stands.
+/// State of an idempotency key.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum KeyState {
-    /// Announced; the request may be running.
+    /// The intent is recorded; the request may be running.
     Pending,
     /// The request has ended with this outcome.
     Ended(KeyOutcome),
 }
 
-/// One key.
+/// An idempotency key and the execution of its request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeyEntry {
     /// Key of the request.
     pub key: RequestKey,
     /// Digest of the request.
     pub request_digest: u64,
-    /// Node that executes it, which also keeps the answer for a while.
+    /// Node that executes the request and caches its answer.
     pub holder: NodeName,
-    /// Run of that node.
+    /// Incarnation of that node.
     pub incarnation: u64,
     /// Current state.
     pub state: KeyState,
-    /// Fold's time of the intent, in milliseconds since the epoch.
+    /// Time of the intent by the fold, in milliseconds since the epoch.
     pub since_ms: u64,
-    /// Offset of the intent.
+    /// Log offset of the intent.
     pub offset: u64,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Position of a key in the order in which keys expire.
+/// Entry of the index that orders keys by expiry, which is the order of their intents.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 struct Expiry {
     offset: u64,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Keys within the time they are kept.
+/// Idempotency keys that have not expired.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Keys {
     rows: SortedTable<KeyEntry>,
@@ -78,11 +78,11 @@
         self.rows.len()
     }
 
-    /// Takes an intent in; the first one of a key wins.
+    /// Records an intent, unless its key is already used.
     ///
-    /// A full table refuses instead of forgetting a key early: a forgotten key would let a
-    /// renewal be charged twice.
-    pub fn intend(&mut self, entry: KeyEntry, limit: usize) -> Verdict {
+    /// A full table rejects the intent. Evicting a key before it expires would allow a retry of
+    /// its request to run twice.
+    pub fn add_intent(&mut self, entry: KeyEntry, limit: usize) -> Verdict {
         if let Some(known) = self.rows.get(&entry.key)
             && known.state != KeyState::Ended(KeyOutcome::NotRun)
         {
@@ -101,11 +101,15 @@
         Verdict::Accepted
     }
 
-    /// Ends a pending key that the run `incarnation` holds.
+    /// Records the outcome of a pending key that was announced by `incarnation`.
     ///
-    /// Only the run that announced a request knows what became of it. A late outcome of another
-    /// run would free a key whose request is running, and a renewal would be charged twice.
-    pub fn end(&mut self, key: RequestKey, outcome: KeyOutcome, incarnation: u64) -> Verdict {
+    /// A late outcome of another incarnation must not release a key whose request is running.
+    pub fn record_outcome(
+        &mut self,
+        key: RequestKey,
+        outcome: KeyOutcome,
+        incarnation: u64,
+    ) -> Verdict {
         match self.rows.get_mut(&key) {
             Some(entry) if entry.state == KeyState::Pending && entry.incarnation == incarnation => {
                 entry.state = KeyState::Ended(outcome);
@@ -115,14 +119,14 @@
         }
     }
 
-    /// Drops the keys whose intent is older than `before_ms`.
+    /// Removes the keys whose intent is older than `before_ms`.
     pub fn expire(&mut self, before_ms: u64) {
         while let Some(oldest) = self.order.first().copied() {
-            let expired = self
+            let is_expired = self
                 .rows
                 .get(&oldest.key)
                 .is_none_or(|row| row.since_ms < before_ms);
-            if !expired {
+            if !is_expired {
                 return;
             }
             self.order.remove(&oldest.offset);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,8 @@
 //! The deterministic fold of the log into the state of a fleet.
 //!
-//! Every node applies the same records with the same pure function. A record is a proposal; the
-//! fold accepts or rejects it by the state at its offset, so that racing nodes and operators
-//! need no leader.
+//! Every node applies the same records with the same pure function. A record is a proposal, which
+//! the fold accepts or rejects by the state at its offset. Concurrent writers therefore need no
+//! leader.
 //!
 //! ```
 //! use lynxwheel_protocol::{Record, RecordBody, WriterId};
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -16,7 +16,7 @@
 
 /// Time after which an attempt on a failed VM is known to be over, in milliseconds: its lease
 /// and as much again for clocks that differ.
-const LOST_AFTER_MS: u64 = 2 * TASK_LEASE_MS;
+const ATTEMPT_LOST_AFTER_MS: u64 = 2 * TASK_LEASE_MS;
 
 /// Share of a pool's VMs that may be quarantined at once, in percent; one is always allowed.
 const QUARANTINE_PERCENT: u32 = 10;
@@ -90,11 +90,11 @@
             .ok_or_else(|| Rejection::UnknownVm {
                 vm: vm_name.clone(),
             })?;
-        let is_fit = vm.pool == job.spec.pool
+        let can_take = vm.pool == job.spec.pool
             && vm.is_available()
             && vm.quarantined_until_ms <= self.time_ms
             && reserved.fits(&vm.free());
-        if !is_fit {
+        if !can_take {
             return Err(Rejection::VmNotFit {
                 vm: vm_name.clone(),
             });
@@ -113,7 +113,7 @@
 
     /// Asks a running attempt to stop.
     pub(crate) fn stop(&mut self, name: &JobName, attempt: u32) -> Verdict {
-        match self.running(name, attempt) {
+        match self.running_job(name, attempt) {
             Some(job) => {
                 if let Some(attempt) = &mut job.attempt {
                     attempt.stopping = true;
@@ -128,7 +128,7 @@
     pub(crate) fn end(&mut self, name: &JobName, attempt: u32, outcome: JobOutcome) -> Verdict {
         let time_ms = self.time_ms;
         let ended = self
-            .running(name, attempt)
+            .running_job(name, attempt)
             .and_then(|job| job.attempt.clone())
             .filter(|attempt| outcome != JobOutcome::Lost || self.is_attempt_over(attempt));
         let Some(ended) = ended else {
@@ -165,7 +165,8 @@
     pub fn is_attempt_over(&self, attempt: &Attempt) -> bool {
         self.vms.get(attempt.vm.as_str()).is_none_or(|vm| {
             vm.incarnation > attempt.vm_incarnation
-                || vm.phase == VmPhase::Failed && self.time_ms >= vm.evidence_ms + LOST_AFTER_MS
+                || vm.phase == VmPhase::Failed
+                    && self.time_ms >= vm.evidence_ms + ATTEMPT_LOST_AFTER_MS
         })
     }
 
@@ -174,7 +175,7 @@
     /// An attempt that takes more than was declared takes it from its neighbours; jobs placed
     /// beside it by the declared size would fail for want of memory, one after the other.
     pub(crate) fn usage(&mut self, name: &JobName, attempt: u32, used: &Resources) -> Verdict {
-        let Some(job) = self.running(name, attempt) else {
+        let Some(job) = self.running_job(name, attempt) else {
             return Verdict::Rejected(Rejection::WrongAttempt { job: name.clone() });
         };
         job.estimate.used = job.estimate.used.highest(used);
@@ -183,13 +184,13 @@
             return Verdict::Accepted;
         };
         let reserved = run.reserved.highest(used);
-        let more = reserved.minus(&run.reserved);
+        let added = reserved.minus(&run.reserved);
         run.reserved = reserved;
         let vm = run.vm.clone();
         if let Some(team) = self.teams.get_mut(team.as_str()) {
-            team.used = team.used.plus(&more);
+            team.used = team.used.plus(&added);
         }
-        self.change_vm(vm.as_str(), |vm| vm.reserved = vm.reserved.plus(&more));
+        self.change_vm(vm.as_str(), |vm| vm.reserved = vm.reserved.plus(&added));
         Verdict::Accepted
     }
 
@@ -234,7 +235,7 @@
         Verdict::Accepted
     }
 
-    fn running(&mut self, name: &JobName, attempt: u32) -> Option<&mut JobState> {
+    fn running_job(&mut self, name: &JobName, attempt: u32) -> Option<&mut JobState> {
         self.jobs
             .get_mut(name.as_str())
             .filter(|job| job.phase == JobPhase::Running && job.attempts == attempt)
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,21 +1,21 @@
-//! Encoded form of the state, for snapshots.
+//! Encoding of the state for snapshots.
 
 use {
     crate::fleet::FleetState,
     std::{error, fmt},
 };
 
-/// Failure to write or read a snapshot.
+/// Failure to encode or decode a snapshot.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SnapshotError {
     /// The state could not be encoded.
     Encode {
-        /// What the codec said.
+        /// Error message of the codec.
         reason: String,
     },
-    /// The bytes are no state.
+    /// The bytes could not be decoded into a state.
     Decode {
-        /// What the codec said.
+        /// Error message of the codec.
         reason: String,
     },
 }
@@ -31,11 +31,11 @@
 
 impl error::Error for SnapshotError {}
 
-/// Encodes the state.
+/// Encodes a state.
 ///
 /// # Errors
 ///
-/// Fails when the codec does.
+/// Returns [`SnapshotError::Encode`] if the codec fails.
 pub fn encode_snapshot(state: &FleetState) -> Result<Vec<u8>, SnapshotError> {
     rmp_serde::to_vec(state).map_err(|error| SnapshotError::Encode {
         reason: error.to_string(),
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the bytes are no state.
+/// Returns [`SnapshotError::Decode`] if the bytes are not an encoded state.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<FleetState, SnapshotError> {
     rmp_serde::from_slice(bytes).map_err(|error| SnapshotError::Decode {
         reason: error.to_string(),
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -1,26 +1,26 @@
-//! Sorted table with cheap copies.
+//! Sorted copy-on-write table.
 
 use {
     serde::{Deserialize, Deserializer, Serialize, Serializer, de::DeserializeOwned},
     std::{cmp::Ordering, sync::Arc},
 };
 
-/// Rows a chunk holds at most; a copy of the table shares the chunks that stay unchanged.
-const CHUNK_ROWS: usize = 64;
+/// Maximum number of rows in a chunk; copies of a table share unchanged chunks.
+const MAX_CHUNK_ROWS: usize = 64;
 
-/// A row that is found by its key.
+/// A row with a key that is unique within its table.
 pub trait Keyed {
     /// Type of the key.
     type Key: Ord + ?Sized;
 
-    /// Returns the key.
+    /// Returns the key of the row.
     fn key(&self) -> &Self::Key;
 }
 
 /// Rows sorted by key in copy-on-write chunks.
 ///
-/// The fold changes a few rows while readers keep earlier states, so a copy must not cost the
-/// whole table.
+/// Readers keep copies of earlier states while the fold changes a few rows, so a copy shares all
+/// unchanged chunks with the original.
 #[derive(Clone, Debug)]
 pub struct SortedTable<T> {
     chunks: Vec<Arc<Vec<T>>>,
@@ -49,7 +49,7 @@
         self.len
     }
 
-    /// Tells whether there is no row.
+    /// Tells whether the table has no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
@@ -58,20 +58,20 @@
     /// Returns the row with `key`.
     #[must_use]
     pub fn get(&self, key: &T::Key) -> Option<&T> {
-        let chunk = self.chunks.get(self.chunk_of(key))?;
+        let chunk = self.chunks.get(self.chunk_index(key))?;
         let row = chunk.binary_search_by(|row| row.key().cmp(key)).ok()?;
         chunk.get(row)
     }
 
-    /// Returns the row with `key` for a change; the key itself must stay.
+    /// Returns a mutable reference to the row with `key`; its key must not be changed.
     pub fn get_mut(&mut self, key: &T::Key) -> Option<&mut T> {
-        let index = self.chunk_of(key);
+        let index = self.chunk_index(key);
         let chunk = self.chunks.get_mut(index)?;
         let row = chunk.binary_search_by(|row| row.key().cmp(key)).ok()?;
         Arc::make_mut(chunk).get_mut(row)
     }
 
-    /// Puts a row in, in place of the one with the same key, which is returned.
+    /// Inserts a row and returns the row with the same key that it replaces, if any.
     pub fn insert(&mut self, value: T) -> Option<T> {
         if self.chunks.is_empty() {
             self.chunks.push(Arc::new(vec![value]));
@@ -79,7 +79,7 @@
             return None;
         }
         let last = self.chunks.len() - 1;
-        let index = self.chunk_of(value.key()).min(last);
+        let index = self.chunk_index(value.key()).min(last);
         let chunk = Arc::make_mut(&mut self.chunks[index]);
         match chunk.binary_search_by(|row| row.key().cmp(value.key())) {
             Ok(row) => Some(std::mem::replace(&mut chunk[row], value)),
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Takes the row with `key` out.
+    /// Removes and returns the row with `key`.
     pub fn remove(&mut self, key: &T::Key) -> Option<T> {
-        let index = self.chunk_of(key);
+        let index = self.chunk_index(key);
         let chunk = self.chunks.get_mut(index)?;
         let row = chunk.binary_search_by(|row| row.key().cmp(key)).ok()?;
         let removed = Arc::make_mut(chunk).remove(row);
@@ -112,27 +112,27 @@
         self.chunks.first()?.first()
     }
 
-    /// Iterates over the rows in order.
+    /// Iterates over the rows in order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.chunks.iter().flat_map(|chunk| chunk.iter())
     }
 
     /// Iterates in order over the rows whose key is at or after `key`.
     pub fn iter_from<'a>(&'a self, key: &'a T::Key) -> impl Iterator<Item = &'a T> {
-        self.chunks[self.chunk_of(key).min(self.chunks.len())..]
+        self.chunks[self.chunk_index(key).min(self.chunks.len())..]
             .iter()
             .flat_map(|chunk| chunk.iter())
             .skip_while(move |row| row.key() < key)
     }
 
-    /// Returns the rows of either table that lie in chunks the other does not share, in order.
+    /// Returns the rows of `self` and of `other` in chunks that the two tables do not share.
     ///
-    /// Rows that are equal in both tables may be among them, on both sides.
+    /// Both lists are sorted and may contain rows that are equal in the two tables.
     #[must_use]
     pub fn unshared_rows<'a>(&'a self, other: &'a Self) -> (Vec<&'a T>, Vec<&'a T>) {
         let own = self.chunk_pointers();
         let others = other.chunk_pointers();
-        (self.rows_outside(&others), other.rows_outside(&own))
+        (self.rows_not_in(&others), other.rows_not_in(&own))
     }
 
     fn chunk_pointers(&self) -> Vec<*const Vec<T>> {
@@ -141,7 +141,7 @@
         pointers
     }
 
-    fn rows_outside(&self, shared: &[*const Vec<T>]) -> Vec<&T> {
+    fn rows_not_in(&self, shared: &[*const Vec<T>]) -> Vec<&T> {
         self.chunks
             .iter()
             .filter(|chunk| shared.binary_search(&Arc::as_ptr(chunk)).is_err())
@@ -149,8 +149,8 @@
             .collect()
     }
 
-    /// Finds the first chunk whose last key is not below `key`.
-    fn chunk_of(&self, key: &T::Key) -> usize {
+    /// Returns the index of the first chunk whose last key is not less than `key`.
+    fn chunk_index(&self, key: &T::Key) -> usize {
         self.chunks.partition_point(|chunk| {
             chunk
                 .last()
@@ -159,22 +159,22 @@
     }
 }
 
-/// Puts a row into a chunk, and returns its upper part as a further chunk when it was full.
+/// Inserts a row into a chunk, and returns the upper part as a new chunk if the chunk was full.
 ///
-/// A full chunk at the table's end stays full when rows come in order, as offsets and restored
-/// rows do; split in the middle, all chunks would stay half empty.
+/// A row appended to the table goes to a new chunk of its own. Splitting in the middle would leave
+/// all chunks half empty when rows are inserted in order.
 fn insert_into<T>(chunk: &mut Vec<T>, row: usize, value: T, is_last: bool) -> Option<Vec<T>> {
-    if chunk.len() < CHUNK_ROWS {
+    if chunk.len() < MAX_CHUNK_ROWS {
         chunk.insert(row, value);
         return None;
     }
-    let comes_after = is_last && row == chunk.len();
-    let at = if comes_after { row } else { chunk.len() / 2 };
-    let mut upper = chunk.split_off(at);
-    if row < at {
+    let is_append = is_last && row == chunk.len();
+    let split_at = if is_append { row } else { chunk.len() / 2 };
+    let mut upper = chunk.split_off(split_at);
+    if row < split_at {
         chunk.insert(row, value);
     } else {
-        upper.insert(row - at, value);
+        upper.insert(row - split_at, value);
     }
     Some(upper)
 }
--- a/crates/state/src/time.rs
+++ b/crates/state/src/time.rs
@@ -1,22 +1,20 @@
-//! Time of the fold, taken from the writers' clocks.
+//! Time of the fold, derived from the writers' clocks.
 
 use {
     lynxwheel_protocol::NodeName,
     serde::{Deserialize, Serialize},
 };
 
-/// The highest time that two nodes have confirmed.
+/// Highest time that the records of two nodes have reached.
 ///
-/// One node whose clock runs far ahead would otherwise move everybody's time: all idempotency
-/// keys would expire at once, so that a retried renewal is charged again, quarantines would end
-/// and silent attempts would count as lost and be started twice. A time therefore counts only
-/// once records of two nodes carry it or a later one. A node that is replaced under its name
-/// confirms nothing of its earlier run.
+/// With the maximum over all nodes, one clock that runs ahead would expire all idempotency keys
+/// and quarantines, and unreachable attempts would count as lost and be started twice. A restarted
+/// node does not confirm the time of its earlier incarnations.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct FoldTime {
     /// Node with the highest time.
     highest: Option<NodeName>,
-    /// Its time, in milliseconds since the epoch.
+    /// Time of that node, in milliseconds since the epoch.
     highest_ms: u64,
     /// Highest time of any other node, in milliseconds since the epoch.
     confirmed_ms: Option<u64>,
@@ -25,8 +23,8 @@
 }
 
 impl FoldTime {
-    /// Notes the time of a node's record.
-    pub(crate) fn note(&mut self, node: &NodeName, time_ms: u64) {
+    /// Records the time of a node's record.
+    pub(crate) fn record(&mut self, node: &NodeName, time_ms: u64) {
         match &self.highest {
             None => {
                 self.highest = Some(node.clone());
@@ -44,7 +42,7 @@
         self.now_ms = self.now_ms.max(confirmed_ms);
     }
 
-    /// Returns the time, in milliseconds since the epoch.
+    /// Returns the time of the fold, in milliseconds since the epoch.
     pub(crate) fn now_ms(&self) -> u64 {
         self.now_ms
     }
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -1,4 +1,4 @@
-//! VMs, pools and waves as folded from the log.
+//! State of VMs, pools and waves.
 
 use {
     crate::table::Keyed,
@@ -10,83 +10,85 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How far a claim has come.
+/// Stage of a claim.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum ClaimStage {
-    /// Charged to the budget; work on the VM is being drained.
+    /// The VM is charged to the budget and is being drained.
     Draining,
-    /// Rechecked; the action may have happened.
+    /// The budget was rechecked; the action may have been executed.
     Acting,
 }
 
-/// A VM taken out of service for planned work.
+/// Claim on a VM, which takes it out of service for planned work.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
     /// Purpose of the claim.
     pub purpose: ClaimPurpose,
-    /// Life of the VM that the claim was made in.
+    /// Incarnation of the VM when it was claimed.
     pub incarnation: u64,
-    /// Node that carries it out.
+    /// Node that executes the planned work.
     pub holder: NodeName,
-    /// Fencing number: offset of the claim or of its last takeover.
+    /// Fencing number, the log offset of the claim or of its last takeover.
     pub fence: u64,
     /// Current stage.
     pub stage: ClaimStage,
-    /// Fold's time of the last step, in milliseconds since the epoch.
+    /// Time of the claim, its last takeover or the recheck by the fold, in milliseconds since the
+    /// epoch.
     pub since_ms: u64,
-    /// Time after which the action must not start; 0 before the action.
+    /// Time after which the action must not start, in milliseconds since the epoch; 0 before the
+    /// recheck.
     pub not_after_ms: u64,
 }
 
-/// One VM.
+/// State of a VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmState {
     /// Name of the VM.
     pub name: VmName,
-    /// Pool that it belongs to.
+    /// Pool that the VM belongs to.
     pub pool: PoolName,
-    /// Pool that it shall belong to.
+    /// Pool that the VM is declared in.
     pub wanted_pool: PoolName,
-    /// Revision of its declaration.
+    /// Revision of the declaration.
     pub revision: u64,
-    /// Platform's count of the machine's lives under this name; 0 before the first report.
+    /// Incarnation of the machine, counted by the platform; 0 before the first report.
     pub incarnation: u64,
     /// Availability zone.
     pub zone: ZoneName,
     /// Rack, unique within the zone.
     pub rack: RackName,
-    /// Address of its endpoint as `ip:port`.
+    /// Address of the endpoint as `ip:port`.
     pub address: CompactString,
-    /// What it offers.
+    /// Resources that the VM offers.
     pub capacity: Resources,
-    /// What the attempts placed on it have reserved.
+    /// Resources reserved by the attempts placed on the VM.
     pub reserved: Resources,
-    /// Whether it can be counted on.
+    /// Phase by the last report or transition.
     pub phase: VmPhase,
-    /// Evidence must be at or after this time to count, in milliseconds since the epoch.
+    /// Time from which the evidence of a report counts, in milliseconds since the epoch.
     pub evidence_ms: u64,
-    /// Planned work on it.
+    /// Claim for planned work, if any.
     pub claim: Option<Claim>,
-    /// When it was last maintained, in milliseconds since the epoch.
+    /// Time of the last maintenance, in milliseconds since the epoch.
     pub maintained_ms: u64,
-    /// Wave whose action failed on it last, if the failure is not yet made good.
+    /// Wave whose action failed on the VM, until an action on it succeeds.
     pub failed_in: Option<WaveName>,
-    /// End of its quarantine, in milliseconds since the epoch.
+    /// End of the quarantine, in milliseconds since the epoch.
     pub quarantined_until_ms: u64,
-    /// Attempts that failed on it since the last success.
+    /// Attempts that failed on the VM since the last success, quarantine or new incarnation.
     pub failures: u32,
-    /// Jobs whose attempt runs or may run on it, sorted.
+    /// Jobs whose attempt runs or may run on the VM, sorted.
     pub attempts: Vec<JobName>,
 }
 
 impl VmState {
-    /// Tells whether the VM counts as available to its pool.
+    /// Tells whether the VM counts as available in its pool.
     #[must_use]
     pub fn is_available(&self) -> bool {
         self.phase == VmPhase::Live && self.claim.is_none()
     }
 
-    /// Returns what is free for further attempts.
+    /// Returns the resources that are free for further attempts.
     #[must_use]
     pub fn free(&self) -> Resources {
         self.capacity.minus(&self.reserved)
@@ -101,18 +103,18 @@
     }
 }
 
-/// One pool.
+/// State of a pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoolState {
     /// Declaration by the operator.
     pub spec: PoolSpec,
     /// Revision of the declaration.
     pub revision: u64,
-    /// VMs that belong to it, whatever their phase.
+    /// Number of VMs that belong to the pool, whatever their phase.
     pub members: u32,
-    /// VMs that are available.
+    /// Number of available VMs.
     pub available: u32,
-    /// Zones with claimed VMs and how many; sorted.
+    /// Zones with claimed VMs and the number of these, sorted.
     pub claimed_zones: Vec<(ZoneName, u32)>,
 }
 
@@ -132,24 +134,24 @@
     }
 }
 
-/// One wave.
+/// State of a wave.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaveState {
     /// Declaration by the operator.
     pub spec: WaveSpec,
     /// Revision of the declaration.
     pub revision: u64,
-    /// Fold's time of the first declaration, in milliseconds since the epoch.
+    /// Time of the first declaration by the fold, in milliseconds since the epoch.
     pub started_ms: u64,
-    /// VMs maintained by it.
+    /// Actions that succeeded.
     pub done: u32,
-    /// VMs on which the action failed.
+    /// Actions that failed.
     pub failed: u32,
-    /// VMs claimed for it now.
+    /// VMs currently claimed for the wave.
     pub claimed: u32,
-    /// Fold's time of its last completed action, in milliseconds since the epoch.
+    /// Time of the last completed action by the fold, in milliseconds since the epoch.
     pub last_done_ms: u64,
-    /// Time that its successful actions took together, in milliseconds.
+    /// Total duration of the successful actions, in milliseconds.
     pub acting_ms: u64,
 }
 
--- a/crates/state/src/writers.rs
+++ b/crates/state/src/writers.rs
@@ -1,4 +1,4 @@
-//! Runs of nodes that write to the log, and the removal of duplicates.
+//! Incarnations of the nodes that write to the log, and deduplication of their records.
 
 use {
     crate::{
@@ -9,21 +9,21 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Runs remembered; more than the restarts within the log's retention.
+/// Maximum number of incarnations kept; it exceeds the restarts within the log's retention.
 const MAX_WRITERS: usize = 512;
 
-/// One run of a node.
+/// One incarnation of a node.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Writer {
-    /// Identifies the run.
+    /// Number of the incarnation, unique in the fleet.
     pub incarnation: u64,
     /// Name of the node.
     pub node: NodeName,
-    /// Highest fold version that the run knows.
+    /// Highest fold version that it supports.
     pub fold_version: u32,
-    /// Sequence of its last record.
+    /// Sequence number of its last record.
     pub sequence: u64,
-    /// Time of its last record, in milliseconds since the epoch.
+    /// Highest time of its records, in milliseconds since the epoch.
     pub time_ms: u64,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Known runs.
+/// Known incarnations of all nodes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Writers {
     rows: SortedTable<Writer>,
@@ -43,7 +43,7 @@
 }
 
 impl Writers {
-    /// Announces a run.
+    /// Adds an incarnation.
     pub fn join(&mut self, writer: Writer) -> Verdict {
         if let Some(known) = self.rows.get(&writer.incarnation) {
             return if known.node == writer.node {
@@ -57,17 +57,17 @@
         }
         self.rows.insert(writer);
         if self.rows.len() > MAX_WRITERS {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         Verdict::Accepted
     }
 
-    /// Notes a record of a run, and returns why it must not be applied, if so.
+    /// Records the sequence number and time of a record, or returns why it must not be applied.
     ///
-    /// A node that lost the answer to an append sends it again, so the log may hold a record
-    /// twice, the second time much later. A run sends its records one batch at a time and in
-    /// order, so a sequence at or below the last one was applied before.
-    pub fn note(&mut self, id: WriterId, time_ms: u64) -> Option<Verdict> {
+    /// A node repeats an append whose response was lost, so the log may contain a record twice. An
+    /// incarnation appends its records in order, so a sequence number that is not greater than the
+    /// last one belongs to a duplicate.
+    pub fn record_sequence(&mut self, id: WriterId, time_ms: u64) -> Option<Verdict> {
         let Some(writer) = self.rows.get_mut(&id.incarnation) else {
             return Some(Verdict::Rejected(Rejection::UnknownWriter));
         };
@@ -79,18 +79,18 @@
         None
     }
 
-    /// Returns the run with `incarnation`.
+    /// Returns the writer with `incarnation`.
     #[must_use]
     pub fn get(&self, incarnation: u64) -> Option<&Writer> {
         self.rows.get(&incarnation)
     }
 
-    /// Iterates over the runs, oldest first.
+    /// Iterates over the incarnations, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &Writer> {
         self.rows.iter()
     }
 
-    /// Returns the latest run of `node`.
+    /// Returns the latest incarnation of `node`.
     #[must_use]
     pub fn latest(&self, node: &str) -> Option<&Writer> {
         self.rows
@@ -99,7 +99,7 @@
             .last()
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.rows.first().map(|writer| writer.incarnation) else {
             return;
         };
