--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -10,10 +10,10 @@
 };
 
 impl FleetState {
-    /// Charges a VM to its pool's budget.
+    /// Claims a VM and charges it to its pool's budget.
     ///
-    /// The charge holds from this offset until the claim is done, released or handed over; it
-    /// does not lapse by time, since a paused holder may still act.
+    /// The charge lasts until the claim is done, released or handed over. It does not expire, since
+    /// a paused holder may still execute the action.
     pub(crate) fn claim(
         &mut self,
         offset: u64,
@@ -43,11 +43,11 @@
         Verdict::Accepted
     }
 
-    /// Tells whether a claim would be accepted now.
+    /// Checks whether a claim would be accepted by the current state.
     ///
     /// # Errors
     ///
-    /// Returns the rejection that the claim would meet.
+    /// Returns the reason for which it would be rejected.
     pub fn check_claim(&self, name: &VmName, purpose: &ClaimPurpose) -> Result<(), Rejection> {
         let vm = self
             .vms
@@ -103,10 +103,9 @@
         }
     }
 
-    /// Returns the claim on a VM when `fence` is in force.
+    /// Returns the claim on a VM if `fence` is its current fencing number.
     ///
-    /// A holder that was paused and woke up still believes in its claim; another node has taken
-    /// it over meanwhile, which raised the number, so its steps are rejected here.
+    /// This rejects the steps of a holder that was paused while another node took its claim over.
     fn claim_with_fence(&self, name: &VmName, fence: u64) -> Result<&Claim, Rejection> {
         let claim = self.vms.get(name.as_str()).and_then(|vm| vm.claim.as_ref());
         match claim {
@@ -120,11 +119,11 @@
 
     /// Rechecks the budget right before the action.
     ///
-    /// VMs may have failed between the claim and the action; without this check a drained VM
-    /// would be restarted although the pool is below its floor by then.
+    /// Other VMs may have failed since the claim, so that the pool is below its floor without this
+    /// VM.
     ///
-    /// An action that was not started within its window may begin again: the platform refuses it
-    /// under the old window, and the VM is still in the life that it was claimed in.
+    /// An action whose window has passed may begin again if the VM is still in the incarnation in
+    /// which it was claimed, since the platform no longer accepts the action of the old window.
     pub(crate) fn begin(&mut self, name: &VmName, fence: u64, not_after_ms: u64) -> Verdict {
         let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim,
@@ -149,7 +148,7 @@
         Verdict::Accepted
     }
 
-    /// Tells whether the action was not started within its window and cannot be any more.
+    /// Tells whether the action was not executed within its window.
     fn has_missed_window(&self, name: &VmName, claim: &Claim) -> bool {
         let is_same_incarnation = self
             .vms
@@ -158,10 +157,9 @@
         is_same_incarnation && self.time_ms > claim.not_after_ms
     }
 
-    /// Checks once more what the claim was accepted for.
+    /// Checks whether the action is still allowed.
     ///
-    /// An operator may have paused the wave while the VM drained, and a job may still run on it;
-    /// the action would then restart a VM against the operator's word, or cut the job off.
+    /// An operator may have paused the wave while the VM drained, or a job may still run on it.
     fn check_action(&self, name: &VmName, purpose: &ClaimPurpose) -> Result<(), Rejection> {
         let Some(vm) = self.vms.get(name.as_str()) else {
             return Err(Rejection::UnknownVm { vm: name.clone() });
@@ -171,7 +169,7 @@
         self.check_floor(name)
     }
 
-    /// A VM with an attempt stays as it is, unless it failed and the attempt with it.
+    /// Rejects a VM with attempts, unless the VM has failed.
     fn check_no_attempts(vm: &VmState) -> Result<(), Rejection> {
         if vm.attempts.is_empty() || vm.phase == VmPhase::Failed {
             return Ok(());
@@ -196,7 +194,7 @@
         }
     }
 
-    /// Gives a claim to another node; stage and charge stay, the fencing number rises.
+    /// Transfers a claim to another node under a new fencing number; its stage is unchanged.
     pub(crate) fn take_over(
         &mut self,
         offset: u64,
@@ -216,7 +214,7 @@
         Verdict::Accepted
     }
 
-    /// Gives a claim back; only before the action, which could still happen later otherwise.
+    /// Releases a claim, unless its action may have been executed.
     pub(crate) fn release(&mut self, name: &VmName, fence: u64) -> Verdict {
         let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim.clone(),
@@ -229,7 +227,7 @@
         Verdict::Accepted
     }
 
-    /// Completes maintenance; the VM counts again only with evidence of its new life.
+    /// Completes maintenance; the VM is available again once its new incarnation is reported live.
     pub(crate) fn done(&mut self, name: &VmName, fence: u64, succeeded: bool) -> Verdict {
         let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim.clone(),
@@ -245,7 +243,7 @@
         let time_ms = self.time_ms;
         let transition_ms = self.transition_ms;
         self.change_vm(name.as_str(), |vm| {
-            // Evidence of a later life than the one that was acted on is newer than the action.
+            // A report of a later incarnation is newer than the action.
             let is_back = vm.incarnation > claim.incarnation && vm.phase == VmPhase::Live;
             if !succeeded {
                 vm.phase = VmPhase::Failed;
@@ -277,10 +275,10 @@
         }
     }
 
-    /// Completes a move: source until this offset, target from it on.
+    /// Completes a move: from this offset on, the VM belongs to the target pool.
     ///
-    /// Both pools keep their counts of available VMs, since the VM is unavailable in either
-    /// until fresh evidence arrives; the source must still be at its floor without it.
+    /// The VM is unavailable until its next report, so the available VMs of both pools stay the
+    /// same. The source pool must be at its floor without the VM.
     pub(crate) fn hand_over(&mut self, name: &VmName, fence: u64) -> Verdict {
         let claim = match self.claim_with_fence(name, fence) {
             Ok(claim) => claim.clone(),
@@ -296,7 +294,7 @@
         if !is_wanted || self.pools.get(target.as_str()).is_none() {
             return Verdict::Rejected(Rejection::MoveNotWanted { vm: name.clone() });
         }
-        // A job may run on VMs of its own pool only, so its attempt must be over before.
+        // A job runs only on VMs of its pool, so all attempts must have ended.
         let has_attempts = self
             .vms
             .get(name.as_str())
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -1,4 +1,4 @@
-//! Declarations of operators: put and delete with their checks.
+//! Declarations of resources by operators: put and delete with their checks.
 
 use {
     crate::{
@@ -18,7 +18,7 @@
 pub struct Declared {
     /// Declared resource.
     pub resource: Resource,
-    /// Offset of the declaration.
+    /// Log offset of the declaration.
     pub revision: u64,
 }
 
@@ -108,11 +108,11 @@
         Verdict::Accepted
     }
 
-    /// Tells whether a declaration would be accepted now.
+    /// Checks whether a declaration would be accepted by the current state.
     ///
     /// # Errors
     ///
-    /// Returns the rejection that the declaration would meet.
+    /// Returns the reason for which it would be rejected.
     pub fn check_put(
         &self,
         resource: &Resource,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Returns every resource that a declaration refers to and that is not declared.
+    /// Returns the resources that a declaration refers to and that are not declared.
     #[must_use]
     pub fn missing_dependencies(&self, resource: &Resource) -> Vec<ResourceRef> {
         let mut dependencies = resource.needs();
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A job that started keeps what its attempts rely on; a final one keeps its answer.
+    /// Rejects changes to a final job, and changes that conflict with a running attempt.
     fn check_job_change(&self, spec: &JobSpec) -> Result<(), Rejection> {
         let Some(job) = self.jobs.get(spec.name.as_str()) else {
             return Ok(());
@@ -352,11 +352,11 @@
         Verdict::Accepted
     }
 
-    /// Tells whether a withdrawal would be accepted now.
+    /// Checks whether a deletion would be accepted by the current state.
     ///
     /// # Errors
     ///
-    /// Returns the rejection that the withdrawal would meet.
+    /// Returns the reason for which it would be rejected.
     pub fn check_delete(
         &self,
         reference: &ResourceRef,
@@ -401,12 +401,12 @@
         }
     }
 
-    /// Returns a resource that still needs `reference`.
+    /// Returns a resource that depends on `reference`.
     fn first_dependent(&self, reference: &ResourceRef) -> Option<ResourceRef> {
         self.dependents(reference).into_iter().next()
     }
 
-    /// Returns every resource that still needs `reference`, so that it cannot be withdrawn.
+    /// Returns the resources that depend on `reference` and prevent its deletion.
     #[must_use]
     pub fn dependents(&self, reference: &ResourceRef) -> Vec<ResourceRef> {
         let name = reference.name.as_str();
--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/fleet.rs
@@ -1,4 +1,4 @@
-//! State of the fleet and the fold's entry point.
+//! State of the fleet and the entry point of the fold.
 
 use {
     crate::{
@@ -18,13 +18,13 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Time for which keys are kept when no policy is declared, in milliseconds.
+/// Retention of idempotency keys when no policy is declared, in milliseconds.
 const DEFAULT_KEY_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Keys kept at most when no policy is declared.
+/// Maximum number of idempotency keys when no policy is declared.
 const DEFAULT_KEY_LIMIT: usize = 65_536;
 
-/// Time by which clocks of the nodes may differ without harm, in milliseconds.
+/// Tolerated difference between the clocks of the nodes, in milliseconds.
 const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 
 /// Weights when no policy is declared.
@@ -34,7 +34,7 @@
     moves: 1,
 };
 
-/// A declaration with its revision, for kinds without folded status.
+/// A declaration with its revision, for kinds of resources without status.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Revised<T> {
     pub(crate) spec: T,
@@ -57,12 +57,12 @@
     }
 }
 
-/// Everything that the log says, up to one offset.
+/// State of the fleet after all records up to an offset.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FleetState {
     pub(crate) offset: u64,
     pub(crate) time_ms: u64,
-    /// Time of the record that is being applied; evidence of before does not count.
+    /// Time of the record that is being applied, clamped to the tolerated clock skew.
     pub(crate) transition_ms: u64,
     pub(crate) fold_time: FoldTime,
     pub(crate) chain: u64,
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Applies the record at `offset` and tells what became of it.
+    /// Applies the record at `offset` and returns the outcome.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Verdict {
-        // Judged at the record's own time: what a step notes as "now" must not be older than the
-        // step, or evidence from before a restart would count after it.
+        // Advances to the time of the record, so that a transition is not dated before the record
+        // and evidence from before a restart does not count after it.
         self.time_ms = self.time_ms.max(record.time_ms);
         let verdict = self.apply_record(offset, record);
         self.offset = offset;
@@ -102,7 +102,7 @@
         verdict
     }
 
-    /// Skips a record that this build cannot decode, the same way on every node.
+    /// Skips a record that this build cannot decode.
     pub fn skip(&mut self, offset: u64) {
         self.offset = offset;
         self.chain = xxh3_64_with_seed(&offset.to_le_bytes(), self.chain);
@@ -114,9 +114,9 @@
         self.offset
     }
 
-    /// Returns the time that two nodes have confirmed, in milliseconds since the epoch.
+    /// Returns the highest time confirmed by two nodes, in milliseconds since the epoch.
     ///
-    /// As long as only one node is known, its own time counts.
+    /// As long as only one node has written records, its time counts.
     #[must_use]
     pub fn time_ms(&self) -> u64 {
         self.time_ms
@@ -124,7 +124,7 @@
 
     /// Returns a digest of all records and their verdicts up to the offset.
     ///
-    /// Nodes that folded the same records to different verdicts have different digests.
+    /// Nodes whose folds of the same records have diverged have different digests.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.chain
@@ -142,7 +142,7 @@
         self.config_revision
     }
 
-    /// Returns the known runs of nodes.
+    /// Returns the known incarnations of the nodes.
     #[must_use]
     pub fn writers(&self) -> &Writers {
         &self.writers
@@ -178,7 +178,7 @@
         &self.waves
     }
 
-    /// Returns the service called `name`.
+    /// Returns the service with `name`.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.get(name).map(|row| &row.spec)
@@ -219,7 +219,7 @@
         self.keys.len()
     }
 
-    /// Returns how long an idempotency key is kept, in milliseconds.
+    /// Returns the retention of idempotency keys, in milliseconds.
     #[must_use]
     pub fn key_keep_ms(&self) -> u64 {
         self.policy()
@@ -319,13 +319,14 @@
         }
     }
 
-    /// Returns the last snapshot that stands whole in the snapshot stream.
+    /// Returns the last snapshot that is complete in the snapshot stream.
     #[must_use]
     pub fn snapshot(&self) -> Option<SnapshotId> {
         self.snapshot
     }
 
-    /// Returns when that snapshot was noted, in milliseconds since the epoch; 0 means never.
+    /// Returns the time at which the last snapshot was recorded, in milliseconds since the epoch, or
+    /// 0 if there is none.
     #[must_use]
     pub fn snapshot_ms(&self) -> u64 {
         self.snapshot_ms
@@ -344,8 +345,8 @@
         if let Some(writer) = self.writers.get(record.id.incarnation) {
             self.fold_time.record(&writer.node, record.time_ms);
             self.time_ms = self.fold_time.now_ms();
-            // One below the bound of evidence, so that evidence can follow it even while only one
-            // node writes and the time stands still.
+            // One below the bound of evidence, so that later evidence is accepted even if only one
+            // node writes and the time does not advance.
             let latest_ms = self.time_ms + MAX_CLOCK_SKEW_MS - 1;
             self.transition_ms = record.time_ms.clamp(self.time_ms, latest_ms);
         }
@@ -360,10 +361,9 @@
         self.keys.add_intent(entry, limit)
     }
 
-    /// Raises the fold version once the latest run of every known node knows the next one.
+    /// Raises the fold version if the latest incarnation of every known node supports the next one.
     ///
-    /// Two versions fold the same log while VMs are replaced; an old one that met a record of
-    /// the new meaning would come to another state and show up as a different digest.
+    /// During an upgrade, a build that does not support a version would diverge on its records.
     fn raise_version(&mut self, fold_version: u32) -> Verdict {
         let is_next = fold_version == self.fold_version + 1;
         let is_known = self.writers.iter().all(|writer| {
@@ -380,7 +380,7 @@
         Verdict::Accepted
     }
 
-    /// Changes a VM and keeps its pool's counts in step.
+    /// Changes a VM and updates the counts of its pool.
     pub(crate) fn change_vm(&mut self, name: &str, change: impl FnOnce(&mut VmState)) {
         let Some(vm) = self.vms.get_mut(name) else {
             return;
@@ -407,18 +407,18 @@
         }
     }
 
-    /// Bounds the time of evidence.
+    /// Limits the time of evidence to the tolerated clock skew.
     ///
-    /// A finding of a node whose clock runs far ahead would otherwise make all findings of the
-    /// others look old, and the VM would keep that phase for good.
+    /// Otherwise a report of a node whose clock runs far ahead would cause all later reports of the
+    /// VM to be ignored.
     pub(crate) fn clamp_evidence_ms(&self, evidence_ms: u64) -> u64 {
         evidence_ms.min(self.time_ms + MAX_CLOCK_SKEW_MS)
     }
 
-    /// Takes one finding in when it is newer than what is known.
+    /// Applies a report if its evidence is not older than the VM's last transition.
     ///
-    /// The VM list lags and reports race, so a finding counts only when its evidence is not
-    /// older than the VM's last transition; otherwise a VM under reboot would count as live.
+    /// The platform's VM list lags and reports race, so a VM that reboots would otherwise be
+    /// reported as live.
     fn apply_report(&mut self, report: &VmReport) -> bool {
         let Some(vm) = self.vms.get(report.vm.as_str()) else {
             return false;
@@ -429,9 +429,8 @@
         if !is_current || evidence_ms < vm.evidence_ms {
             return false;
         }
-        // The list shows a life that the reporting node did not know of, and a probe may have
-        // found the VM live in it meanwhile: a node that wakes behind the log would make every
-        // VM unknown at once, and no endpoint would be left.
+        // A node that lags behind the log reports known incarnations as new and thus unknown.
+        // Applying such reports would make all endpoints unavailable.
         let is_same_address = is_same_incarnation && report.address == vm.address;
         if is_same_address && report.phase == VmPhase::Unknown {
             return false;
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -1,4 +1,4 @@
-//! Attempts of jobs: start, stop, end.
+//! Attempts of jobs: start, stop, end and usage, and quarantine of VMs.
 
 use {
     crate::{
@@ -11,21 +11,21 @@
     lynxwheel_protocol::{JobName, JobOutcome, NodeName, Resources, VmName, VmPhase},
 };
 
-/// Longest time that a worker runs an attempt without hearing from the system, in milliseconds.
+/// Lease of an attempt, in milliseconds; a worker stops an attempt whose lease is not renewed.
 pub const TASK_LEASE_MS: u64 = 30_000;
 
-/// Time after which an attempt on a failed VM is known to be over, in milliseconds: its lease
-/// and as much again for clocks that differ.
+/// Time after which an attempt on a failed VM has ended, in milliseconds: its lease, doubled to
+/// allow for clock skew.
 const ATTEMPT_LOST_AFTER_MS: u64 = 2 * TASK_LEASE_MS;
 
-/// Share of a pool's VMs that may be quarantined at once, in percent; one is always allowed.
+/// Maximum share of a pool's VMs in quarantine, in percent; one VM is always allowed.
 const QUARANTINE_PERCENT: u32 = 10;
 
-/// Longest quarantine, in milliseconds; a node whose clock is ahead must not ban a VM for years.
+/// Maximum duration of a quarantine, in milliseconds; bounds the effect of a wrong clock.
 const MAX_QUARANTINE_MS: u64 = 24 * 60 * 60 * 1_000;
 
 impl FleetState {
-    /// Places an attempt; at most one of a job runs, or may run, at any offset.
+    /// Places an attempt of a pending job on a VM.
     pub(crate) fn start(
         &mut self,
         offset: u64,
@@ -67,11 +67,11 @@
         Verdict::Accepted
     }
 
-    /// Tells whether a start would be accepted now, and returns its VM.
+    /// Checks whether a start would be accepted by the current state, and returns its VM.
     ///
     /// # Errors
     ///
-    /// Returns the rejection that the start would meet.
+    /// Returns the reason for which it would be rejected.
     pub fn check_start(
         &self,
         name: &JobName,
@@ -111,7 +111,7 @@
         Ok(vm)
     }
 
-    /// Asks a running attempt to stop.
+    /// Marks a running attempt as stopping.
     pub(crate) fn stop(&mut self, name: &JobName, attempt: u32) -> Verdict {
         match self.running_job(name, attempt) {
             Some(job) => {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Ends an attempt and frees what it reserved.
+    /// Ends an attempt and frees its resources.
     pub(crate) fn end(&mut self, name: &JobName, attempt: u32, outcome: JobOutcome) -> Verdict {
         let time_ms = self.time_ms;
         let ended = self
@@ -156,11 +156,10 @@
         Verdict::Accepted
     }
 
-    /// Tells whether an attempt that cannot be asked any more is known to be over.
+    /// Tells whether an attempt on an unreachable VM has certainly ended.
     ///
-    /// A VM that does not answer may still run the attempt; a second start would run the job
-    /// twice. It is over when the machine has a new life, or when it has been failed for so long
-    /// that the attempt's lease has lapsed.
+    /// An unreachable VM may still run the attempt. The attempt has ended if the VM has a new
+    /// incarnation, is no longer declared, or has failed for longer than the attempt's lease.
     #[must_use]
     pub fn is_attempt_over(&self, attempt: &Attempt) -> bool {
         self.vms.get(attempt.vm.as_str()).is_none_or(|vm| {
@@ -170,10 +169,9 @@
         })
     }
 
-    /// Raises the estimate of a job's real size, and what its attempt reserves with it.
+    /// Raises the usage estimate of a job and the reservation of its running attempt.
     ///
-    /// An attempt that takes more than was declared takes it from its neighbours; jobs placed
-    /// beside it by the declared size would fail for want of memory, one after the other.
+    /// Otherwise jobs placed on the VM by the declared demand could run out of memory.
     pub(crate) fn usage(&mut self, name: &JobName, attempt: u32, used: &Resources) -> Verdict {
         let Some(job) = self.running_job(name, attempt) else {
             return Verdict::Rejected(Rejection::WrongAttempt { job: name.clone() });
@@ -194,7 +192,7 @@
         Verdict::Accepted
     }
 
-    /// Gives a waiting job its final answer.
+    /// Gives up a pending job.
     pub(crate) fn give_up(&mut self, name: &JobName, reason: &CompactString) -> Verdict {
         let job = self
             .jobs
@@ -208,7 +206,7 @@
         Verdict::Accepted
     }
 
-    /// Keeps new attempts off a VM, within the share of its pool that may be quarantined.
+    /// Quarantines a VM, unless too many VMs of its pool are in quarantine.
     pub(crate) fn quarantine(&mut self, name: &VmName, until_ms: u64) -> Verdict {
         let Some(vm) = self.vms.get(name.as_str()) else {
             return Verdict::Rejected(Rejection::UnknownVm { vm: name.clone() });
--- a/crates/state/src/verdict.rs
+++ b/crates/state/src/verdict.rs
@@ -6,14 +6,14 @@
     std::fmt,
 };
 
-/// What the fold made of a record.
+/// Outcome of applying a record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
-    /// Accepted; the state has changed.
+    /// The record was accepted and applied.
     Accepted,
-    /// Already applied at an earlier offset; the state is unchanged.
+    /// The record was already applied at an earlier offset; the state is unchanged.
     Duplicate,
-    /// Rejected; the state is unchanged but for the writer's sequence.
+    /// The record was rejected; only the time and the writer's sequence number have changed.
     Rejected(Rejection),
 }
 
@@ -28,37 +28,37 @@
 /// Why a proposal was rejected.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Rejection {
-    /// The writer's run was never announced or is no longer remembered.
+    /// The writer's incarnation has not joined or was evicted.
     UnknownWriter,
-    /// The resource has another revision than expected.
+    /// The resource does not have the expected revision.
     RevisionConflict {
         /// Resource that is declared or deleted.
         reference: ResourceRef,
-        /// Revision that it has; 0 when it does not exist.
+        /// Current revision; 0 if the resource does not exist.
         revision: u64,
     },
-    /// A resource that the proposal needs does not exist.
+    /// A resource that the proposal refers to does not exist.
     Missing {
         /// Resource that is declared or deleted.
         reference: ResourceRef,
     },
-    /// The resource is still needed by another one.
+    /// Another resource depends on the resource to delete.
     StillNeeded {
         /// Resource that is declared or deleted.
         reference: ResourceRef,
-        /// Resource that needs it.
+        /// Resource that depends on it.
         by: ResourceRef,
     },
-    /// A field of the declaration is out of its range.
+    /// A field of the declaration is invalid.
     BadField {
         /// Resource that is declared or deleted.
         reference: ResourceRef,
         /// Name of the field.
         field: String,
-        /// What is wrong.
+        /// Why the field is invalid.
         reason: String,
     },
-    /// No such VM.
+    /// The VM is not declared.
     UnknownVm {
         /// Name of the VM.
         vm: VmName,
@@ -68,53 +68,53 @@
         /// Name of the VM.
         vm: VmName,
     },
-    /// The claim is gone or another node took it over.
+    /// The claim has ended or was taken over by another node.
     StaleFence {
         /// Name of the VM.
         vm: VmName,
-        /// Fencing number in force; 0 when there is no claim.
+        /// Current fencing number; 0 if there is no claim.
         fence: u64,
     },
-    /// The step does not fit the claim's stage or purpose.
+    /// The step is not allowed in the claim's stage, or while attempts run on the VM.
     WrongStage {
         /// Name of the VM.
         vm: VmName,
     },
-    /// The pool's availability budget would be broken.
+    /// The proposal would leave the pool below its floor.
     BudgetExhausted {
         /// Name of the pool.
         pool: PoolName,
-        /// VMs available now.
+        /// VMs currently available.
         available: u32,
         /// VMs that must stay available.
         floor: u32,
     },
-    /// Too many zones of the pool would be claimed at once.
+    /// The budget of the pool allows no claims in another zone.
     TooManyZones {
         /// Name of the pool.
         pool: PoolName,
     },
-    /// The wave is paused, aborted or does not include the VM's pool.
+    /// The wave is deleted, paused or aborted, or does not include the VM's pool.
     WaveNotRunning {
         /// Name of the wave.
         wave: WaveName,
     },
-    /// The VM does not wait for this move.
+    /// The VM is not declared in the target pool.
     MoveNotWanted {
         /// Name of the VM.
         vm: VmName,
     },
-    /// The evidence is older than what is known.
+    /// No report of the record is newer than the known state.
     OldEvidence {
         /// Name of the VM.
         vm: VmName,
     },
-    /// The attempt is not the one that the job waits for or runs.
+    /// The attempt is neither the next nor the running one of the job.
     WrongAttempt {
         /// Name of the job.
         job: JobName,
     },
-    /// The VM cannot take the job now.
+    /// The VM cannot take the job, or cannot be quarantined.
     VmNotFit {
         /// Name of the VM.
         vm: VmName,
@@ -124,15 +124,15 @@
         /// Name of the team.
         team: TeamName,
     },
-    /// The key was used before.
+    /// The idempotency key is already used.
     KeyTaken,
-    /// No more keys can be kept now.
+    /// The maximum number of idempotency keys is reached.
     KeysFull,
-    /// The key is not in a state that allows the step.
+    /// The idempotency key is not pending under the writer's incarnation.
     KeyNotPending,
-    /// A later snapshot is known.
+    /// The snapshot is not newer than the last one.
     OldSnapshot,
-    /// Not all live nodes know the fold version, or it is not the next one.
+    /// Not all nodes support the fold version, or it is not the next one.
     VersionNotKnown {
         /// Version proposed.
         fold_version: u32,
