--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -1,11 +1,11 @@
-//! Carrying out what the engine asks for: each call in a task of its own or by another node, its
-//! outcome an event.
+//! Execution of the engine's effects, by this node or by delegates. Outcomes are returned to the
+//! engine as events.
 
 use {
     crate::{
         calls::EndpointCall,
-        carriers::Carriers,
-        owner::{Owner, OwnerMessage},
+        delegate_pool::DelegatePool,
+        owner::{OwnerActor, OwnerMessage},
     },
     compact_str::CompactString,
     kameo::actor::ActorRef,
@@ -19,21 +19,21 @@
     tokio::time::sleep,
 };
 
-/// Pause before a wave's status is published again, in milliseconds.
-const PUBLISH_RETRY_MS: u64 = 250;
+/// Delay before publishing a wave's status is retried, in milliseconds.
+const PUBLISH_RETRY_DELAY_MS: u64 = 250;
 
-/// Calls of one owner.
+/// Executes the effects of one owner.
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Nodes that call endpoints for this owner.
-    pub(crate) carriers: Carriers,
-    calls: Calls,
+    pub(crate) delegates: DelegatePool,
+    calls: LocalCalls,
 }
 
-/// Calls that this node makes itself.
+/// Calls executed by the owner's own node.
 #[derive(Clone, Debug)]
-pub struct Calls {
-    actor: ActorRef<Owner>,
+pub struct LocalCalls {
+    actor: ActorRef<OwnerActor>,
     endpoints: EndpointClient,
     vms: Option<VmClient>,
     advice: Option<AdviceClient>,
@@ -41,14 +41,14 @@
 }
 
 impl Dispatcher {
-    /// Creates the calls of an owner.
+    /// Creates the dispatcher of an owner.
     #[must_use]
-    pub fn new(carriers: Carriers, calls: Calls) -> Self {
-        Self { carriers, calls }
+    pub fn new(delegates: DelegatePool, calls: LocalCalls) -> Self {
+        Self { delegates, calls }
     }
 
-    /// Carries an effect out, without waiting for it.
-    pub fn carry_out(&mut self, effect: Effect, endpoints: &EndpointTable, now: Now) {
+    /// Starts executing an effect without waiting for its outcome.
+    pub fn execute(&mut self, effect: Effect, endpoints: &EndpointTable, now: Now) {
         let (key, call) = match effect {
             Effect::Start(order) => (order.endpoint, EndpointCall::Start(order)),
             Effect::Stop {
@@ -77,7 +77,7 @@
             } => (endpoint, EndpointCall::Pace(task, run, percent)),
             other => {
                 let calls = self.calls.clone();
-                tokio::spawn(async move { calls.call_platform(other).await });
+                tokio::spawn(async move { calls.execute_platform_effect(other).await });
                 return;
             }
         };
@@ -86,34 +86,34 @@
             id: endpoint.id.clone(),
             address: endpoint.address(),
         };
-        let carriers = &mut self.carriers;
-        if let Some((to, call)) = carriers.carry(key, &endpoint.zone, to, call, now.steady_ms) {
-            self.call_here(key, to, call);
+        let delegates = &mut self.delegates;
+        if let Some((to, call)) = delegates.delegate(key, &endpoint.zone, to, call, now.steady_ms) {
+            self.call_locally(key, to, call);
         }
     }
 
-    /// Makes a call to an endpoint from this node, without waiting for it.
-    pub fn call_here(&self, key: EndpointKey, to: EndpointAddress, call: EndpointCall) {
+    /// Starts a call to an endpoint from this node without waiting for its outcome.
+    pub fn call_locally(&self, key: EndpointKey, to: EndpointAddress, call: EndpointCall) {
         let calls = self.calls.clone();
         tokio::spawn(async move {
-            let result = call.make(&calls.endpoints, &to).await;
-            if let Some(event) = call.subject().event(key, result) {
-                calls.tell(event).await;
+            let result = call.execute(&calls.endpoints, &to).await;
+            if let Some(event) = call.subject().result_event(key, result) {
+                calls.send_event(event).await;
             }
         });
     }
 
-    /// Closes connections to endpoints that are not used any more.
-    pub fn prune(&self) {
+    /// Closes unused connections to endpoints.
+    pub fn prune_connections(&self) {
         self.calls.endpoints.prune();
     }
 }
 
-impl Calls {
-    /// Creates the calls of an owner that its own node makes.
+impl LocalCalls {
+    /// Creates the local calls of an owner.
     #[must_use]
     pub fn new(
-        actor: ActorRef<Owner>,
+        actor: ActorRef<OwnerActor>,
         endpoints: EndpointClient,
         vms: Option<VmClient>,
         advice: Option<AdviceClient>,
@@ -128,53 +128,55 @@
         }
     }
 
-    async fn call_platform(&self, effect: Effect) {
+    async fn execute_platform_effect(&self, effect: Effect) {
         match effect {
-            Effect::Advise { step, endpoints } => self.advise(step, &endpoints).await,
+            Effect::Advise { step, endpoints } => self.request_advice(step, &endpoints).await,
             Effect::MoveVm { vm, pool } => {
-                let Some(calls) = &self.vms else {
+                let Some(client) = &self.vms else {
                     return;
                 };
-                let outcome = calls.move_to_pool(&vm, &pool).await;
+                let outcome = client.move_to_pool(&vm, &pool).await;
                 info!(
                     event = "vm_move", vm = vm.as_str(), pool = pool.as_str(), outcome:? = outcome;
-                    ""
+                    "VM move ordered"
                 );
-                self.tell(Event::VmOrderAnswered { vm, outcome }).await;
+                self.send_event(Event::VmOrderAnswered { vm, outcome })
+                    .await;
             }
             Effect::MaintainVm { vm, wave } => {
-                let Some(calls) = &self.vms else {
+                let Some(client) = &self.vms else {
                     return;
                 };
-                let outcome = calls.start_maintenance(&vm, wave).await;
+                let outcome = client.start_maintenance(&vm, wave).await;
                 info!(
                     event = "vm_maintenance", vm = vm.as_str(), wave = wave, outcome:? = outcome;
-                    ""
+                    "VM maintenance ordered"
                 );
-                self.tell(Event::VmOrderAnswered { vm, outcome }).await;
+                self.send_event(Event::VmOrderAnswered { vm, outcome })
+                    .await;
             }
             Effect::PublishWave { wave, is_completed } => self.publish(wave, is_completed).await,
-            // The actor answers callers and resigns by itself.
+            // Replies and resignation are handled by the actor.
             _ => {}
         }
     }
 
-    async fn advise(&self, step: TaskRef, endpoints: &[CompactString]) {
+    async fn request_advice(&self, step: TaskRef, endpoints: &[CompactString]) {
         let answer = match &self.advice {
-            Some(calls) => calls.request_tickets(&step, endpoints).await,
-            None => Err("no such service in the settings".into()),
+            Some(client) => client.request_tickets(&step, endpoints).await,
+            None => Err("no advice service is configured".into()),
         };
         info!(
             event = "advice", step:% = step, asked = endpoints.len(),
             outcome:? = answer.as_ref().map(|(tickets, _)| tickets.len());
-            ""
+            "advice requested"
         );
         let answer = answer.ok();
-        self.tell(Event::Advised { step, answer }).await;
+        self.send_event(Event::Advised { step, answer }).await;
     }
 
-    async fn tell(&self, event: Event) {
-        // The actor ends with the ownership; its successor asks the endpoints itself.
+    async fn send_event(&self, event: Event) {
+        // Fails only after the actor has stopped; the successor queries the endpoints itself.
         drop(self.actor.tell(OwnerMessage::event(event)).send().await);
     }
 
@@ -187,12 +189,12 @@
             info!(
                 event = "wave_status", wave = wave, is_completed = is_completed,
                 outcome:? = outcome;
-                ""
+                "wave status sent"
             );
             if matches!(outcome, AppendOutcome::Stored { .. }) {
                 return;
             }
-            sleep(Duration::from_millis(PUBLISH_RETRY_MS)).await;
+            sleep(Duration::from_millis(PUBLISH_RETRY_DELAY_MS)).await;
         }
     }
 }
--- a/crates/controller/src/notes.rs
+++ b/crates/controller/src/log_events.rs
@@ -1,4 +1,4 @@
-//! Log lines of what the owner found out.
+//! Log lines and metrics for the engine's log events.
 
 use {
     log::info,
@@ -17,13 +17,13 @@
     }
 }
 
-/// Writes a line for each note.
+/// Logs events and records their metrics.
 ///
-/// Runs that ended as done are left out: there are hundreds a second, and their job's end tells of
-/// them.
-pub fn log_notes(epoch: u64, notes: &[LogEvent]) {
-    for note in notes {
-        match note {
+/// Successful runs are not logged: there are hundreds per second, and the end of their job is
+/// logged.
+pub fn log_events(epoch: u64, events: &[LogEvent]) {
+    for event in events {
+        match event {
             LogEvent::RunEnded {
                 end: RunEnd::Reported(EndKind::Done),
                 after_ms,
@@ -41,9 +41,9 @@
             } => {
                 counter!("lynxwheel_runs_total", "end" => end_label(*end)).increment(1);
                 info!(
-                event = "run_over", epoch = epoch, task:% = task, run = run,
-                endpoint = endpoint.as_str(), end:? = end, after_ms = after_ms;
-                ""
+                    event = "run_over", epoch = epoch, task:% = task, run = run,
+                    endpoint = endpoint.as_str(), end:? = end, after_ms = after_ms;
+                    "run ended"
                 );
             }
             LogEvent::JobEnded {
@@ -53,9 +53,9 @@
             } => {
                 histogram!("lynxwheel_job_seconds").record(Duration::from_millis(*after_ms));
                 info!(
-                event = "job_ended", epoch = epoch, job = job.as_str(), state:? = state,
-                after_ms = after_ms;
-                ""
+                    event = "job_ended", epoch = epoch, job = job.as_str(), state:? = state,
+                    after_ms = after_ms;
+                    "job ended"
                 );
             }
             LogEvent::ShareReached(wait) => {
@@ -64,21 +64,21 @@
                     event = "share_reached", epoch = epoch, account = wait.account.as_str(),
                     job = wait.job.as_str(), running_cpu_millis = wait.running.cpu_millis,
                     share_cpu_millis = wait.share_cpu_millis;
-                    ""
+                    "job waits for the fair share of its account"
                 );
             }
             LogEvent::QuotaReached(wait) => log_quota_wait(epoch, wait),
-            LogEvent::PoolPlanned(plan) => log_plan(epoch, plan),
+            LogEvent::PoolPlanned(plan) => log_pool_plan(epoch, plan),
             LogEvent::EndpointEnded { endpoint, vm, runs } => info!(
                 event = "endpoint_over", epoch = epoch, endpoint = endpoint.as_str(),
                 vm = vm.as_str(), runs = runs;
-                ""
+                "endpoint ended"
             ),
         }
     }
 }
 
-/// Writes that tasks wait for their account's quota.
+/// Logs that tasks wait for their account's quota.
 fn log_quota_wait(epoch: u64, wait: &QuotaWait) {
     let QuotaWait {
         account,
@@ -94,12 +94,12 @@
         running_cpu_millis = running.cpu_millis, running_memory_mb = running.memory_mb,
         running_gpus = running.gpus, quota_cpu_millis = quota.cpu_millis,
         quota_memory_mb = quota.memory_mb, quota_gpus = quota.gpus;
-        ""
+        "tasks wait for the quota of their account"
     );
 }
 
-/// Writes how a pool stands, and keeps it as gauges.
-fn log_plan(epoch: u64, plan: &PoolPlan) {
+/// Logs a pool's plan and sets its gauges.
+fn log_pool_plan(epoch: u64, plan: &PoolPlan) {
     let PoolPlan {
         pool,
         members,
@@ -113,9 +113,9 @@
         moved_out,
     } = plan;
     let gauges = [
-        ("members", count(*members)),
-        ("pinned", count(*pinned)),
-        ("arriving", count(*arriving)),
+        ("members", gauge_value(*members)),
+        ("pinned", gauge_value(*pinned)),
+        ("arriving", gauge_value(*arriving)),
     ];
     for (what, value) in gauges {
         gauge!("lynxwheel_pool_vms", "pool" => pool.to_string(), "what" => what).set(value);
@@ -125,10 +125,10 @@
         arriving = arriving, supply_cpu_millis = supply_cpu_millis,
         used_cpu_millis = used_cpu_millis, used_memory_mb = used_memory_mb,
         wanted_cpu_millis = wanted_cpu_millis, moved_in = moved_in, moved_out = moved_out;
-        ""
+        "pool planned"
     );
 }
 
-fn count(number: usize) -> f64 {
+fn gauge_value(number: usize) -> f64 {
     u32::try_from(number).map_or(f64::INFINITY, f64::from)
 }
--- /dev/null
+++ b/crates/controller/src/takeover.rs
@@ -0,0 +1,207 @@
+//! Takeover of the ownership: fences earlier owners, loads the stored state and starts the owner
+//! actor.
+
+use {
+    crate::{
+        assignments::EndpointAssignments,
+        clock,
+        commit::{STATE_TOPIC, Writer},
+        delegate_pool::DelegatePool,
+        dispatch::{Dispatcher, LocalCalls},
+        feeds,
+        node::Node,
+        owner::{OwnerActor, OwnerHandle, OwnerMessage},
+        watcher,
+    },
+    kameo::{actor::Spawn, mailbox},
+    log::{error, info, warn},
+    lynxwheel_engine::{Engine, Event, Record, RecordKind, record_kind},
+    lynxwheel_platform::{AdviceClient, EndpointClient, KeyedRecord, VmClient},
+    metrics::{counter, histogram},
+    std::{
+        sync::{
+            Arc, PoisonError,
+            atomic::{AtomicU64, Ordering},
+        },
+        time::Duration,
+    },
+    tokio::time::sleep,
+};
+
+/// Mailbox capacity of the owner actor.
+const MAILBOX_CAPACITY: usize = 4_096;
+
+/// Interval between ticks, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 100;
+
+/// Maximum number of retries to fence earlier owners.
+const MAX_FENCE_RETRIES: u32 = 8;
+
+/// Maximum time from storing a VM order to its arrival at the VM service, in milliseconds.
+const VM_ORDER_TIMEOUT_MS: u64 = 1_200;
+
+/// Delay before a fencing attempt is repeated, in milliseconds.
+const RETRY_DELAY_MS: u64 = 100;
+
+/// Fences earlier owners, loads the stored state, and starts the owner actor and its feeds.
+pub async fn take_over(node: &Arc<Node>, epoch: u64) {
+    let started_ms = clock::steady_ms();
+    let renewed_ms = Arc::new(AtomicU64::new(0));
+    let writer = Writer::new(epoch, &node.settings);
+    let renewal_task = tokio::spawn(watcher::renew(
+        Arc::clone(node),
+        epoch,
+        Arc::clone(&renewed_ms),
+        writer.stored_end(),
+    ));
+    node.takeover_epoch.store(epoch, Ordering::Relaxed);
+    let prepared = fence_and_load(node, writer).await;
+    match prepared {
+        Ok((writer, records)) => {
+            let handle = start_owner(node, epoch, started_ms, writer, records, renewed_ms);
+            handle.set_renewal_task(renewal_task);
+        }
+        Err(reason) => {
+            renewal_task.abort();
+            warn!(
+                event = "take_over_failed", epoch = epoch, reason = reason.as_str();
+                "takeover failed"
+            );
+        }
+    }
+    node.takeover_epoch.store(0, Ordering::Relaxed);
+}
+
+/// Fences earlier owners and loads the stored records.
+async fn fence_and_load(
+    node: &Node,
+    mut writer: Writer,
+) -> Result<(Writer, Vec<KeyedRecord>), String> {
+    let mut retries = 0;
+    loop {
+        match writer.fence(&node.store).await {
+            Some(true) => break,
+            Some(false) => return Err("a newer epoch is in force".into()),
+            None if retries < MAX_FENCE_RETRIES => {
+                retries += 1;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
+            }
+            None => return Err("store unreachable".into()),
+        }
+    }
+    let newest = node.store.latest_records(STATE_TOPIC).await;
+    let (records, _) = newest.map_err(|error| error.to_string())?;
+    Ok((writer, records))
+}
+
+fn start_owner(
+    node: &Arc<Node>,
+    epoch: u64,
+    started_ms: u64,
+    writer: Writer,
+    stored: Vec<KeyedRecord>,
+    renewed_ms: Arc<AtomicU64>,
+) -> Arc<OwnerHandle> {
+    let now = clock::now();
+    let mut engine = Engine::new(node.engine_settings()).with_epoch(epoch);
+    let offsets: Vec<Option<u64>> = stored.iter().map(|record| record.offset).collect();
+    let records: Vec<Record> = stored
+        .into_iter()
+        .map(|KeyedRecord { key, value, .. }| Record { key, value })
+        .collect();
+    for key in engine.restore(&records, now) {
+        error!(event = "record_unread", key = key; "stored record cannot be decoded");
+    }
+    limit_vm_cooldowns(node, &mut engine, &records, &offsets);
+    engine.handle(Event::ConfigChanged(node.config.load_full()), now);
+    let waves = node
+        .wave_orders
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
+    for order in waves.iter() {
+        engine.handle(Event::WaveOrdered(order.clone()), now);
+    }
+    drop(waves);
+    let jobs = engine.jobs().count();
+    // The calls need a reference to the actor, so it is prepared first and spawned below.
+    let prepared = OwnerActor::prepare_with_mailbox(mailbox::bounded(MAILBOX_CAPACITY));
+    let actor = prepared.actor_ref().clone();
+    let endpoint_client = EndpointClient::new(epoch);
+    let vm_client = node
+        .settings
+        .vm_service_address
+        .map(|address| VmClient::new(address, node.settings.node_name.as_str(), epoch));
+    let assignments = EndpointAssignments::new(node.settings.cpu_millis, node.settings.link_mbps);
+    let delegates = DelegatePool::new(
+        epoch,
+        node.peer_address,
+        actor.clone(),
+        Arc::clone(&node.peers),
+        assignments,
+    );
+    let calls = LocalCalls::new(
+        actor.clone(),
+        endpoint_client,
+        vm_client.clone(),
+        node.settings.advice_service_address.map(AdviceClient::new),
+        node.store.clone(),
+    );
+    let dispatcher = Dispatcher::new(delegates, calls);
+    let owner = OwnerActor::new(Arc::clone(node), epoch, engine, writer, dispatcher);
+    let handle = Arc::new(OwnerHandle::new(epoch, actor, renewed_ms));
+    node.last_owned_epoch.store(epoch, Ordering::Relaxed);
+    node.owner.store(Some(Arc::clone(&handle)));
+    drop(prepared.spawn(owner));
+    counter!("lynxwheel_take_overs_total").increment(1);
+    let took_ms = clock::steady_ms().saturating_sub(started_ms);
+    histogram!("lynxwheel_take_over_seconds").record(Duration::from_millis(took_ms));
+    info!(
+        event = "ownership_taken", epoch = epoch, jobs = jobs, records = records.len(),
+        took_ms = took_ms;
+        "takeover completed"
+    );
+    handle.add_task(tokio::spawn(feeds::follow_registry(
+        Arc::clone(node),
+        Arc::clone(&handle),
+    )));
+    if let Some(vm_client) = vm_client {
+        handle.add_task(tokio::spawn(feeds::follow_vms(
+            vm_client,
+            Arc::clone(&handle),
+        )));
+    }
+    handle.add_task(tokio::spawn(send_ticks(Arc::clone(&handle))));
+    handle
+}
+
+/// Tells the engine the latest time at which earlier owners' VM orders can have been stored.
+///
+/// Orders of two owners for the same VM must not follow each other closely. Wall clock times cannot
+/// tell the age of an order, and without this bound every recently ordered VM would be held back
+/// for the maximum time.
+fn limit_vm_cooldowns(
+    node: &Node,
+    engine: &mut Engine,
+    records: &[Record],
+    offsets: &[Option<u64>],
+) {
+    let view = node.ownership.borrow();
+    let lease_ms = node.settings.bounds.vm_lease_ms + VM_ORDER_TIMEOUT_MS;
+    for (record, offset) in records.iter().zip(offsets) {
+        if record_kind(&record.key) == Some(RecordKind::Vm)
+            && let Some(by_ms) = offset.and_then(|offset| view.stored_by_ms(offset))
+        {
+            engine.limit_vm_cooldown(&record.key, by_ms + lease_ms);
+        }
+    }
+    if let Some(epoch) = view.ended_predecessor_epoch() {
+        engine.end_vm_cooldowns(epoch, node.started_ms + VM_ORDER_TIMEOUT_MS);
+    }
+}
+
+async fn send_ticks(owner: Arc<OwnerHandle>) {
+    loop {
+        owner.send(OwnerMessage::Tick(clock::steady_ms())).await;
+        sleep(Duration::from_millis(TICK_INTERVAL_MS)).await;
+    }
+}
--- a/crates/controller/tests/ownership.rs
+++ b/crates/controller/tests/ownership.rs
@@ -1,9 +1,9 @@
-//! Who may claim the fleet, and when.
+//! When nodes may claim the ownership.
 
 use {
     lynxwheel_controller::{
-        OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS, SILENCE_MS,
-        SMALL_NODE_DELAY_MS, SUSPECT_MS,
+        OWNER_TIMEOUT_MS, OwnershipKind, OwnershipRecord, OwnershipView, REFUSED_CONNECTIONS_MS,
+        SMALL_NODE_CLAIM_DELAY_MS, SUSPICION_TIMEOUT_MS,
     },
     std::net::SocketAddr,
 };
@@ -23,66 +23,63 @@
     }
 }
 
-/// Returns a view with an owner of epoch 1 that was heard at 1,000 ms.
+/// Returns a view with an owner of epoch 1 that was last heard at 1,000 ms.
 fn owned() -> OwnershipView {
     let mut view = OwnershipView::default();
-    view.note_read(1_000);
+    view.record_read(1_000);
     view.apply(Some(&record(OwnershipKind::Claim, 0, 7)), 1_000);
     view
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $body:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() { $body; })*
+    ($($(#[$doc:meta])* $name:ident: $body:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() { $body; })*
     };
 }
 
 cases! {
-    claim_gives_the_epoch_by_its_offset: assert_eq!(owned().owner.map(|owner| owner.epoch), Some(1));
+    claim_offset_determines_epoch: assert_eq!(owned().owner.map(|owner| owner.epoch), Some(1));
 
-    sound_owner_is_left_alone: assert!(!owned().needs_owner(1_000 + SILENCE_MS));
+    owner_is_kept_until_timeout: assert!(!owned().needs_owner(1_000 + OWNER_TIMEOUT_MS));
 
-    silent_owner_is_replaced: assert!(owned().needs_owner(1_001 + SILENCE_MS));
+    silent_owner_is_replaced: assert!(owned().needs_owner(1_001 + OWNER_TIMEOUT_MS));
 
-    /// Every node claims when the store comes back. It was away for all; nobody heard the owner,
-    /// which went on all the while.
-    outage_of_the_store_says_nothing_about_the_owner: {
+    /// Guards against claims by all nodes after a store outage during which the owner kept running.
+    store_outage_does_not_time_out_the_owner: {
         let mut view = owned();
-        view.note_failure();
+        view.record_read_failure();
         assert!(!view.needs_owner(20_000));
-        view.note_read(20_000);
-        assert!(!view.needs_owner(20_000 + SILENCE_MS));
-        assert!(view.needs_owner(20_001 + SILENCE_MS));
+        view.record_read(20_000);
+        assert!(!view.needs_owner(20_000 + OWNER_TIMEOUT_MS));
+        assert!(view.needs_owner(20_001 + OWNER_TIMEOUT_MS));
     };
 
-    /// Nobody accepts jobs for seconds more: the store was away when the nodes started, and each of them
-    /// waited once more for larger ones when it came back.
-    node_that_has_lived_for_a_while_waits_no_more_for_larger_ones: {
-        let nobody = OwnershipView::default();
-        assert!(nobody.claim_delay_ms(120, 0) > 0);
-        assert_eq!(nobody.claim_delay_ms(120, 2_000), 0);
+    /// Guards against repeating the delay when the store was unavailable at startup.
+    first_claim_delay_counts_from_process_start: {
+        let empty = OwnershipView::default();
+        assert!(empty.claim_delay_ms(120, 0) > 0);
+        assert_eq!(empty.claim_delay_ms(120, 2_000), 0);
     };
 
-    /// A sound owner of a large fleet is succeeded by a small node. The store was slow, a hundred and
-    /// fifty nodes asked in the same moment whether the owner was there, and most got no connection.
-    small_nodes_spread_their_asks: {
+    /// Guards against replacing a healthy owner because simultaneous probes overflow its accept
+    /// queue.
+    small_nodes_spread_their_probes: {
         let mut view = owned();
         let mut claim = record(OwnershipKind::Claim, 0, 8);
         claim.cpu_millis = 500;
         view.apply(Some(&claim), 2_000);
-        assert!(view.ask_spread_ms(120) >= 10 * view.ask_spread_ms(500));
-        assert!(view.ask_spread_ms(120) > SMALL_NODE_DELAY_MS);
+        assert!(view.probe_jitter_ms(120) >= 10 * view.probe_jitter_ms(500));
+        assert!(view.probe_jitter_ms(120) > SMALL_NODE_CLAIM_DELAY_MS);
     };
 
-    release_asks_for_another_owner_at_once: {
+    release_allows_immediate_claim: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
         assert!(view.needs_owner(1_100));
     };
 
-    /// A node is stopped while the store is slow. Its successor comes after two seconds, and for all
-    /// that time callers were told that there is no owner, though the old one was still there.
-    owner_that_gave_up_is_asked_until_it_is_succeeded: {
+    /// Guards against rejecting callers between the release and the successor's claim.
+    released_owner_remains_until_succeeded: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
         assert_eq!(view.owner.map(|owner| owner.epoch), Some(1));
@@ -91,9 +88,9 @@
         assert!(!view.needs_owner(1_200));
     };
 
-    /// A renewal that was under way when the owner gave up is stored after its release. Taken for an
-    /// owner that goes on, it kept the others waiting for its silence.
-    late_renewal_takes_no_release_back: {
+    /// Guards against waiting for the owner timeout after a renewal that was in flight during the
+    /// release.
+    late_renewal_does_not_revoke_release: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Release, 1, 7)), 1_100);
         view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_150);
@@ -101,43 +98,41 @@
     };
 
     /// A late renewal of a former owner is read after its successor's claim.
-    late_renewal_changes_nothing: {
+    renewal_of_former_owner_is_ignored: {
         let mut view = owned();
         view.apply(Some(&record(OwnershipKind::Claim, 0, 8)), 1_200);
         view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_300);
         assert_eq!(view.owner.map(|owner| owner.incarnation), Some(8));
     };
 
-    /// All processes are killed and start again within a second; callers are refused for as long
-    /// as the nodes wait for an owner whose process is gone. The process that took its place at its
-    /// address can know.
-    successor_at_the_owners_address_need_not_wait: {
-        assert!(owned().is_predecessor(8, address(7_060)));
-        assert!(!owned().is_predecessor(7, address(7_060)));
-        assert!(!owned().is_predecessor(8, address(7_061)));
+    /// Guards against waiting for the owner timeout when all processes are restarted at once.
+    restart_at_owner_address_is_detected: {
+        assert!(owned().is_owner_restarted_at(8, address(7_060)));
+        assert!(!owned().is_owner_restarted_at(7, address(7_060)));
+        assert!(!owned().is_owner_restarted_at(8, address(7_061)));
     };
 
-    /// After the loss of all nodes every VM rests for the sake of the earlier owner's orders, though a
-    /// later life at its address has the fleet, so that no such order can come any more.
-    successor_at_the_owners_address_ends_its_epoch: {
+    /// Guards against holding back VMs for orders of a process that has been replaced.
+    restart_at_owner_address_ends_previous_epoch: {
         let mut view = owned();
-        assert_eq!(view.ended_epoch(), None);
+        assert_eq!(view.ended_predecessor_epoch(), None);
         view.apply(Some(&record(OwnershipKind::Claim, 0, 8)), 1_200);
-        assert_eq!(view.ended_epoch(), Some(1));
+        assert_eq!(view.ended_predecessor_epoch(), Some(1));
         let elsewhere = OwnershipRecord {
             address: address(7_061),
             ..record(OwnershipKind::Claim, 0, 9)
         };
         view.apply(Some(&elsewhere), 1_300);
-        assert_eq!(view.ended_epoch(), None);
+        assert_eq!(view.ended_predecessor_epoch(), None);
     };
 
-    /// A node with an eighth of a core claims the fleet beside nodes with half a core, and jobs wait
-    /// for seconds whenever many come at once.
+    /// Guards against an owner that is much smaller than the other nodes.
     larger_node_claims_first: {
-        let nobody = OwnershipView::default();
-        assert!(nobody.claim_delay_ms(500, 0) + SMALL_NODE_DELAY_MS < nobody.claim_delay_ms(120, 0));
-        assert_eq!(owned().claim_delay_ms(120, 60_000), SMALL_NODE_DELAY_MS);
+        let empty = OwnershipView::default();
+        assert!(
+            empty.claim_delay_ms(500, 0) + SMALL_NODE_CLAIM_DELAY_MS < empty.claim_delay_ms(120, 0)
+        );
+        assert_eq!(owned().claim_delay_ms(120, 60_000), SMALL_NODE_CLAIM_DELAY_MS);
         assert_eq!(owned().claim_delay_ms(250, 0), 0);
     };
 
@@ -147,48 +142,46 @@
         assert!(!OwnershipView::default().has_small_owner(500));
     };
 
-    /// The owner's process is killed; its VM refuses connections. Callers were kept for 1.3 s, then
-    /// refused, and came back a second later.
-    owner_whose_address_refuses_is_followed_soon: {
+    /// Guards against holding callers until the owner timeout when the owner's process was killed.
+    owner_refusing_connections_is_replaced_early: {
         let mut view = owned();
-        view.note_refused(1, 1_100);
-        view.note_refused(1, 1_250);
-        assert!(!view.needs_owner(1_099 + REFUSING_MS));
-        assert!(view.needs_owner(1_100 + REFUSING_MS));
+        view.record_refused_connection(1, 1_100);
+        view.record_refused_connection(1, 1_250);
+        assert!(!view.needs_owner(1_099 + REFUSED_CONNECTIONS_MS));
+        assert!(view.needs_owner(1_100 + REFUSED_CONNECTIONS_MS));
     };
 
-    /// The owner is cut off. Every caller waits for 1.3 s until it has been silent for long enough,
-    /// though it does not answer when it is asked.
-    silent_owner_that_does_not_answer_is_followed_soon: {
+    /// Guards against holding callers until the owner timeout when the owner was disconnected.
+    unresponsive_owner_is_replaced_early: {
         let mut view = owned();
-        assert_eq!(view.unsuspected_ms(1_100), Some(SUSPECT_MS - 100));
-        view.note_unresponsive(1, 999 + SUSPECT_MS);
-        assert!(!view.needs_owner(999 + SUSPECT_MS));
-        view.note_unresponsive(1, 1_000 + SUSPECT_MS);
-        assert!(view.needs_owner(1_000 + SUSPECT_MS));
+        assert_eq!(view.until_suspected_ms(1_100), Some(SUSPICION_TIMEOUT_MS - 100));
+        view.record_unresponsive(1, 999 + SUSPICION_TIMEOUT_MS);
+        assert!(!view.needs_owner(999 + SUSPICION_TIMEOUT_MS));
+        view.record_unresponsive(1, 1_000 + SUSPICION_TIMEOUT_MS);
+        assert!(view.needs_owner(1_000 + SUSPICION_TIMEOUT_MS));
     };
 
-    /// A node that was cut off from the owner alone hears its renewals all the while.
-    renewal_that_is_read_clears_the_owner: {
+    /// A node that is disconnected from the owner alone still reads its renewals.
+    renewal_clears_unresponsive_owner: {
         let mut view = owned();
-        view.note_unresponsive(1, 1_000 + SUSPECT_MS);
-        view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_010 + SUSPECT_MS);
-        assert!(!view.needs_owner(1_020 + SUSPECT_MS));
+        view.record_unresponsive(1, 1_000 + SUSPICION_TIMEOUT_MS);
+        view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_010 + SUSPICION_TIMEOUT_MS);
+        assert!(!view.needs_owner(1_020 + SUSPICION_TIMEOUT_MS));
     };
 
-    /// A node asks an address from before the last claim, or the owner was only slow to listen.
-    refusal_says_nothing_of_another_owner: {
+    /// Guards against replacing an owner for connections refused before its claim or its last
+    /// renewal.
+    refused_connection_of_other_epoch_is_ignored: {
         let mut view = owned();
-        view.note_refused(0, 1_100);
+        view.record_refused_connection(0, 1_100);
         assert!(!view.needs_owner(1_500));
-        view.note_refused(1, 1_100);
+        view.record_refused_connection(1, 1_100);
         view.apply(Some(&record(OwnershipKind::Renewal, 1, 7)), 1_200);
         assert!(!view.needs_owner(1_500));
     };
 
-    /// A successor let every VM rest that had been ordered in the last nine seconds by the time of
-    /// day, though the log shows that most of these orders were seconds old.
-    renewals_tell_by_when_orders_were_stored: {
+    /// Guards against holding back VMs for orders that are known to be old.
+    renewals_bound_when_records_were_stored: {
         let mut view = owned();
         let renewal = |stored_end| OwnershipRecord {
             stored_end,
@@ -202,11 +195,11 @@
         assert_eq!(view.stored_by_ms(60), None);
     };
 
-    record_of_another_writer_is_passed_over: {
+    malformed_record_is_skipped: {
         let mut view = owned();
         assert_eq!(OwnershipRecord::decode(b"\xc1noise"), None);
         view.apply(None, 1_100);
-        assert_eq!(view.read_to, 2);
+        assert_eq!(view.next_offset, 2);
         assert_eq!(view.owner.map(|owner| owner.epoch), Some(1));
     };
 }
--- a/crates/decisions/src/fleet_view.rs
+++ b/crates/decisions/src/fleet_view.rs
@@ -1,34 +1,34 @@
-//! VMs grouped by pool, built once for a round of planning.
+//! VMs grouped by pool for one round of planning.
 
 use lynxwheel_state::{FleetState, PoolState, VmState};
 
-/// A pool with its members.
+/// A pool with its VMs.
 #[derive(Clone, Debug)]
 pub struct PoolView<'a> {
-    /// Pool.
-    pub pool: &'a PoolState,
-    /// Members in order of name.
+    /// Folded state of the pool.
+    pub state: &'a PoolState,
+    /// VMs in order of name.
     pub vms: Vec<&'a VmState>,
 }
 
-/// Pools in order of name, each with its members.
+/// Pools in order of name, each with its VMs.
 #[derive(Clone, Debug)]
 pub struct FleetView<'a> {
-    /// State that the view was built from.
+    /// State from which the view was built.
     pub state: &'a FleetState,
-    /// Pools.
+    /// Views of all pools.
     pub pools: Vec<PoolView<'a>>,
 }
 
 impl<'a> FleetView<'a> {
-    /// Groups the VMs of `state` in one pass.
+    /// Groups the VMs of `state` by pool.
     #[must_use]
     pub fn new(state: &'a FleetState) -> Self {
         let mut pools: Vec<PoolView<'a>> = state
             .pools()
             .iter()
             .map(|pool| PoolView {
-                pool,
+                state: pool,
                 vms: Vec::new(),
             })
             .collect();
@@ -49,6 +49,6 @@
 
 fn index_of(pools: &[PoolView<'_>], name: &str) -> Option<usize> {
     pools
-        .binary_search_by(|view| view.pool.spec.name.as_str().cmp(name))
+        .binary_search_by(|view| view.state.spec.name.as_str().cmp(name))
         .ok()
 }
--- a/crates/decisions/tests/action_step.rs
+++ b/crates/decisions/tests/action_step.rs
@@ -1,7 +1,7 @@
-//! Next steps of actions under way.
+//! Next steps of actions that have begun.
 
 use {
-    lynxwheel_decisions::{ActionStep, action_step},
+    lynxwheel_decisions::{ActionStep, next_action_step},
     lynxwheel_protocol::{
         Amount, Budget, ClaimPurpose, PoolSpec, Record, RecordBody, Resource, Resources, VmPhase,
         VmReport, VmSpec, WaveAction, WaveGoal, WaveSpec, WriterId,
@@ -64,7 +64,7 @@
     ]
 }
 
-/// Returns a VM whose action has begun in its fourth life, and what was reported since.
+/// Returns a VM whose action began in incarnation 4, after a report of `phase` and `incarnation`.
 fn begun_vm(phase: VmPhase, incarnation: u64) -> VmState {
     let mut bodies = declarations();
     bodies.push(report(VmPhase::Live, 4));
@@ -103,18 +103,18 @@
             let vm = begun_vm(VmPhase::$phase, $incarnation);
             let mut claim = vm.claim.clone().expect("a claim");
             claim.since_ms = BEGUN_MS;
-            let step = action_step(&vm, &claim, BEGUN_MS + $later_ms, TIMEOUT_MS);
+            let step = next_action_step(&vm, &claim, BEGUN_MS + $later_ms, TIMEOUT_MS);
             assert_eq!(step, ActionStep::$step);
         })*
     };
 }
 
 cases! {
-    /// A wave stands still for ten minutes. Its node was killed between the recheck and the call,
-    /// and the successor waited for a VM to come back that had never been told to go.
-    holder_died_before_the_call: Live, 4, 1 => Tell;
-    /// The same, but the successor took over only after the window had passed.
-    holder_died_and_the_window_passed: Live, 4, 2 * WINDOW_MS => BeginAgain;
+    /// The holder crashed between the recheck and the call; its successor must send the action
+    /// instead of waiting for the timeout.
+    holder_crashed_before_sending: Live, 4, 1 => Send;
+    /// As above, but the successor took the claim over after the window.
+    holder_crashed_and_window_passed: Live, 4, 2 * WINDOW_MS => Recheck;
     vm_is_down: Failed, 4, 1 => Wait;
     vm_is_back: Live, 5, 1 => Complete;
     vm_is_back_late: Live, 5, 2 * TIMEOUT_MS => Complete;
--- a/crates/scenario/src/decide.rs
+++ b/crates/scenario/src/decide.rs
@@ -6,8 +6,9 @@
         world::{Chosen, StepResult, World},
     },
     lynxwheel_decisions::{
-        AdmissionView, ClaimStep, EndpointView, RouteRequest, Tuning, admit, forecast, own_share,
-        plan_claims, plan_give_ups, plan_placements, plan_quarantines, review_claims, slot_shares,
+        AdmissionView, EndpointView, ReviewStep, RouteRequest, Tuning, admit, forecast,
+        least_loaded_in_share, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
+        review_claims, slot_shares,
     },
     lynxwheel_protocol::{NodeName, RecordBody},
     lynxwheel_state::VmState,
@@ -101,8 +102,8 @@
         for review in reviews {
             let (vm, fence) = (review.vm.clone(), review.fence);
             let (step, body) = match review.step {
-                ClaimStep::Release(reason) => (reason.as_str(), RecordBody::Release { vm, fence }),
-                ClaimStep::TakeOver => {
+                ReviewStep::Release(reason) => (reason.as_str(), RecordBody::Release { vm, fence }),
+                ReviewStep::TakeOver => {
                     let holder = name.into();
                     ("take_over", RecordBody::TakeOver { vm, fence, holder })
                 }
@@ -137,14 +138,14 @@
                 in_progress: 0,
                 peers_in_progress: 0,
                 slots: SLOTS,
-                share: SLOTS,
+                slot_share: SLOTS,
             })
             .collect();
         let request = RouteRequest {
             zone: &node.zone,
             seed,
         };
-        let choice = own_share(&request, &views);
+        let choice = least_loaded_in_share(&request, &views);
         let chosen = choice.endpoint.map(|index| Chosen {
             vm: candidates[index].name.clone(),
             incarnation: candidates[index].incarnation,
@@ -182,9 +183,9 @@
         class: class.0,
         waiting: *waiting,
         ahead: *ahead,
-        limit: *limit,
+        max_waiting: *limit,
         slots: *slots,
-        mean_us: *mean_us,
+        mean_service_us: *mean_us,
         remaining_ms: *remaining_ms,
     };
     format!("{:?}", admit(&view))
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,8 @@
 //! The deterministic fold of the log into the state of a fleet.
 //!
-//! Every node applies the same records with the same pure function. A record is a proposal; the
-//! fold accepts or rejects it by the state at its offset, so that racing nodes and operators
-//! need no leader.
+//! Every node applies the same records with the same pure function. A record is a proposal, which
+//! the fold accepts or rejects by the state at its offset. Concurrent writers therefore need no
+//! leader.
 //!
 //! ```
 //! use lynxwheel_protocol::{Record, RecordBody, WriterId};
@@ -40,7 +40,7 @@
 pub use jobs::{Attempt, Estimate, JobPhase, JobState, TeamState};
 pub use keys::{KeyEntry, KeyState};
 pub use placements::TASK_LEASE_MS;
-pub use snapshot::{SnapshotError, restore, save};
+pub use snapshot::{SnapshotError, decode_snapshot, encode_snapshot};
 pub use table::{Keyed, SortedTable};
 pub use verdict::{Rejection, Verdict};
 pub use vms::{Claim, ClaimStage, PoolState, VmState, WaveState};
--- a/crates/state/tests/encodings.rs
+++ b/crates/state/tests/encodings.rs
@@ -7,7 +7,9 @@
         SnapshotId, TeamSpec, VmPhase, VmReport, VmSpec, WaveAction, WaveGoal, WaveSpec, Weights,
         WriterId,
     },
-    lynxwheel_state::{ClaimStage, FleetState, JobPhase, Verdict, restore, save},
+    lynxwheel_state::{
+        ClaimStage, FleetState, JobPhase, Verdict, decode_snapshot, encode_snapshot,
+    },
 };
 
 /// Digits of held bytes in one line.
@@ -374,8 +376,8 @@
     ($($(#[$guard:meta])* $name:ident: $state:expr => $held:expr;)*) => {
         $($(#[$guard])* #[test] fn $name() {
             let state = $state;
-            assert_held(&save(&state).expect("a state"), $held);
-            assert_eq!(restore(&bytes($held)).as_ref(), Ok(&state));
+            assert_held(&encode_snapshot(&state).expect("a state"), $held);
+            assert_eq!(decode_snapshot(&bytes($held)).as_ref(), Ok(&state));
         })*
     };
 }
