--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -35,12 +35,12 @@
 /// Work handed in within the window, in the order of time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Arrivals {
-    lately: VecDeque<Arrival>,
+    recent: VecDeque<Arrival>,
 }
 
 impl Arrivals {
     /// Records a submitted job. Work that only some VMs can do, or that lasts, is counted by itself.
-    pub(crate) fn note(
+    pub(crate) fn record(
         &mut self,
         pool: &CompactString,
         account: AccountNumber,
@@ -55,18 +55,18 @@
                 work.add(&step.reserved_resources().scaled(task_ms));
             }
         }
-        self.lately.push_back(Arrival {
+        self.recent.push_back(Arrival {
             at_ms: now.steady_ms,
             pool: pool.clone(),
             account,
             work,
         });
-        self.forget_old(now);
+        self.remove_old(now);
     }
 
-    fn forget_old(&mut self, now: Now) {
-        while self.lately.front().is_some_and(|first| first.is_old(now)) {
-            self.lately.pop_front();
+    fn remove_old(&mut self, now: Now) {
+        while self.recent.front().is_some_and(|first| first.is_old(now)) {
+            self.recent.pop_front();
         }
     }
 
@@ -82,7 +82,7 @@
     ) -> Resources {
         let mut works: Vec<(AccountNumber, Resources)> = Vec::new();
         let mut jobs = 0;
-        for arrival in &self.lately {
+        for arrival in &self.recent {
             if arrival.pool != pool || arrival.is_old(now) {
                 continue;
             }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -287,7 +287,8 @@
             }
             Err(_) => {
                 let account = self.quotas.number(&job.account);
-                self.arrivals.note(&job.queue.pool, account, &job.spec, now);
+                self.arrivals
+                    .record(&job.queue.pool, account, &job.spec, now);
                 job.waiting_callers.push(token);
                 job.begin_due_occurrences(now.wall_ms);
                 self.add_job(Box::new(job));
--- a/crates/engine/src/order_rate.rs
+++ b/crates/engine/src/order_rate.rs
@@ -48,7 +48,7 @@
     }
 
     /// Counts an order.
-    pub(crate) fn note_order(&mut self) {
+    pub(crate) fn record_order(&mut self) {
         self.left_millis = self.left_millis.saturating_sub(WHOLE);
     }
 }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -16,7 +16,7 @@
 
 /// Time between two notes on how a pool stands while nothing is ordered for it, in milliseconds: a few
 /// lines a second for a busy fleet.
-const PLANS_NOTED_EVERY_MS: u64 = 1_000;
+const POOL_LOG_INTERVAL_MS: u64 = 1_000;
 
 impl Engine {
     /// Moves VMs to where work waits, and switches off those that have been empty for long.
@@ -35,7 +35,7 @@
         }
         self.fetch_needed(&mut loads, &mut spares, now);
         self.switch_off_idle(&mut loads, &idle, now);
-        self.note_plans(&loads, now);
+        self.log_pool_plans(&loads, now);
     }
 
     /// Moves VMs to where work waits, as long as there are some.
@@ -52,7 +52,7 @@
                 passed_over.push((need.place, required));
                 continue;
             };
-            self.note_departure(loads, vm);
+            self.record_departure(loads, vm);
             loads[need.place].take_in(&self.vms[vm]);
             let pool = loads[need.place].name.clone();
             self.order_vm(vm, VmOrder::Move(pool), now);
@@ -60,8 +60,8 @@
     }
 
     /// Notes how pools stand: one for which something was ordered, and each of them now and then.
-    fn note_plans(&mut self, loads: &[PoolLoad], now: Now) {
-        let is_due = now.steady_ms >= self.pools_logged_ms + PLANS_NOTED_EVERY_MS;
+    fn log_pool_plans(&mut self, loads: &[PoolLoad], now: Now) {
+        let is_due = now.steady_ms >= self.pools_logged_ms + POOL_LOG_INTERVAL_MS;
         if is_due {
             self.pools_logged_ms = now.steady_ms;
         }
@@ -72,7 +72,7 @@
         self.log_events.extend(plans);
     }
 
-    fn note_departure(&self, loads: &mut [PoolLoad], vm: usize) {
+    fn record_departure(&self, loads: &mut [PoolLoad], vm: usize) {
         let vm = &self.vms[vm];
         if let Some(place) = load_place(loads, &vm.entry.pool) {
             loads[place].let_go(vm);
@@ -140,7 +140,7 @@
             }
             let has_idled = now.steady_ms >= self.endpoints.get(key).empty_since_ms + IDLE_MS;
             if has_idled && can_leave(loads, vm) {
-                self.note_departure(loads, place);
+                self.record_departure(loads, place);
                 self.order_vm(place, VmOrder::Move(standby.clone()), now);
             }
         }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -58,7 +58,7 @@
             if self.free_room.has(step.pool, step.room.cpu_millis) {
                 self.place_within_quota(&step, now);
             }
-            self.note_share_wait(&step, now);
+            self.log_share_wait(&step, now);
         }
     }
 
@@ -66,7 +66,7 @@
         if self.quotas.startable_runs(step.account, &step.quota_room) > 0 {
             self.place_step(step, now);
         } else {
-            self.note_quota_wait(step, now);
+            self.log_quota_wait(step, now);
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Notes that tasks wait for their account's quota.
-    fn note_quota_wait(&mut self, step: &OpenStep, now: Now) {
+    fn log_quota_wait(&mut self, step: &OpenStep, now: Now) {
         if self.quotas.should_log_quota_wait(step.account, now) {
             self.log_events.push(LogEvent::QuotaReached(QuotaWait {
                 account: self.quotas.name(step.account).clone(),
@@ -118,7 +118,7 @@
     }
 
     /// Notes that tasks wait for others, as their account has had its share, if they do.
-    fn note_share_wait(&mut self, step: &OpenStep, now: Now) {
+    fn log_share_wait(&mut self, step: &OpenStep, now: Now) {
         let is_waiting = self
             .jobs
             .get(step.first.job)
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -181,7 +181,7 @@
             vm.may_take_effect = false;
         }
         vm.is_call_pending = true;
-        self.vm_order_rate.note_order();
+        self.vm_order_rate.record_order();
         vm.ordered_ms = now.steady_ms;
         let effect = match &order {
             VmOrder::Move(pool) => Effect::MoveVm {
