--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -383,7 +383,7 @@
             return false;
         };
         let is_required = self.jobs[place].state.is_final() || self.is_leaving(task, run);
-        let may_stop = is_required || self.may_interrupt(task);
+        let may_stop = is_required || self.can_interrupt(task);
         let job = &mut self.jobs[place];
         let Some(attempt) = find_attempt(job, task, run) else {
             return false;
--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -13,40 +13,40 @@
 };
 
 /// Time that an order and the return to the pool add to maintenance, in milliseconds.
-const TURN_MS: u64 = 700;
+const MAINTENANCE_OVERHEAD_MS: u64 = 700;
 
 /// Share of a wave's time, in percent, by which it should be over: the rest covers delays.
-const AIM_PERCENT: u64 = 85;
+const TARGET_DURATION_PERCENT: u64 = 85;
 
 /// Time for which a VM is emptied before its runs are stopped, in milliseconds.
-const DRAIN_PATIENCE_MS: u64 = 2_500;
+const DRAIN_GRACE_MS: u64 = 2_500;
 
 /// Time after which a VM is given back to its pool when none of its long-running tasks could leave
 /// meanwhile, in milliseconds: one that was stopped there is back before its users miss it, and a
 /// task that does find a place elsewhere takes far less.
-const GIVE_BACK_MS: u64 = 4_000;
+const DRAIN_TIMEOUT_MS: u64 = 4_000;
 
 /// Pause before such a VM is emptied again, in milliseconds; twice as long after each time.
-const GIVEN_BACK_MS: u64 = 6_000;
+const DRAIN_RETRY_MS: u64 = 6_000;
 
 /// A VM that is being emptied.
 #[derive(Clone, Debug)]
-struct Emptying {
+struct DrainingVm {
     vm: CompactString,
     /// When that began, on the steady clock.
     since_ms: u64,
     /// Long-running tasks that are still there.
-    lasting: usize,
+    long_running: usize,
     /// When their number changed last, on the steady clock.
     changed_ms: u64,
 }
 
-impl Emptying {
-    fn new(vm: CompactString, lasting: usize, now: Now) -> Self {
+impl DrainingVm {
+    fn new(vm: CompactString, long_running: usize, now: Now) -> Self {
         Self {
             vm,
             since_ms: now.steady_ms,
-            lasting,
+            long_running,
             changed_ms: now.steady_ms,
         }
     }
@@ -54,7 +54,7 @@
 
 /// A VM that could not be emptied.
 #[derive(Clone, Debug)]
-struct GivenBack {
+struct AbortedDrain {
     vm: CompactString,
     until_ms: u64,
     pause_ms: u64,
@@ -69,8 +69,8 @@
     order: Option<WaveOrder>,
     stored: StoredWave,
     /// VMs that are being emptied, sorted by name.
-    emptying: Vec<Emptying>,
-    given_back: Vec<GivenBack>,
+    draining: Vec<DrainingVm>,
+    aborted_drains: Vec<AbortedDrain>,
     is_dirty: bool,
     is_announced: bool,
 }
@@ -81,56 +81,56 @@
             number,
             order: None,
             stored: StoredWave::default(),
-            emptying: Vec::new(),
-            given_back: Vec::new(),
+            draining: Vec::new(),
+            aborted_drains: Vec::new(),
             is_dirty: false,
             is_announced: false,
         }
     }
 
-    fn is_emptying(&self, vm: &str) -> bool {
-        self.emptying_place(vm).is_ok()
+    fn is_draining(&self, vm: &str) -> bool {
+        self.search_draining(vm).is_ok()
     }
 
-    fn emptying_place(&self, vm: &str) -> Result<usize, usize> {
-        self.emptying
+    fn search_draining(&self, vm: &str) -> Result<usize, usize> {
+        self.draining
             .binary_search_by(|known| known.vm.as_str().cmp(vm))
     }
 
-    fn empty(&mut self, emptying: Emptying) {
-        if let Err(place) = self.emptying_place(&emptying.vm) {
-            self.emptying.insert(place, emptying);
+    fn start_draining(&mut self, draining: DrainingVm) {
+        if let Err(place) = self.search_draining(&draining.vm) {
+            self.draining.insert(place, draining);
         }
     }
 
-    fn stop_emptying(&mut self, vm: &str) {
-        if let Ok(place) = self.emptying_place(vm) {
-            self.emptying.remove(place);
+    fn stop_draining(&mut self, vm: &str) {
+        if let Ok(place) = self.search_draining(vm) {
+            self.draining.remove(place);
         }
     }
 
     /// Tells whether a VM may be chosen to be emptied.
-    fn may_empty(&self, vm: &str, now: Now) -> bool {
-        let rests = self
-            .given_back
+    fn may_drain(&self, vm: &str, now: Now) -> bool {
+        let is_paused = self
+            .aborted_drains
             .iter()
             .any(|known| known.vm == vm && now.steady_ms < known.until_ms);
-        !self.is_emptying(vm) && !rests
+        !self.is_draining(vm) && !is_paused
     }
 
     /// Notes that a VM could not be emptied, and lets it rest.
-    fn give_back(&mut self, vm: &CompactString, now: Now) {
-        self.stop_emptying(vm);
-        let place = self.given_back.iter().position(|known| known.vm == *vm);
+    fn abort_drain(&mut self, vm: &CompactString, now: Now) {
+        self.stop_draining(vm);
+        let place = self.aborted_drains.iter().position(|known| known.vm == *vm);
         let place = place.unwrap_or_else(|| {
-            self.given_back.push(GivenBack {
+            self.aborted_drains.push(AbortedDrain {
                 vm: vm.clone(),
                 until_ms: 0,
-                pause_ms: GIVEN_BACK_MS,
+                pause_ms: DRAIN_RETRY_MS,
             });
-            self.given_back.len() - 1
+            self.aborted_drains.len() - 1
         });
-        let known = &mut self.given_back[place];
+        let known = &mut self.aborted_drains[place];
         known.until_ms = now.steady_ms + known.pause_ms;
         known.pause_ms *= 2;
     }
@@ -195,21 +195,21 @@
     pub(crate) fn awaits_maintenance(&self, vm: &str) -> bool {
         self.waves
             .iter()
-            .any(|wave| !wave.stored.is_completed && !wave.has_begun(vm) && wave.is_emptying(vm))
+            .any(|wave| !wave.stored.is_completed && !wave.has_begun(vm) && wave.is_draining(vm))
     }
 
     pub(crate) fn maintenance_begun(&mut self, number: u64, vm: &str) {
         let place = self.wave_or_new(number);
         let wave = &mut self.waves[place];
         insert(&mut wave.stored.begun, vm);
-        wave.stop_emptying(vm);
+        wave.stop_draining(vm);
         wave.is_dirty = true;
     }
 
     pub(crate) fn maintenance_refused(&mut self, number: u64, vm: &str) {
         let place = self.wave_or_new(number);
         let wave = &mut self.waves[place];
-        wave.stop_emptying(vm);
+        wave.stop_draining(vm);
         if let Ok(at) = wave
             .stored
             .ordered
@@ -237,36 +237,36 @@
         let Some(order) = self.waves[place].order.clone() else {
             return;
         };
-        let left: Vec<CompactString> = order
+        let remaining: Vec<CompactString> = order
             .vms
             .iter()
             .filter(|vm| !self.waves[place].has_begun(vm) && self.vm_place(vm).is_ok())
             .cloned()
             .collect();
-        self.hold_back_ordered(place, &left, now);
+        self.cordon_ordered(place, &remaining, now);
         let down = self.down_in_wave(place, &order);
-        if left.is_empty() {
+        if remaining.is_empty() {
             self.complete_wave(place);
             return;
         }
         let mut budget = order.max_count.saturating_sub(down);
-        self.order_empty(place, &left, &mut budget, now);
-        self.empty_more(place, &left, budget, now);
-        self.hurry(place, now);
-        self.give_back_stuck(place, now);
+        self.order_maintenance(place, &remaining, &mut budget, now);
+        self.drain_more(place, &remaining, budget, now);
+        self.stop_runs_on_draining(place, now);
+        self.abort_stuck_drains(place, now);
     }
 
     /// Keeps work from VMs whose maintenance was ordered without a known outcome.
     ///
     /// An earlier owner's order may still be carried out, and its successor repeats it; what had
     /// started on the VM meanwhile would be cut off, long-running tasks against their budget.
-    fn hold_back_ordered(&mut self, place: usize, left: &[CompactString], now: Now) {
-        for name in left {
+    fn cordon_ordered(&mut self, place: usize, remaining: &[CompactString], now: Now) {
+        for name in remaining {
             let wave = &mut self.waves[place];
-            if wave.is_ordered(name) && !wave.is_emptying(name) {
-                wave.empty(Emptying::new(name.clone(), 0, now));
+            if wave.is_ordered(name) && !wave.is_draining(name) {
+                wave.start_draining(DrainingVm::new(name.clone(), 0, now));
             }
-            if wave.is_emptying(name)
+            if wave.is_draining(name)
                 && let Some(key) = self.endpoint_of_vm(name)
             {
                 self.endpoints.get_mut(key).is_cordoned = true;
@@ -302,14 +302,20 @@
     }
 
     /// Orders maintenance of VMs that run nothing.
-    fn order_empty(&mut self, place: usize, left: &[CompactString], budget: &mut usize, now: Now) {
-        for name in left {
+    fn order_maintenance(
+        &mut self,
+        place: usize,
+        remaining: &[CompactString],
+        budget: &mut usize,
+        now: Now,
+    ) {
+        for name in remaining {
             // One that was ordered before counts as down already; only repeating the order brings
             // its outcome.
             let is_counted = self.waves[place].is_ordered(name);
             if (*budget == 0 && !is_counted)
                 || !self.vm_order_rate.allows_order()
-                || !self.can_begin(name, now)
+                || !self.can_begin_maintenance(name, now)
             {
                 continue;
             }
@@ -327,7 +333,7 @@
         }
     }
 
-    fn can_begin(&self, name: &str, now: Now) -> bool {
+    fn can_begin_maintenance(&self, name: &str, now: Now) -> bool {
         let Ok(vm) = self.vm_place(name).map(|place| &self.vms[place]) else {
             return false;
         };
@@ -343,28 +349,30 @@
     }
 
     /// Keeps new work from as many VMs as can be maintained next.
-    fn empty_more(&mut self, place: usize, left: &[CompactString], budget: usize, now: Now) {
-        let ahead = self.pace_of_wave(place, left.len(), now).min(budget.max(1));
-        let busy = self.waves[place].emptying.len();
+    fn drain_more(&mut self, place: usize, remaining: &[CompactString], budget: usize, now: Now) {
+        let ahead = self
+            .required_parallelism(place, remaining.len(), now)
+            .min(budget.max(1));
+        let busy = self.waves[place].draining.len();
         if busy >= ahead {
             return;
         }
-        let mut by_load: Vec<(usize, u64, CompactString)> = left
+        let mut by_load: Vec<(usize, u64, CompactString)> = remaining
             .iter()
-            .filter(|name| self.waves[place].may_empty(name, now))
+            .filter(|name| self.waves[place].may_drain(name, now))
             .filter_map(|name| {
                 let endpoint = self.endpoints.get(self.endpoint_of_vm(name)?);
-                let lasting = endpoint.long_running_runs;
+                let long_running = endpoint.long_running_runs;
                 let is_open = !endpoint.is_cordoned && !endpoint.is_draining;
-                is_open.then(|| (lasting, endpoint.used.cpu_millis, name.clone()))
+                is_open.then(|| (long_running, endpoint.used.cpu_millis, name.clone()))
             })
             .collect();
         by_load.sort_unstable();
-        for (lasting, _, name) in by_load.into_iter().take(ahead - busy) {
+        for (long_running, _, name) in by_load.into_iter().take(ahead - busy) {
             if let Some(key) = self.endpoint_of_vm(&name) {
                 self.endpoints.get_mut(key).is_cordoned = true;
             }
-            self.waves[place].empty(Emptying::new(name, lasting, now));
+            self.waves[place].start_draining(DrainingVm::new(name, long_running, now));
         }
     }
 
@@ -372,38 +380,42 @@
     ///
     /// Emptying more than that takes room from jobs, and from long-running tasks the endpoints on
     /// which they could go on.
-    fn pace_of_wave(&self, place: usize, left: usize, now: Now) -> usize {
+    fn required_parallelism(&self, place: usize, remaining: usize, now: Now) -> usize {
         let wave = &self.waves[place];
         let Some(order) = &wave.order else {
             return 1;
         };
-        let passed_ms = now.wall_ms.saturating_sub(wave.stored.since_ms);
-        let rest_ms = (duration_ms(order) * AIM_PERCENT / 100).saturating_sub(passed_ms);
-        let turns = usize::try_from(rest_ms / self.turn_ms()).unwrap_or(usize::MAX);
-        left.div_ceil(turns.max(1)).clamp(1, order.max_count.max(1))
+        let elapsed_ms = now.wall_ms.saturating_sub(wave.stored.since_ms);
+        let remaining_ms =
+            (duration_ms(order) * TARGET_DURATION_PERCENT / 100).saturating_sub(elapsed_ms);
+        let rounds =
+            usize::try_from(remaining_ms / self.maintenance_cycle_ms()).unwrap_or(usize::MAX);
+        remaining
+            .div_ceil(rounds.max(1))
+            .clamp(1, order.max_count.max(1))
     }
 
     /// Time from the decision to empty a VM to its return, in milliseconds.
-    fn turn_ms(&self) -> u64 {
-        self.settings.maintenance_ms + TURN_MS + DRAIN_PATIENCE_MS
+    fn maintenance_cycle_ms(&self) -> u64 {
+        self.settings.maintenance_ms + MAINTENANCE_OVERHEAD_MS + DRAIN_GRACE_MS
     }
 
     /// Stops what runs on VMs that have been emptied for long: long-running tasks at once, as far
     /// as their budgets allow, the others when the wave would be late otherwise.
-    fn hurry(&mut self, place: usize, now: Now) {
+    fn stop_runs_on_draining(&mut self, place: usize, now: Now) {
         let wave = &self.waves[place];
         let is_short_of_time = wave.order.as_ref().is_some_and(|order| {
-            let left = order.vms.iter().filter(|vm| !wave.has_begun(vm)).count();
-            let turns = left.div_ceil(order.max_count.max(1));
-            let needed_ms = u64::try_from(turns).unwrap_or(u64::MAX) * self.turn_ms();
-            let passed_ms = now.wall_ms.saturating_sub(wave.stored.since_ms);
-            passed_ms + needed_ms > duration_ms(order) * AIM_PERCENT / 100
+            let remaining = order.vms.iter().filter(|vm| !wave.has_begun(vm)).count();
+            let rounds = remaining.div_ceil(order.max_count.max(1));
+            let needed_ms = u64::try_from(rounds).unwrap_or(u64::MAX) * self.maintenance_cycle_ms();
+            let elapsed_ms = now.wall_ms.saturating_sub(wave.stored.since_ms);
+            elapsed_ms + needed_ms > duration_ms(order) * TARGET_DURATION_PERCENT / 100
         });
-        for Emptying { vm, since_ms, .. } in wave.emptying.clone() {
+        for DrainingVm { vm, since_ms, .. } in wave.draining.clone() {
             let Some(key) = self.endpoint_of_vm(&vm) else {
                 continue;
             };
-            let is_impatient = is_short_of_time && now.steady_ms >= since_ms + DRAIN_PATIENCE_MS;
+            let is_grace_over = is_short_of_time && now.steady_ms >= since_ms + DRAIN_GRACE_MS;
             let runs: Vec<(TaskRef, u32, bool)> = self
                 .endpoints
                 .get(key)
@@ -413,9 +425,9 @@
                 .collect();
             for (task, run, is_long_running) in runs {
                 let may_stop = if is_long_running {
-                    self.may_interrupt(&task)
+                    self.can_interrupt(&task)
                 } else {
-                    is_impatient
+                    is_grace_over
                 };
                 if may_stop {
                     self.stop_run(&task, run, now);
@@ -429,32 +441,32 @@
     /// All tasks of a step ran on the only VM that has what they need. One was stopped, could not go
     /// on anywhere but there, and with it away none of the others could be stopped: the VM took no
     /// work for good, and the task was away as long.
-    fn give_back_stuck(&mut self, place: usize, now: Now) {
-        for at in (0..self.waves[place].emptying.len()).rev() {
-            let vm = self.waves[place].emptying[at].vm.clone();
+    fn abort_stuck_drains(&mut self, place: usize, now: Now) {
+        for at in (0..self.waves[place].draining.len()).rev() {
+            let vm = self.waves[place].draining[at].vm.clone();
             let Some(key) = self.endpoint_of_vm(&vm) else {
                 continue;
             };
             let endpoint = self.endpoints.get_mut(key);
-            let lasting = endpoint.long_running_runs;
-            let known = &mut self.waves[place].emptying[at];
-            if known.lasting != lasting {
-                known.lasting = lasting;
+            let long_running = endpoint.long_running_runs;
+            let known = &mut self.waves[place].draining[at];
+            if known.long_running != long_running {
+                known.long_running = long_running;
                 known.changed_ms = now.steady_ms;
             }
             let changed_ms = known.changed_ms;
             // What was ordered for the VM may still be carried out.
             let is_ordered = self.waves[place].is_ordered(&vm);
-            if lasting > 0 && !is_ordered && now.steady_ms >= changed_ms + GIVE_BACK_MS {
+            if long_running > 0 && !is_ordered && now.steady_ms >= changed_ms + DRAIN_TIMEOUT_MS {
                 endpoint.is_cordoned = false;
-                self.waves[place].give_back(&vm, now);
+                self.waves[place].abort_drain(&vm, now);
                 self.is_schedule_due = true;
             }
         }
     }
 
     /// Tells whether a long-running task may be interrupted within its step's budget.
-    pub(crate) fn may_interrupt(&self, task: &TaskRef) -> bool {
+    pub(crate) fn can_interrupt(&self, task: &TaskRef) -> bool {
         let Ok(place) = self.search(task.job) else {
             return true;
         };
@@ -493,14 +505,14 @@
     (order.duration_s.max(0.0) * 1_000.0) as u64
 }
 
-fn contains(names: &[CompactString], name: &str) -> bool {
-    names
+fn contains(sorted_names: &[CompactString], name: &str) -> bool {
+    sorted_names
         .binary_search_by(|known| known.as_str().cmp(name))
         .is_ok()
 }
 
-fn insert(names: &mut Vec<CompactString>, name: &str) {
-    if let Err(place) = names.binary_search_by(|known| known.as_str().cmp(name)) {
-        names.insert(place, name.into());
+fn insert(sorted_names: &mut Vec<CompactString>, name: &str) {
+    if let Err(place) = sorted_names.binary_search_by(|known| known.as_str().cmp(name)) {
+        sorted_names.insert(place, name.into());
     }
 }
