--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        balance::Trait,
+        balance::VmFeature,
         event::Now,
         job::{JobSpec, Resources},
         quota::AccountNumber,
@@ -49,7 +49,8 @@
     ) {
         let mut work = Resources::default();
         for step in &spec.steps {
-            let is_plain = !step.long_running && !Trait::of_step(step).any(|one| one.is_required());
+            let is_plain =
+                !step.long_running && !VmFeature::of_step(step).any(|kind| kind.is_required());
             if is_plain && spec.repeat_count == 0 {
                 let task_ms = step.estimated_ms * u64::from(step.count);
                 work.add(&step.reserved_resources().scaled(task_ms));
--- a/crates/engine/src/balance.rs
+++ b/crates/engine/src/balance.rs
@@ -8,7 +8,7 @@
 /// Time in which waiting work of short tasks should be worked off, in milliseconds: a quarter of the
 /// time that a VM takes to come, so that it does not come for nothing. Tasks that take longer than
 /// this all want to run at once.
-pub(crate) const WORK_OFF_MS: u64 = 400;
+pub(crate) const BACKLOG_TARGET_MS: u64 = 400;
 
 /// Thousandths in a whole accelerator: the grain in which these are counted.
 const ACCELERATOR_MILLIS: u64 = 1_000;
@@ -18,7 +18,7 @@
 
 /// What only some VMs have.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Trait {
+pub(crate) enum VmFeature {
     /// Accelerators.
     Accelerators,
     /// A label that a step requires.
@@ -27,7 +27,7 @@
     DataRack(CompactString),
 }
 
-impl Trait {
+impl VmFeature {
     pub(crate) fn is_of(&self, labels: &[CompactString], capacity: &Resources) -> bool {
         match self {
             Self::Accelerators => capacity.gpus > 0,
@@ -72,7 +72,7 @@
     /// Part of it that long-running tasks use.
     pub(crate) used_long_running: Resources,
     /// Room that the work takes that is handed in at the moment.
-    pub(crate) handed_in: Resources,
+    pub(crate) incoming: Resources,
     /// Work that waits: room times milliseconds.
     waiting: Resources,
     /// Room that all of it takes at once.
@@ -82,7 +82,7 @@
     /// Room that all of that takes at once.
     late_room: Resources,
     /// Work that waits of long-running tasks of which only so many of a step may share an endpoint.
-    waiting_apart: Resources,
+    waiting_exclusive: Resources,
     /// Endpoints that take starts.
     pub(crate) members: usize,
     /// Endpoints with long-running tasks.
@@ -124,19 +124,19 @@
     pub(crate) fn wanted(&self) -> u64 {
         let mut waiting = self.waiting;
         if self.missing_members() == 0 {
-            waiting.add(&self.waiting_apart);
+            waiting.add(&self.waiting_exclusive);
         }
-        let at_once = |work: u64, room: u64| (work / WORK_OFF_MS).min(room);
+        let at_once = |work: u64, room: u64| (work / BACKLOG_TARGET_MS).min(room);
         // What is handed in at the moment counts before it waits: a VM comes 1.6 s after it was asked
         // for, more than most callers can spare.
-        let lasting = self.used_long_running;
-        let ending = self.used.saturating_sub(&lasting);
-        let coming = self.handed_in;
-        let cpu = lasting.cpu_millis
-            + ending.cpu_millis.max(coming.cpu_millis)
+        let long_running = self.used_long_running;
+        let finite = self.used.saturating_sub(&long_running);
+        let incoming = self.incoming;
+        let cpu = long_running.cpu_millis
+            + finite.cpu_millis.max(incoming.cpu_millis)
             + at_once(waiting.cpu_millis, self.waiting_room.cpu_millis);
-        let memory_mb = lasting.memory_mb
-            + ending.memory_mb.max(coming.memory_mb)
+        let memory_mb = long_running.memory_mb
+            + finite.memory_mb.max(incoming.memory_mb)
             + at_once(waiting.memory_mb, self.waiting_room.memory_mb);
         cpu.max(memory_mb * self.cpu_micros_per_mb / MICROS_PER_MILLI)
     }
@@ -147,7 +147,7 @@
         room.max(members * self.vm_cpu_millis.max(1))
     }
 
-    pub(crate) fn has_left(&self, room: u64) -> bool {
+    pub(crate) fn has_surplus(&self, room: u64) -> bool {
         self.supply >= self.wanted() + room
     }
 
@@ -162,7 +162,7 @@
         let work = room.scaled(work_ms * waiting.count);
         let at_once = room.scaled(waiting.count);
         if needs_members(spec) {
-            self.waiting_apart.add(&work);
+            self.waiting_exclusive.add(&work);
             self.waiting_room.add(&at_once);
         } else if waiting.is_late {
             self.late.add(&work);
@@ -174,7 +174,7 @@
     }
 
     /// Counts the work of late jobs from now on.
-    pub(crate) fn count_late(&mut self) {
+    pub(crate) fn include_late(&mut self) {
         self.waiting.add(&std::mem::take(&mut self.late));
         self.waiting_room.add(&std::mem::take(&mut self.late_room));
     }
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        balance::{Balance, Trait, WORK_OFF_MS, Waiting, needs_members},
+        balance::{BACKLOG_TARGET_MS, Balance, VmFeature, Waiting, needs_members},
         engine::Engine,
         event::Now,
         job::{Resources, StepSpec},
@@ -15,7 +15,7 @@
 
 /// VMs that a pool keeps at least while others have none to spare, so that its next job starts at
 /// once.
-const KEPT_VMS: usize = 2;
+const MIN_VMS: usize = 2;
 
 /// Work of one pool.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
     pub(crate) is_standby: bool,
     room: Balance,
     /// The same for what only some VMs have, as far as waiting work asks for it.
-    traits: Vec<(Trait, Balance)>,
+    features: Vec<(VmFeature, Balance)>,
     /// VMs ordered into the pool at this planning.
     moved_in: usize,
     /// VMs ordered out of the pool at this planning.
@@ -56,12 +56,12 @@
     /// Returns what only some VMs have and is missed most, and how much of it is missed.
     ///
     /// A pool with room enough on other VMs asked for none, and its work waited for good.
-    fn missing_trait(&self) -> Option<(&Trait, u64)> {
+    fn missing_feature(&self) -> Option<(&VmFeature, u64)> {
         let missing = self
-            .traits
+            .features
             .iter()
-            .filter(|(one, _)| one.is_required())
-            .map(|(one, balance)| (one, balance.missing()))
+            .filter(|(kind, _)| kind.is_required())
+            .map(|(kind, balance)| (kind, balance.missing()))
             .filter(|(_, missing)| *missing > 0);
         missing.max_by_key(|(_, missing)| *missing)
     }
@@ -69,54 +69,54 @@
     /// Tells whether a VM of the pool can leave.
     pub(crate) fn can_spare(&self, vm: &Vm) -> bool {
         let entry = &vm.entry;
-        let kept = KEPT_VMS.max(self.room.needed_members);
-        let mut traits = self
-            .traits
+        let min_members = MIN_VMS.max(self.room.needed_members);
+        let mut features = self
+            .features
             .iter()
-            .filter(|(one, _)| one.is_required() && one.is_of(&entry.labels, &entry.capacity));
-        self.room.members > kept
-            && self.room.has_left(entry.capacity.cpu_millis)
-            && traits.all(|(one, balance)| {
-                let room = one.counted(&entry.capacity).cpu_millis;
-                balance.members > balance.needed_members && balance.has_left(room)
+            .filter(|(kind, _)| kind.is_required() && kind.is_of(&entry.labels, &entry.capacity));
+        self.room.members > min_members
+            && self.room.has_surplus(entry.capacity.cpu_millis)
+            && features.all(|(kind, balance)| {
+                let room = kind.counted(&entry.capacity).cpu_millis;
+                balance.members > balance.needed_members && balance.has_surplus(room)
             })
     }
 
     /// Tells whether something waits here that only some VMs serve, or serve better.
-    pub(crate) fn has_traits(&self) -> bool {
-        !self.traits.is_empty()
+    pub(crate) fn requires_features(&self) -> bool {
+        !self.features.is_empty()
     }
 
     /// Says how much of what waits here a VM serves better than any other would.
-    pub(crate) fn suits(&self, vm: &Vm) -> u64 {
-        self.traits
+    pub(crate) fn suitability(&self, vm: &Vm) -> u64 {
+        self.features
             .iter()
-            .filter(|(one, _)| one.is_of(&vm.entry.labels, &vm.entry.capacity))
+            .filter(|(kind, _)| kind.is_of(&vm.entry.labels, &vm.entry.capacity))
             .map(|(_, balance)| balance.missing())
             .sum()
     }
 
     /// Takes in that a VM is on its way here.
-    pub(crate) fn expect(&mut self, vm: &Vm) {
+    pub(crate) fn add_arriving_vm(&mut self, vm: &Vm) {
         let entry = &vm.entry;
         self.room.arriving += entry.capacity.cpu_millis.max(1);
         self.room.arriving_vms += 1;
-        for (one, balance) in &mut self.traits {
-            if one.is_of(&entry.labels, &entry.capacity) {
-                balance.arriving += one.counted(&entry.capacity).cpu_millis.max(1);
+        for (kind, balance) in &mut self.features {
+            if kind.is_of(&entry.labels, &entry.capacity) {
+                balance.arriving += kind.counted(&entry.capacity).cpu_millis.max(1);
                 balance.arriving_vms += 1;
             }
         }
     }
 
     /// Takes in that a VM was ordered here.
-    pub(crate) fn take_in(&mut self, vm: &Vm) {
+    pub(crate) fn add_ordered_vm(&mut self, vm: &Vm) {
         self.moved_in += 1;
-        self.expect(vm);
+        self.add_arriving_vm(vm);
     }
 
     /// Takes in that a VM leaves.
-    pub(crate) fn let_go(&mut self, vm: &Vm) {
+    pub(crate) fn remove_vm(&mut self, vm: &Vm) {
         self.moved_out += 1;
         let cpu = vm.entry.capacity.cpu_millis;
         self.room.supply = self.room.supply.saturating_sub(cpu);
@@ -124,33 +124,33 @@
     }
 
     /// Counts the work of late jobs from now on.
-    pub(crate) fn count_late(&mut self) {
-        self.room.count_late();
-        for (_, balance) in &mut self.traits {
-            balance.count_late();
+    pub(crate) fn include_late(&mut self) {
+        self.room.include_late();
+        for (_, balance) in &mut self.features {
+            balance.include_late();
         }
     }
 
     fn add_step(&mut self, spec: &StepSpec, waiting: Waiting, vm: &Resources) {
         self.room.need_members(spec);
-        let work_ms = spec.estimated_ms.max(WORK_OFF_MS / 2);
+        let work_ms = spec.estimated_ms.max(BACKLOG_TARGET_MS / 2);
         let charged = spec.reserved_resources();
         // What only some VMs can run is no reason for others: a pool that misses a kind of VM took
         // all the others in for nothing, and kept them.
-        if !Trait::of_step(spec).any(|one| one.is_required()) {
+        if !VmFeature::of_step(spec).any(|kind| kind.is_required()) {
             self.room.add_work(spec, &charged, work_ms, waiting);
         }
         if waiting.count == 0 && !needs_members(spec) {
             return;
         }
-        for one in Trait::of_step(spec) {
-            let counted = one.counted(&charged);
-            let place = self.traits.iter().position(|(known, _)| *known == one);
+        for kind in VmFeature::of_step(spec) {
+            let counted = kind.counted(&charged);
+            let place = self.features.iter().position(|(known, _)| *known == kind);
             let place = place.unwrap_or_else(|| {
-                self.traits.push((one, Balance::new(vm)));
-                self.traits.len() - 1
+                self.features.push((kind, Balance::new(vm)));
+                self.features.len() - 1
             });
-            let balance = &mut self.traits[place].1;
+            let balance = &mut self.features[place].1;
             balance.need_members(spec);
             balance.add_work(spec, &counted, work_ms, waiting);
         }
@@ -166,32 +166,35 @@
 
 /// A pool that misses something.
 #[derive(Clone, Debug)]
-pub(crate) struct Need {
+pub(crate) struct Shortage {
     /// Place of the pool.
     pub(crate) place: usize,
     /// What the VM has to have.
-    pub(crate) required: Option<Trait>,
+    pub(crate) required: Option<VmFeature>,
 }
 
-impl Need {
+impl Shortage {
     /// Tells whether a VM is of use.
     pub(crate) fn is_met_by(&self, vm: &Vm) -> bool {
         self.required
             .as_ref()
-            .is_none_or(|one| one.is_of(&vm.entry.labels, &vm.entry.capacity))
+            .is_none_or(|kind| kind.is_of(&vm.entry.labels, &vm.entry.capacity))
     }
 }
 
 /// Returns the pool that misses most, if any misses something, with what the VM has to have unless
 /// nobody has it.
-pub(crate) fn neediest(loads: &[PoolLoad], passed_over: &[(usize, Trait)]) -> Option<Need> {
+pub(crate) fn largest_shortage(
+    loads: &[PoolLoad],
+    unmet: &[(usize, VmFeature)],
+) -> Option<Shortage> {
     let missing = |place: usize| {
         let load = &loads[place];
         let special = load
-            .missing_trait()
-            .filter(|(one, _)| !passed_over.contains(&(place, (*one).clone())));
+            .missing_feature()
+            .filter(|(kind, _)| !unmet.contains(&(place, (*kind).clone())));
         match special {
-            Some((one, missing)) if missing >= load.room.missing() => (missing, Some(one.clone())),
+            Some((kind, cpu)) if cpu >= load.room.missing() => (cpu, Some(kind.clone())),
             _ => (load.room.missing(), None),
         }
     };
@@ -200,7 +203,7 @@
         .map(|place| (place, missing(place)))
         .filter(|(_, (missing, _))| *missing > 0)
         .max_by_key(|(_, (missing, _))| *missing)
-        .map(|(place, (_, required))| Need { place, required })
+        .map(|(place, (_, required))| Shortage { place, required })
 }
 
 impl Engine {
@@ -219,7 +222,7 @@
             })
             .collect();
         for load in &mut loads {
-            load.room.handed_in = self
+            load.room.incoming = self
                 .arrivals
                 .load(&load.name, now, |account| self.quotas.quota(account));
         }
@@ -232,7 +235,7 @@
                 _ => continue,
             };
             if let Some(place) = load_place(&loads, target) {
-                loads[place].expect(vm);
+                loads[place].add_arriving_vm(vm);
             }
         }
         loads
@@ -263,11 +266,11 @@
                 load.room.supply += endpoint.capacity.cpu_millis;
                 load.room.members += 1;
             }
-            for (one, balance) in &mut load.traits {
-                if one.is_of(&endpoint.labels, &endpoint.capacity) {
-                    balance.used.add(&one.counted(&endpoint.used));
+            for (kind, balance) in &mut load.features {
+                if kind.is_of(&endpoint.labels, &endpoint.capacity) {
+                    balance.used.add(&kind.counted(&endpoint.used));
                     if takes_starts {
-                        balance.supply += one.counted(&endpoint.capacity).cpu_millis;
+                        balance.supply += kind.counted(&endpoint.capacity).cpu_millis;
                         balance.members += 1;
                     }
                 }
@@ -278,7 +281,7 @@
     /// Counts waiting tasks as far as their accounts' quotas let them start: VMs for more would come for
     /// nothing.
     fn add_waiting(&self, loads: &mut [PoolLoad], vm: &Resources, now: Now) {
-        let mut left = self.quotas.remaining();
+        let mut remaining = self.quotas.remaining();
         for step in self.open_steps.iter() {
             let Some(job) = self.jobs.get(step.first.job) else {
                 continue;
@@ -286,7 +289,7 @@
             let place = load_place(loads, &job.queue.pool);
             if let Some((place, spec)) = place.zip(job.step_spec(&step.first)) {
                 let waiting = Waiting {
-                    count: left.take(step.account, &step.quota_room, step.waiting),
+                    count: remaining.take(step.account, &step.quota_room, step.waiting),
                     is_late: step.waiting > 0 && step.is_late(now),
                 };
                 loads[place].add_step(spec, waiting, vm);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -50,7 +50,7 @@
 mod reports;
 mod restore;
 mod schedule;
-mod spares;
+mod spare_vms;
 mod state;
 mod stored;
 mod stragglers;
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,18 +1,18 @@
 //! Pools: which VM belongs where, by what the pools' work asks for.
 
 use crate::{
-    balance::Trait,
-    demand::{Need, PoolLoad, load_place, neediest},
+    balance::VmFeature,
+    demand::{PoolLoad, Shortage, largest_shortage, load_place},
     engine::Engine,
     event::{EndpointKey, Now},
     log_event::LogEvent,
-    spares::Spares,
+    spare_vms::SpareVms,
     vms::{Vm, VmOrder},
 };
 
 /// Time that a VM has to be empty before it is switched off, in milliseconds: switched off and fetched
 /// again it costs more than it does while it is kept, and a burst often follows soon.
-const IDLE_MS: u64 = 900;
+const IDLE_TIMEOUT_MS: u64 = 900;
 
 /// Time between two notes on how a pool stands while nothing is ordered for it, in milliseconds: a few
 /// lines a second for a busy fleet.
@@ -28,33 +28,33 @@
         let mut loads = self.pool_loads(now);
         let idle = self.idle_vms(now);
         let mut spares = self.spares(&loads, &idle, now);
-        self.fetch_needed(&mut loads, &mut spares, now);
+        self.fetch_missing(&mut loads, &mut spares, now);
         // What is late already takes no VM from what can still be on time.
         for load in &mut loads {
-            load.count_late();
+            load.include_late();
         }
-        self.fetch_needed(&mut loads, &mut spares, now);
+        self.fetch_missing(&mut loads, &mut spares, now);
         self.switch_off_idle(&mut loads, &idle, now);
         self.log_pool_plans(&loads, now);
     }
 
     /// Moves VMs to where work waits, as long as there are some.
-    fn fetch_needed(&mut self, loads: &mut [PoolLoad], spares: &mut Spares, now: Now) {
-        let mut passed_over: Vec<(usize, Trait)> = Vec::new();
+    fn fetch_missing(&mut self, loads: &mut [PoolLoad], spares: &mut SpareVms, now: Now) {
+        let mut unmet: Vec<(usize, VmFeature)> = Vec::new();
         while self.vm_order_rate.allows_order()
-            && let Some(need) = neediest(loads, &passed_over)
+            && let Some(shortage) = largest_shortage(loads, &unmet)
         {
-            let Some(vm) = self.take_spare(loads, &need, spares) else {
+            let Some(vm) = self.take_spare(loads, &shortage, spares) else {
                 // Nobody has what this pool asks for; others may still be helped.
-                let Some(required) = need.required else {
+                let Some(required) = shortage.required else {
                     break;
                 };
-                passed_over.push((need.place, required));
+                unmet.push((shortage.place, required));
                 continue;
             };
             self.record_departure(loads, vm);
-            loads[need.place].take_in(&self.vms[vm]);
-            let pool = loads[need.place].name.clone();
+            loads[shortage.place].add_ordered_vm(&self.vms[vm]);
+            let pool = loads[shortage.place].name.clone();
             self.order_vm(vm, VmOrder::Move(pool), now);
         }
     }
@@ -75,12 +75,12 @@
     fn record_departure(&self, loads: &mut [PoolLoad], vm: usize) {
         let vm = &self.vms[vm];
         if let Some(place) = load_place(loads, &vm.entry.pool) {
-            loads[place].let_go(vm);
+            loads[place].remove_vm(vm);
         }
     }
 
     /// Returns the VMs that are free to be ordered elsewhere.
-    fn spares(&self, loads: &[PoolLoad], idle: &[(usize, EndpointKey)], now: Now) -> Spares {
+    fn spares(&self, loads: &[PoolLoad], idle: &[(usize, EndpointKey)], now: Now) -> SpareVms {
         let is_free = |place: &usize| {
             let vm = &self.vms[*place];
             vm.accepts_orders(now) && !self.awaits_maintenance(&vm.entry.name)
@@ -91,22 +91,27 @@
         };
         let standby = (0..self.vms.len()).filter(is_standby).filter(is_free);
         let idle = idle.iter().map(|(place, _)| *place);
-        Spares {
+        SpareVms {
             standby: standby.collect(),
             idle: idle.filter(is_free).collect(),
         }
     }
 
     /// Takes the VM that suits a needy pool's work best.
-    fn take_spare(&self, loads: &[PoolLoad], need: &Need, spares: &mut Spares) -> Option<usize> {
-        let load = &loads[need.place];
-        let is_of_use = |place: usize| {
+    fn take_spare(
+        &self,
+        loads: &[PoolLoad],
+        shortage: &Shortage,
+        spares: &mut SpareVms,
+    ) -> Option<usize> {
+        let load = &loads[shortage.place];
+        let fits = |place: usize| {
             let vm = &self.vms[place];
-            vm.entry.pool != load.name && need.is_met_by(vm)
+            vm.entry.pool != load.name && shortage.is_met_by(vm)
         };
-        let suits = |place: usize| load.suits(&self.vms[place]);
-        let suits: Option<&dyn Fn(usize) -> u64> = load.has_traits().then_some(&suits);
-        spares.take(is_of_use, suits, |place| can_leave(loads, &self.vms[place]))
+        let score = |place: usize| load.suitability(&self.vms[place]);
+        let score: Option<&dyn Fn(usize) -> u64> = load.requires_features().then_some(&score);
+        spares.take(fits, score, |place| can_leave(loads, &self.vms[place]))
     }
 
     /// Returns the VMs whose endpoint takes starts and runs nothing, in order, with that endpoint.
@@ -138,8 +143,9 @@
             {
                 continue;
             }
-            let has_idled = now.steady_ms >= self.endpoints.get(key).empty_since_ms + IDLE_MS;
-            if has_idled && can_leave(loads, vm) {
+            let is_idle_timeout_over =
+                now.steady_ms >= self.endpoints.get(key).empty_since_ms + IDLE_TIMEOUT_MS;
+            if is_idle_timeout_over && can_leave(loads, vm) {
                 self.record_departure(loads, place);
                 self.order_vm(place, VmOrder::Move(standby.clone()), now);
             }
