--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -12,7 +12,7 @@
         config::{FleetConfig, Queue},
         endpoint_table::EndpointTable,
         event::{CallerAnswer, Effect, EndpointKey, Event, Now, ReplyToken},
-        free_room::FreeRoom,
+        free_capacity::FreeCapacity,
         job::{JobId, JobState, Resources, TaskRef},
         job_table::JobTable,
         log_event::LogEvent,
@@ -95,7 +95,7 @@
     /// Jobs that have ended, sorted by id.
     pub(crate) ended_jobs: Vec<EndedJob>,
     pub(crate) endpoints: EndpointTable,
-    pub(crate) free_room: FreeRoom,
+    pub(crate) free_capacity: FreeCapacity,
     /// Endpoints at which nothing starts until a time on the steady clock, sorted by that time.
     pub(crate) cooling_endpoints: Vec<(u64, EndpointKey)>,
     /// Endpoints of which ends were taken into account that are not in a batch yet.
@@ -145,7 +145,7 @@
             excess_demand: Vec::new(),
             ended_jobs: Vec::new(),
             endpoints: EndpointTable::default(),
-            free_room: FreeRoom::default(),
+            free_capacity: FreeCapacity::default(),
             cooling_endpoints: Vec::new(),
             unstored_ends: Vec::new(),
             unanswered: Vec::new(),
--- a/crates/engine/src/free_room.rs
+++ b/crates/engine/src/free_capacity.rs
@@ -9,7 +9,7 @@
 pub(crate) type FreeSlot = (u64, EndpointKey);
 
 #[derive(Clone, Debug)]
-struct PoolRoom {
+struct PoolCapacity {
     name: CompactString,
     /// Sorted.
     slots: Vec<FreeSlot>,
@@ -30,18 +30,18 @@
 /// The fullest endpoint that still holds a task is found without looking at those that are fuller,
 /// nor, for a task without further needs, at those that are emptier.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FreeRoom {
-    pools: Vec<PoolRoom>,
+pub(crate) struct FreeCapacity {
+    pools: Vec<PoolCapacity>,
     /// Sorted by key.
     indexed: Vec<Indexed>,
 }
 
-impl FreeRoom {
+impl FreeCapacity {
     /// Returns the number of a pool.
     pub(crate) fn pool_number(&mut self, name: &CompactString) -> PoolNumber {
         let known = self.pools.iter().position(|pool| pool.name == *name);
         known.unwrap_or_else(|| {
-            self.pools.push(PoolRoom {
+            self.pools.push(PoolCapacity {
                 name: name.clone(),
                 slots: Vec::new(),
                 free_cpu_millis: 0,
@@ -67,7 +67,7 @@
                 if (entry.pool, entry.free_cpu_millis) == (pool, free_cpu_millis) {
                     return;
                 }
-                self.take_slot(entry);
+                self.remove_slot(entry);
                 self.indexed[place].pool = pool;
                 self.indexed[place].free_cpu_millis = free_cpu_millis;
                 self.add_slot(pool, (free_cpu_millis, key));
@@ -89,29 +89,29 @@
     pub(crate) fn remove(&mut self, key: EndpointKey) {
         if let Ok(place) = self.search(key) {
             let entry = self.indexed.remove(place);
-            self.take_slot(entry);
+            self.remove_slot(entry);
         }
     }
 
     fn add_slot(&mut self, pool: PoolNumber, slot: FreeSlot) {
-        let room = &mut self.pools[pool];
-        if let Err(place) = room.slots.binary_search(&slot) {
-            room.slots.insert(place, slot);
-            room.free_cpu_millis += slot.0;
+        let capacity = &mut self.pools[pool];
+        if let Err(place) = capacity.slots.binary_search(&slot) {
+            capacity.slots.insert(place, slot);
+            capacity.free_cpu_millis += slot.0;
         }
     }
 
-    fn take_slot(&mut self, entry: Indexed) {
-        let room = &mut self.pools[entry.pool];
+    fn remove_slot(&mut self, entry: Indexed) {
+        let capacity = &mut self.pools[entry.pool];
         let slot = (entry.free_cpu_millis, entry.key);
-        if let Ok(place) = room.slots.binary_search(&slot) {
-            room.slots.remove(place);
-            room.free_cpu_millis -= slot.0;
+        if let Ok(place) = capacity.slots.binary_search(&slot) {
+            capacity.slots.remove(place);
+            capacity.free_cpu_millis -= slot.0;
         }
     }
 
     /// Returns the endpoints of a pool with so much processor free or more, the fullest first.
-    pub(crate) fn with(&self, pool: PoolNumber, cpu_millis: u64) -> &[FreeSlot] {
+    pub(crate) fn slots_with(&self, pool: PoolNumber, cpu_millis: u64) -> &[FreeSlot] {
         let slots = &self.pools[pool].slots;
         let begin = slots.partition_point(|(free, _)| *free < cpu_millis);
         &slots[begin..]
@@ -123,7 +123,7 @@
     }
 
     /// Tells whether some endpoint of a pool has so much processor free.
-    pub(crate) fn has(&self, pool: PoolNumber, cpu_millis: u64) -> bool {
+    pub(crate) fn has_slot(&self, pool: PoolNumber, cpu_millis: u64) -> bool {
         let slots = &self.pools[pool].slots;
         slots.last().is_some_and(|(free, _)| *free >= cpu_millis)
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -36,7 +36,7 @@
 mod engine;
 mod event;
 mod fair_share;
-mod free_room;
+mod free_capacity;
 mod job;
 mod job_table;
 mod leases;
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -7,7 +7,7 @@
         endpoints::{Endpoint, PlacedRun},
         engine::Engine,
         event::{Effect, EndpointKey, Now},
-        free_room::FreeSlot,
+        free_capacity::FreeSlot,
         job::{Resources, StepSpec, TaskRef},
         log_event::{LogEvent, QuotaWait, ShareWait},
         quota::AccountNumber,
@@ -37,7 +37,7 @@
     /// Starts what can start, the most urgent first, and the tasks of accounts that flood and have their
     /// share after all others.
     pub(crate) fn schedule(&mut self, now: Now) {
-        self.refresh_free_room(now);
+        self.refresh_free_capacity(now);
         // Without a configuration no account's quota is known.
         if self.config.version == 0 {
             return;
@@ -49,13 +49,13 @@
             place += 1;
             if self.has_share(step.account) {
                 beyond_share.push(step.clone());
-            } else if self.free_room.has(step.pool, step.room.cpu_millis) {
+            } else if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
                 let step = step.clone();
                 self.place_within_quota(&step, now);
             }
         }
         for step in beyond_share {
-            if self.free_room.has(step.pool, step.room.cpu_millis) {
+            if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
                 self.place_within_quota(&step, now);
             }
             self.log_share_wait(&step, now);
@@ -86,7 +86,7 @@
         }
         let free = pools
             .iter()
-            .map(|&pool| self.free_room.free_cpu_millis(pool));
+            .map(|&pool| self.free_capacity.free_cpu_millis(pool));
         self.excess_demand = self.quotas.excess_demand_shares(&waiting, free.sum());
     }
 
@@ -145,7 +145,7 @@
         self.open_steps.forget(&changed);
         for &id in &changed {
             if let Some(job) = self.jobs.get(id) {
-                let pool = self.free_room.pool_number(&job.queue.pool);
+                let pool = self.free_capacity.pool_number(&job.queue.pool);
                 self.open_steps.add(job, pool);
             }
         }
@@ -153,7 +153,7 @@
     }
 
     /// Updates the free room of the endpoints that have changed, or whose cooldown is over.
-    pub(crate) fn refresh_free_room(&mut self, now: Now) {
+    pub(crate) fn refresh_free_capacity(&mut self, now: Now) {
         let cooldown = &mut self.cooling_endpoints;
         let expired = cooldown.partition_point(|(until_ms, _)| *until_ms <= now.steady_ms);
         let expired: Vec<EndpointKey> = cooldown.drain(..expired).map(|(_, key)| key).collect();
@@ -161,7 +161,7 @@
             let endpoint = self.endpoints.get(key);
             if endpoint.takes_starts(now.steady_ms) {
                 let free_cpu_millis = endpoint.free().cpu_millis;
-                self.free_room.set(key, &endpoint.pool, free_cpu_millis);
+                self.free_capacity.set(key, &endpoint.pool, free_cpu_millis);
                 continue;
             }
             let cooldown = (endpoint.cooldown_until_ms, key);
@@ -169,7 +169,7 @@
             if is_cooling_down && let Err(place) = self.cooling_endpoints.binary_search(&cooldown) {
                 self.cooling_endpoints.insert(place, cooldown);
             }
-            self.free_room.remove(key);
+            self.free_capacity.remove(key);
         }
     }
 
@@ -191,7 +191,9 @@
                 ..step.first
             };
             let avoid = self.task_avoids(&task);
-            let slots = self.free_room.with(step.pool, step.room.cpu_millis);
+            let slots = self
+                .free_capacity
+                .slots_with(step.pool, step.room.cpu_millis);
             let Some(key) = best_fit(&self.endpoints, slots, &task, &spec, avoid) else {
                 break;
             };
@@ -212,7 +214,7 @@
     /// Places a gang, or tasks whose endpoints another service chooses.
     fn place_chosen(&mut self, step: &OpenStep, spec: &StepSpec, now: Now) {
         let name = step.first;
-        let members = self.free_room.members(step.pool);
+        let members = self.free_capacity.members(step.pool);
         let mut slots = slots(&self.endpoints, &members, &name, spec);
         let Some(job) = self.jobs.get(name.job) else {
             return;
@@ -270,7 +272,7 @@
         let endpoint = self.endpoints.get_mut(key);
         endpoint.add_run(PlacedRun::new(*task, run, spec));
         let free_cpu_millis = endpoint.free().cpu_millis;
-        self.free_room.set(key, &endpoint.pool, free_cpu_millis);
+        self.free_capacity.set(key, &endpoint.pool, free_cpu_millis);
     }
 }
 
--- a/crates/engine/src/waiting.rs
+++ b/crates/engine/src/waiting.rs
@@ -4,7 +4,7 @@
     crate::{
         balance::needs_members,
         event::Now,
-        free_room::PoolNumber,
+        free_capacity::PoolNumber,
         job::{JobId, Resources, StepSpec, TaskRef},
         quota::AccountNumber,
         state::{Job, StepRun},
