--- a/crates/engine/src/places.rs
+++ b/crates/engine/src/endpoint_locations.rs
@@ -4,12 +4,12 @@
 
 /// Lives by VM and by address, each sorted; a life that is over stays until it is forgotten.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Places {
+pub(crate) struct EndpointLocations {
     by_vm: Vec<(CompactString, EndpointKey)>,
     by_address: Vec<(SocketAddr, EndpointKey)>,
 }
 
-impl Places {
+impl EndpointLocations {
     /// Takes in that a life is on another VM than before; an empty name stands for none.
     pub(crate) fn change_vm(&mut self, key: EndpointKey, from: &str, to: &CompactString) {
         if let Ok(place) = self.vm_place(from, key) {
--- a/crates/engine/src/endpoint_table.rs
+++ b/crates/engine/src/endpoint_table.rs
@@ -1,7 +1,10 @@
 //! Every life of an endpoint that is known, and which of them have changed.
 
 use {
-    crate::{endpoints::Endpoint, event::EndpointKey, places::Places, reports::EndpointEntry},
+    crate::{
+        endpoint_locations::EndpointLocations, endpoints::Endpoint, event::EndpointKey,
+        reports::EndpointEntry,
+    },
     compact_str::CompactString,
     std::net::SocketAddr,
 };
@@ -18,7 +21,7 @@
     keys: Vec<EndpointKey>,
     /// Keys sorted by id.
     by_id: Vec<EndpointKey>,
-    places: Places,
+    locations: EndpointLocations,
     changed: Vec<EndpointKey>,
     next_key: EndpointKey,
     /// Stands for every life that has been forgotten: late answers may still name one.
@@ -31,7 +34,7 @@
             incarnations: Vec::new(),
             keys: Vec::new(),
             by_id: Vec::new(),
-            places: Places::default(),
+            locations: EndpointLocations::default(),
             changed: Vec::new(),
             next_key: 0,
             forgotten: Endpoint::forgotten(),
@@ -91,7 +94,7 @@
     pub(crate) fn set_address(&mut self, key: EndpointKey, address: SocketAddr) {
         if let Ok(place) = self.place(key) {
             let known = std::mem::replace(&mut self.incarnations[place].address, address);
-            self.places.change_address(key, known, address);
+            self.locations.change_address(key, known, address);
         }
     }
 
@@ -101,21 +104,21 @@
             && self.incarnations[place].vm != *vm
         {
             let known = std::mem::replace(&mut self.incarnations[place].vm, vm.clone());
-            self.places.change_vm(key, &known, vm);
+            self.locations.change_vm(key, &known, vm);
         }
     }
 
     /// Returns the latest life on a VM that is not known to be over.
     pub(crate) fn on_vm(&self, vm: &str) -> Option<EndpointKey> {
-        let mut incarnations = self.places.on_vm(vm).rev();
+        let mut incarnations = self.locations.on_vm(vm).rev();
         incarnations.find(|&key| !self.get(key).has_ended)
     }
 
     /// Returns other lives, not known to be over, at the address or on the VM of one.
-    pub(crate) fn others_in_place(&self, key: EndpointKey) -> Vec<EndpointKey> {
+    pub(crate) fn others_at_location(&self, key: EndpointKey) -> Vec<EndpointKey> {
         let one = self.get(key);
-        let at_address = self.places.at_address(one.address);
-        let on_vm = (!one.vm.is_empty()).then(|| self.places.on_vm(&one.vm));
+        let at_address = self.locations.at_address(one.address);
+        let on_vm = (!one.vm.is_empty()).then(|| self.locations.on_vm(&one.vm));
         let mut others: Vec<EndpointKey> = at_address
             .chain(on_vm.into_iter().flatten())
             .filter(|&other| other != key && !self.get(other).has_ended)
@@ -148,7 +151,7 @@
         let keys = &self.keys;
         let is_known = |key: EndpointKey| keys.binary_search(&key).is_ok();
         self.by_id.retain(|&key| is_known(key));
-        self.places.retain(is_known);
+        self.locations.retain(is_known);
     }
 
     fn search(&self, id: &str) -> Result<usize, usize> {
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -75,7 +75,7 @@
     /// seconds late, when its life is over. Taking the later entry for the later life ended sound
     /// ones, and their runs were started a second time elsewhere.
     fn end_replaced_incarnations(&mut self, key: EndpointKey, now: Now) {
-        for other in self.endpoints.others_in_place(key) {
+        for other in self.endpoints.others_at_location(key) {
             self.endpoint_ended(other, now);
         }
     }
