--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -146,7 +146,7 @@
                     if attempt.phase == Phase::Ordered {
                         attempt.phase = Phase::Unanswered;
                         attempt.retry_at_ms = now.steady_ms + ORDER_RETRY_MS;
-                        self.await_answer(task, run);
+                        self.track_unanswered(task, run);
                     }
                 }
             }
@@ -192,7 +192,7 @@
         if attempt.may_start_late {
             attempt.phase = Phase::Unanswered;
             attempt.retry_at_ms = now.steady_ms + ORDER_RETRY_MS;
-            self.await_answer(task, run);
+            self.track_unanswered(task, run);
         } else if matches!(attempt.phase, Phase::Ordered | Phase::Unanswered) {
             self.remove_attempt(task, run, RunEnd::Refused, now);
         }
@@ -392,7 +392,7 @@
         attempt.is_stop_stored = may_stop;
         job.is_dirty |= !may_stop;
         if may_stop {
-            self.await_answer(task, run);
+            self.track_unanswered(task, run);
         }
         may_stop
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -101,7 +101,7 @@
     /// Endpoints of which ends were taken into account that are not in a batch yet.
     pub(crate) unstored_ends: Vec<EndpointKey>,
     /// Runs whose order may have to be repeated, sorted.
-    pub(crate) unanswered: Vec<(TaskRef, u32)>,
+    pub(crate) unanswered_runs: Vec<(TaskRef, u32)>,
     /// VMs sorted by name.
     pub(crate) vms: Vec<Vm>,
     pub(crate) vm_order_rate: OrderRate,
@@ -148,7 +148,7 @@
             free_capacity: FreeCapacity::default(),
             cooling_endpoints: Vec::new(),
             unstored_ends: Vec::new(),
-            unanswered: Vec::new(),
+            unanswered_runs: Vec::new(),
             vms: Vec::new(),
             vm_order_rate: OrderRate::new(settings.vm_orders_per_s),
             vm_cooldowns: Vec::new(),
@@ -490,7 +490,7 @@
     fn tick(&mut self, now: Now) {
         self.begin_occurrences(now);
         self.expire_leases(now);
-        self.repeat_orders(now);
+        self.retry_orders(now);
         self.renew_leases(now);
         self.remove_expired_jobs(now);
         if now.steady_ms >= self.incarnations_pruned_ms + PRUNE_INTERVAL_MS {
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -410,7 +410,7 @@
             }
         }
         unanswered.sort_unstable();
-        self.unanswered = unanswered;
+        self.unanswered_runs = unanswered;
         let lease_ms = self.settings.lease_ms * SLOW_CLOCK_PERCENT / 100;
         let bound_ms = now.steady_ms + lease_ms + PREVIOUS_OWNER_MS;
         for key in self.endpoints.keys().to_vec() {
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -24,7 +24,7 @@
         if !self.may_order_vms || self.vms.is_empty() {
             return;
         }
-        self.repeat_vm_orders(now);
+        self.retry_vm_orders(now);
         let mut loads = self.pool_loads(now);
         let idle = self.idle_vms(now);
         let mut spares = self.spares(&loads, &idle, now);
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/retries.rs
@@ -12,8 +12,8 @@
 impl Engine {
     /// Repeats orders without answer; a start names the same run, so it happens once. Starts of an
     /// account that is above its quota wait.
-    pub(crate) fn repeat_orders(&mut self, now: Now) {
-        for (task, run, key, is_stop) in self.due_orders(now) {
+    pub(crate) fn retry_orders(&mut self, now: Now) {
+        for (task, run, key, is_stop) in self.due_retries(now) {
             let endpoint = self.endpoints.get_mut(key);
             if endpoint.failed_calls >= SUSPECT_AFTER_FAILED_CALLS || !endpoint.is_reachable() {
                 continue;
@@ -36,24 +36,24 @@
     }
 
     /// Notes that an order for a run may have to be repeated.
-    pub(crate) fn await_answer(&mut self, task: &TaskRef, run: u32) {
-        if let Err(place) = self.unanswered.binary_search(&(*task, run)) {
-            self.unanswered.insert(place, (*task, run));
+    pub(crate) fn track_unanswered(&mut self, task: &TaskRef, run: u32) {
+        if let Err(place) = self.unanswered_runs.binary_search(&(*task, run)) {
+            self.unanswered_runs.insert(place, (*task, run));
         }
     }
 
     /// Returns the orders to repeat now: task, run, endpoint, and whether it is a stop.
-    fn due_orders(&mut self, now: Now) -> Vec<(TaskRef, u32, EndpointKey, bool)> {
+    fn due_retries(&mut self, now: Now) -> Vec<(TaskRef, u32, EndpointKey, bool)> {
         let mut due = Vec::new();
         let jobs = &mut self.jobs;
-        self.unanswered.retain(|(task, run)| {
+        self.unanswered_runs.retain(|(task, run)| {
             let Ok(place) = jobs.search(task.job) else {
                 return false;
             };
             let Some(attempt) = find_attempt(jobs.quiet_mut(place), task, *run) else {
                 return false;
             };
-            if needs_repeat(attempt, now) {
+            if is_retry_due(attempt, now) {
                 attempt.retry_at_ms = now.steady_ms + ORDER_RETRY_MS;
                 due.push((*task, *run, attempt.endpoint, attempt.is_stop_stored));
             }
@@ -63,7 +63,7 @@
     }
 }
 
-fn needs_repeat(attempt: &Attempt, now: Now) -> bool {
+fn is_retry_due(attempt: &Attempt, now: Now) -> bool {
     let is_waiting = attempt.phase == Phase::Unanswered
         || (attempt.is_stop_stored && attempt.phase != Phase::Inherited);
     is_waiting && now.steady_ms >= attempt.retry_at_ms
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -218,7 +218,7 @@
     }
 
     /// Repeats orders whose calls got no answer.
-    pub(crate) fn repeat_vm_orders(&mut self, now: Now) {
+    pub(crate) fn retry_vm_orders(&mut self, now: Now) {
         for place in 0..self.vms.len() {
             let vm = &self.vms[place];
             let is_due = !vm.is_call_pending
