--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -283,11 +283,11 @@
     fn add_waiting(&self, loads: &mut [PoolLoad], vm: &Resources, now: Now) {
         let mut remaining = self.quotas.remaining();
         for step in self.open_steps.iter() {
-            let Some(job) = self.jobs.get(step.first.job) else {
+            let Some(job) = self.jobs.get(step.first_task.job) else {
                 continue;
             };
             let place = load_place(loads, &job.queue.pool);
-            if let Some((place, spec)) = place.zip(job.step_spec(&step.first)) {
+            if let Some((place, spec)) = place.zip(job.step_spec(&step.first_task)) {
                 let waiting = Waiting {
                     count: remaining.take(step.account, &step.quota_room, step.waiting),
                     is_late: step.waiting > 0 && step.is_late(now),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -42,6 +42,7 @@
 mod job_table;
 mod leases;
 mod log_event;
+mod open_steps;
 mod order_rate;
 mod pacing;
 mod pools;
@@ -57,7 +58,6 @@
 mod timing;
 mod vm_cooldowns;
 mod vms;
-mod waiting;
 mod waves;
 
 pub use {
--- a/crates/engine/src/waiting.rs
+++ b/crates/engine/src/open_steps.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct OpenStep {
     /// First task of the step.
-    pub(crate) first: TaskRef,
+    pub(crate) first_task: TaskRef,
     pub(crate) pool: PoolNumber,
     /// Tasks that wait.
     pub(crate) waiting: u64,
@@ -27,7 +27,7 @@
     pub(crate) quota_room: Resources,
     pub(crate) account: AccountNumber,
     priority: u32,
-    is_lasting: bool,
+    is_long_running: bool,
     timing: Timing,
 }
 
@@ -36,7 +36,7 @@
         let spec = &job.spec.steps[step];
         let run = &job.occurrences[occurrence];
         Self {
-            first: TaskRef {
+            first_task: TaskRef {
                 job: job.id,
                 occurrence: run.number,
                 step: u16::try_from(step).unwrap_or(u16::MAX),
@@ -48,7 +48,7 @@
             quota_room: spec.room,
             account: job.account_number,
             priority: job.queue.priority,
-            is_lasting: spec.long_running,
+            is_long_running: spec.long_running,
             timing: Timing::new(job, occurrence),
         }
     }
@@ -56,19 +56,25 @@
     /// Tells whether its job cannot be on time any more. A long-running task is never late: every
     /// second away is lost.
     pub(crate) fn is_late(&self, now: Now) -> bool {
-        !self.is_lasting && self.timing.slack_ms(now) < 0
+        !self.is_long_running && self.timing.slack_ms(now) < 0
     }
 
     /// Returns its place in the order of starts; steps without waiting tasks come last.
     fn rank(&self, now: Now) -> (Reverse<bool>, Urgency, u32, i64, TaskRef) {
-        let urgency = if self.is_lasting {
-            Urgency::Lasting
+        let urgency = if self.is_long_running {
+            Urgency::LongRunning
         } else {
             self.timing.urgency(now)
         };
         let slack_ms = self.timing.slack_ms(now);
         let has_waiting = Reverse(self.waiting > 0);
-        (has_waiting, urgency, self.priority, slack_ms, self.first)
+        (
+            has_waiting,
+            urgency,
+            self.priority,
+            slack_ms,
+            self.first_task,
+        )
     }
 }
 
@@ -87,7 +93,7 @@
     /// Forgets the steps of jobs; the ids are sorted.
     pub(crate) fn forget(&mut self, jobs: &[JobId]) {
         self.steps
-            .retain(|step| jobs.binary_search(&step.first.job).is_err());
+            .retain(|step| jobs.binary_search(&step.first_task.job).is_err());
     }
 
     /// Adds the open steps of a job.
@@ -98,7 +104,7 @@
         for (at, occurrence) in job.occurrences.iter().enumerate() {
             let steps = occurrence.steps.iter().zip(&job.spec.steps).enumerate();
             for (number, (step, spec)) in steps {
-                if is_counted(step, spec) && occurrence.is_open(spec) {
+                if is_relevant(step, spec) && occurrence.is_open(spec) {
                     self.steps.push(OpenStep::new(job, pool, at, number));
                 }
             }
@@ -120,6 +126,6 @@
     }
 }
 
-fn is_counted(step: &StepRun, spec: &StepSpec) -> bool {
+fn is_relevant(step: &StepRun, spec: &StepSpec) -> bool {
     needs_members(spec) || step.tasks.iter().any(crate::state::Task::is_waiting)
 }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -10,9 +10,9 @@
         free_capacity::FreeSlot,
         job::{Resources, StepSpec, TaskRef},
         log_event::{LogEvent, QuotaWait, ShareWait},
+        open_steps::OpenStep,
         quota::AccountNumber,
         state::{Attempt, Job},
-        waiting::OpenStep,
     },
     compact_str::CompactString,
 };
@@ -109,7 +109,7 @@
         if self.quotas.should_log_quota_wait(step.account, now) {
             self.log_events.push(LogEvent::QuotaReached(QuotaWait {
                 account: self.quotas.name(step.account).clone(),
-                job: step.first.job,
+                job: step.first_task.job,
                 wanted: step.quota_room,
                 running: self.quotas.running(step.account),
                 quota: self.quotas.quota(step.account),
@@ -121,15 +121,15 @@
     fn log_share_wait(&mut self, step: &OpenStep, now: Now) {
         let is_waiting = self
             .jobs
-            .get(step.first.job)
-            .is_some_and(|job| !waiting(job, &step.first, now).is_empty());
+            .get(step.first_task.job)
+            .is_some_and(|job| !waiting(job, &step.first_task, now).is_empty());
         if is_waiting
             && let Some(share_cpu_millis) = self.excess_demand_share(step.account)
             && self.quotas.should_log_share_wait(step.account, now)
         {
             self.log_events.push(LogEvent::ShareReached(ShareWait {
                 account: self.quotas.name(step.account).clone(),
-                job: step.first.job,
+                job: step.first_task.job,
                 running: self.quotas.running(step.account),
                 share_cpu_millis,
             }));
@@ -174,10 +174,10 @@
     }
 
     fn place_step(&mut self, step: &OpenStep, now: Now) {
-        let Some(job) = self.jobs.get(step.first.job) else {
+        let Some(job) = self.jobs.get(step.first_task.job) else {
             return;
         };
-        let Some(spec) = job.step_spec(&step.first).cloned() else {
+        let Some(spec) = job.step_spec(&step.first_task).cloned() else {
             return;
         };
         if spec.gang || job.queue.advised {
@@ -185,10 +185,13 @@
             return;
         }
         let startable = self.startable_runs(step);
-        for index in waiting(job, &step.first, now).into_iter().take(startable) {
+        for index in waiting(job, &step.first_task, now)
+            .into_iter()
+            .take(startable)
+        {
             let task = TaskRef {
                 index,
-                ..step.first
+                ..step.first_task
             };
             let avoid = self.task_avoids(&task);
             let slots = self
@@ -213,7 +216,7 @@
 
     /// Places a gang, or tasks whose endpoints another service chooses.
     fn place_chosen(&mut self, step: &OpenStep, spec: &StepSpec, now: Now) {
-        let name = step.first;
+        let name = step.first_task;
         let members = self.free_capacity.members(step.pool);
         let mut slots = slots(&self.endpoints, &members, &name, spec);
         let Some(job) = self.jobs.get(name.job) else {
--- a/crates/engine/src/timing.rs
+++ b/crates/engine/src/timing.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Urgency {
     /// Long-running: every second away is lost.
-    Lasting,
+    LongRunning,
     /// Can still be on time.
     OnTime,
     /// Can still be of some use.
