--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -43,18 +43,18 @@
             return;
         }
         self.open_steps.sort(now);
-        let mut beyond_share = Vec::new();
+        let mut over_share = Vec::new();
         let mut place = 0;
         while let Some(step) = self.open_steps.waiting_at(place) {
             place += 1;
-            if self.has_share(step.account) {
-                beyond_share.push(step.clone());
+            if self.has_reached_share(step.account) {
+                over_share.push(step.clone());
             } else if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
                 let step = step.clone();
                 self.place_within_quota(&step, now);
             }
         }
-        for step in beyond_share {
+        for step in over_share {
             if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
                 self.place_within_quota(&step, now);
             }
@@ -99,7 +99,7 @@
     }
 
     /// Tells whether an account floods and has its share.
-    fn has_share(&self, account: AccountNumber) -> bool {
+    fn has_reached_share(&self, account: AccountNumber) -> bool {
         self.excess_demand_share(account)
             .is_some_and(|share| self.quotas.has_running(account, share))
     }
@@ -193,11 +193,11 @@
                 index,
                 ..step.first_task
             };
-            let avoid = self.task_avoids(&task);
+            let avoided = self.avoided_endpoint(&task);
             let slots = self
                 .free_capacity
                 .slots_with(step.pool, step.room.cpu_millis);
-            let Some(key) = best_fit(&self.endpoints, slots, &task, &spec, avoid) else {
+            let Some(key) = best_fit(&self.endpoints, slots, &task, &spec, avoided) else {
                 break;
             };
             self.place_task(&task, key, &spec, None, now);
@@ -210,36 +210,36 @@
         usize::try_from(startable).unwrap_or(usize::MAX)
     }
 
-    fn task_avoids(&self, task: &TaskRef) -> Option<EndpointKey> {
+    fn avoided_endpoint(&self, task: &TaskRef) -> Option<EndpointKey> {
         self.jobs.get(task.job)?.task(task)?.avoided_endpoint
     }
 
     /// Places a gang, or tasks whose endpoints another service chooses.
     fn place_chosen(&mut self, step: &OpenStep, spec: &StepSpec, now: Now) {
-        let name = step.first_task;
+        let step_ref = step.first_task;
         let members = self.free_capacity.members(step.pool);
-        let mut slots = slots(&self.endpoints, &members, &name, spec);
-        let Some(job) = self.jobs.get(name.job) else {
+        let mut slots = slots(&self.endpoints, &members, &step_ref, spec);
+        let Some(job) = self.jobs.get(step_ref.job) else {
             return;
         };
         if job.queue.advised {
             let with_room: Vec<EndpointKey> = slots.iter().map(|slot| slot.key).collect();
-            let usable = self.advised_members(&name, &with_room, now);
+            let usable = self.advised_members(&step_ref, &with_room, now);
             slots.retain(|slot| usable.contains(&slot.key));
         }
-        let Some(job) = self.jobs.get(name.job) else {
+        let Some(job) = self.jobs.get(step_ref.job) else {
             return;
         };
         let startable = self.startable_runs(step);
         let chosen = if spec.gang {
-            if !is_whole(job, &name) || startable < usize::from(spec.count) {
+            if !is_unstarted(job, &step_ref) || startable < usize::from(spec.count) {
                 return;
             }
-            choose_gang(&self.endpoints, &mut slots, job, &name, spec)
+            choose_gang(&self.endpoints, &mut slots, job, &step_ref, spec)
         } else {
-            let mut waiting = waiting(job, &name, now);
+            let mut waiting = waiting(job, &step_ref, now);
             waiting.truncate(startable);
-            choose_each(&self.endpoints, &mut slots, job, &name, spec, &waiting)
+            choose_each(&self.endpoints, &mut slots, job, &step_ref, spec, &waiting)
         };
         let runs = chosen.iter().filter_map(|(task, _)| job.task(task));
         let highest_run = runs.map(|task| task.run).max();
@@ -280,8 +280,8 @@
 }
 
 /// Returns the tasks of a step that wait and may start now.
-fn waiting(job: &Job, name: &TaskRef, now: Now) -> Vec<u16> {
-    let Some(step) = job.step(name) else {
+fn waiting(job: &Job, step_ref: &TaskRef, now: Now) -> Vec<u16> {
+    let Some(step) = job.step(step_ref) else {
         return Vec::new();
     };
     step.tasks
@@ -293,8 +293,8 @@
 }
 
 /// Tells whether no task of a step runs or is done.
-fn is_whole(job: &Job, name: &TaskRef) -> bool {
-    job.step(name).is_some_and(|step| {
+fn is_unstarted(job: &Job, step_ref: &TaskRef) -> bool {
+    job.step(step_ref).is_some_and(|step| {
         step.tasks
             .iter()
             .all(|task| task.attempts.is_empty() && !task.is_done)
@@ -305,11 +305,11 @@
     spec.required_label.is_empty() || endpoint.has_label(&spec.required_label)
 }
 
-fn siblings(endpoint: &Endpoint, name: &TaskRef) -> u16 {
+fn siblings(endpoint: &Endpoint, step_ref: &TaskRef) -> u16 {
     let count = endpoint
         .placed_runs
         .iter()
-        .filter(|placed| placed.task.is_sibling(name))
+        .filter(|placed| placed.task.is_sibling(step_ref))
         .count();
     u16::try_from(count).unwrap_or(u16::MAX)
 }
@@ -321,7 +321,7 @@
     slots: &[FreeSlot],
     task: &TaskRef,
     spec: &StepSpec,
-    avoid: Option<EndpointKey>,
+    avoided: Option<EndpointKey>,
 ) -> Option<EndpointKey> {
     let needed = spec.reserved_resources();
     let mut best: Option<(Mismatch, EndpointKey)> = None;
@@ -332,7 +332,7 @@
         if !may_share || !endpoint.free().can_fit(&needed) || !has_required_label(endpoint, spec) {
             continue;
         }
-        let mismatch = mismatch(endpoint, spec, avoid);
+        let mismatch = mismatch(endpoint, spec, avoided);
         if mismatch == NO_MISMATCH {
             return Some(key);
         }
@@ -343,10 +343,10 @@
     best.map(|(_, key)| key)
 }
 
-fn mismatch(endpoint: &Endpoint, spec: &StepSpec, avoid: Option<EndpointKey>) -> Mismatch {
-    let is_suspect = endpoint.failed_runs > 0 || avoid == Some(endpoint.key);
+fn mismatch(endpoint: &Endpoint, spec: &StepSpec, avoided: Option<EndpointKey>) -> Mismatch {
+    let is_suspect = endpoint.failed_runs > 0 || avoided == Some(endpoint.key);
     let is_remote = !spec.data_rack.is_empty() && !endpoint.has_label(&spec.data_rack);
-    let disturbed = if spec.fills {
+    let conflicts = if spec.fills {
         endpoint
             .placed_runs
             .iter()
@@ -361,13 +361,13 @@
     } else {
         0
     };
-    (is_suspect, is_remote, disturbed)
+    (is_suspect, is_remote, conflicts)
 }
 
 fn slots(
     endpoints: &EndpointTable,
     members: &[EndpointKey],
-    name: &TaskRef,
+    step_ref: &TaskRef,
     spec: &StepSpec,
 ) -> Vec<Slot> {
     let needed = spec.reserved_resources();
@@ -379,7 +379,7 @@
         .map(|(key, endpoint)| Slot {
             key,
             free: endpoint.free(),
-            siblings: siblings(endpoint, name),
+            siblings: siblings(endpoint, step_ref),
         })
         .collect()
 }
@@ -389,18 +389,18 @@
     endpoints: &EndpointTable,
     slots: &mut [Slot],
     job: &Job,
-    name: &TaskRef,
+    step_ref: &TaskRef,
     spec: &StepSpec,
     waiting: &[u16],
 ) -> Vec<(TaskRef, EndpointKey)> {
     let mut chosen = Vec::new();
     for &index in waiting {
-        let task = TaskRef { index, ..*name };
-        let avoid = job.task(&task).and_then(|task| task.avoided_endpoint);
-        let Some(slot) = best_slot(endpoints, slots, spec, avoid) else {
+        let task = TaskRef { index, ..*step_ref };
+        let avoided = job.task(&task).and_then(|task| task.avoided_endpoint);
+        let Some(slot) = best_slot(endpoints, slots, spec, avoided) else {
             break;
         };
-        take(slot, spec);
+        reserve(slot, spec);
         chosen.push((task, slot.key));
     }
     chosen
@@ -411,27 +411,27 @@
     endpoints: &EndpointTable,
     slots: &mut [Slot],
     job: &Job,
-    name: &TaskRef,
+    step_ref: &TaskRef,
     spec: &StepSpec,
 ) -> Vec<(TaskRef, EndpointKey)> {
     let all: Vec<u16> = (0..spec.count).collect();
-    let whole = |chosen: Vec<(TaskRef, EndpointKey)>| {
+    let complete = |chosen: Vec<(TaskRef, EndpointKey)>| {
         (chosen.len() == usize::from(spec.count)).then_some(chosen)
     };
     if spec.same_rack {
         for rack in racks(endpoints, slots) {
-            let mut inside: Vec<Slot> = slots
+            let mut in_rack: Vec<Slot> = slots
                 .iter()
                 .filter(|slot| endpoints.get(slot.key).has_label(&rack))
                 .cloned()
                 .collect();
-            let chosen = choose_each(endpoints, &mut inside, job, name, spec, &all);
-            if let Some(chosen) = whole(chosen) {
+            let chosen = choose_each(endpoints, &mut in_rack, job, step_ref, spec, &all);
+            if let Some(chosen) = complete(chosen) {
                 return chosen;
             }
         }
     }
-    whole(choose_each(endpoints, slots, job, name, spec, &all)).unwrap_or_default()
+    complete(choose_each(endpoints, slots, job, step_ref, spec, &all)).unwrap_or_default()
 }
 
 /// Returns the labels that stand for racks: every label but the first, which is the kind.
@@ -449,7 +449,7 @@
     endpoints: &EndpointTable,
     slots: &'a mut [Slot],
     spec: &StepSpec,
-    avoid: Option<EndpointKey>,
+    avoided: Option<EndpointKey>,
 ) -> Option<&'a mut Slot> {
     let needed = spec.reserved_resources();
     slots
@@ -457,12 +457,12 @@
         .filter(|slot| slot.free.can_fit(&needed))
         .filter(|slot| spec.max_per_endpoint == 0 || slot.siblings < spec.max_per_endpoint)
         .min_by_key(|slot| {
-            let mismatch = mismatch(endpoints.get(slot.key), spec, avoid);
+            let mismatch = mismatch(endpoints.get(slot.key), spec, avoided);
             (mismatch, slot.free.cpu_millis)
         })
 }
 
-fn take(slot: &mut Slot, spec: &StepSpec) {
+fn reserve(slot: &mut Slot, spec: &StepSpec) {
     slot.free = slot.free.saturating_sub(&spec.reserved_resources());
     slot.siblings += 1;
 }
