--- a/crates/coordination/src/appender.rs
+++ b/crates/coordination/src/appender.rs
@@ -1,4 +1,4 @@
-//! Appending records in groups, one group at a time.
+//! Appends records to the log in batches, one batch at a time.
 
 use {
     crate::{
@@ -21,85 +21,85 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Records that wait for the next group at most.
-const MAX_QUEUED: usize = 1_024;
+/// Maximum number of records waiting for the next batch.
+const MAX_QUEUED_RECORDS: usize = 1_024;
 
-/// Records in one group at most.
-const MAX_GROUP: usize = 256;
+/// Maximum number of records in a batch.
+const MAX_BATCH_RECORDS: usize = 256;
 
-/// Pause before an append whose outcome is unknown is sent again, in milliseconds.
-const RETRY_PAUSE_MS: u64 = 200;
+/// Pause before the first retry of an append whose outcome is unknown, in milliseconds.
+const MIN_RETRY_PAUSE_MS: u64 = 200;
 
-/// Longest such pause, in milliseconds.
+/// Longest pause between retries, in milliseconds.
 const MAX_RETRY_PAUSE_MS: u64 = 3_000;
 
-/// Time for which the log is taken to be down after a refusal, in milliseconds.
-const REFUSAL_MS: u64 = 300;
+/// Backoff after the first rejected batch, in milliseconds.
+const MIN_BACKOFF_MS: u64 = 300;
 
-/// The same after refusals in a row, in milliseconds.
-const MAX_REFUSAL_MS: u64 = 2_000;
+/// Longest backoff after consecutive rejections, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 2_000;
 
-/// Time after which a failed append is no single lost answer any more, in milliseconds.
-const SLOW_MS: u64 = 500;
+/// Duration of a failed append beyond which the batch counts as stalled, in milliseconds.
+const STALL_THRESHOLD_MS: u64 = 500;
 
-/// Time after a failure for which each node keeps to its fair part, in milliseconds.
-const CAUTIOUS_MS: u64 = 10_000;
+/// Time after a failure during which the node keeps to its fair share, in milliseconds.
+const FAIR_SHARE_PERIOD_MS: u64 = 10_000;
 
 /// A proposal to append.
 #[derive(Debug)]
 pub(crate) struct Submit {
-    /// What is proposed.
+    /// Body of the record to append.
     pub(crate) body: RecordBody,
 }
 
-/// Identity of a submitted record and the way to its decision.
+/// Identity of a submitted record and the channel for its outcome.
 #[derive(Debug)]
-pub(crate) struct Ticket {
-    /// Identity.
+pub(crate) struct Submission {
+    /// Identity of the record.
     pub(crate) id: WriterId,
-    /// Gets the decision; closed without one when the record was not appended.
-    pub(crate) decision: oneshot::Receiver<ProposalOutcome>,
+    /// Receives the outcome; closed without one when the record was not appended.
+    pub(crate) outcome: oneshot::Receiver<ProposalOutcome>,
 }
 
-/// A group's append has failed, and nobody knows yet whether it took effect.
+/// Signals that the append of a batch failed and its outcome is unknown.
 #[derive(Clone, Copy, Debug)]
-struct GroupStuck;
+struct BatchStalled;
 
-/// End of a group's append.
+/// Signals that the append of a batch is complete.
 #[derive(Clone, Copy, Debug)]
-struct GroupEnded {
-    is_refused: bool,
+struct BatchFinished {
+    is_rejected: bool,
 }
 
 /// Actor that appends records.
 ///
-/// One group is under way at a time and a group whose outcome is unknown is sent again until it
-/// has come back or is proven not to be applied, so that a run's sequences enter the log in
-/// order. The fold relies on this order to recognise duplicates.
+/// Only one batch is in flight at a time. A batch whose outcome is unknown is retried until it is
+/// read back from the log or is known not to be applied, so that the sequences of an incarnation
+/// enter the log in order. The fold relies on this order to detect duplicates.
 #[derive(Actor, Debug)]
 pub(crate) struct Appender {
     log: LogClient,
     clock: Clock,
     rate_limiter: RateLimiter,
-    share: RateShare,
-    started: Instant,
+    rate_share: RateShare,
+    started_at: Instant,
     published: Arc<PublishedState>,
     waiters: Arc<Waiters>,
     incarnation: u64,
     sequence: u64,
     queue: Vec<Record>,
-    is_busy: bool,
-    is_stuck: bool,
-    refusals: u32,
-    refused_until_ms: u64,
-    cautious_until_ms: u64,
+    is_append_in_flight: bool,
+    is_stalled: bool,
+    rejections: u32,
+    backoff_until_ms: u64,
+    fair_share_until_ms: u64,
 }
 
 impl Appender {
     pub(crate) fn new(
         log: LogClient,
         clock: Clock,
-        share: RateShare,
+        rate_share: RateShare,
         published: Arc<PublishedState>,
         waiters: Arc<Waiters>,
         incarnation: u64,
@@ -108,31 +108,31 @@
             log,
             clock,
             rate_limiter: RateLimiter::default(),
-            share,
-            started: Instant::now(),
+            rate_share,
+            started_at: Instant::now(),
             published,
             waiters,
             incarnation,
             sequence: 0,
             queue: Vec::new(),
-            is_busy: false,
-            is_stuck: false,
-            refusals: 0,
-            refused_until_ms: 0,
-            cautious_until_ms: 0,
+            is_append_in_flight: false,
+            is_stalled: false,
+            rejections: 0,
+            backoff_until_ms: 0,
+            fair_share_until_ms: 0,
         }
     }
 
     fn flush(&mut self, context: &Context<Self, impl kameo::Reply>) {
-        if self.is_busy || self.queue.is_empty() {
+        if self.is_append_in_flight || self.queue.is_empty() {
             return;
         }
-        self.is_busy = true;
-        let count = self.queue.len().min(MAX_GROUP);
-        let now_us = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
+        self.is_append_in_flight = true;
+        let count = self.queue.len().min(MAX_BATCH_RECORDS);
+        let now_us = u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         let per_s = self.allowed_per_s();
         let wait = Duration::from_micros(self.rate_limiter.reserve(now_us, per_s));
-        let group = Group {
+        let batch = Batch {
             records: self.queue.drain(..count).collect(),
             appender: context.actor_ref().clone(),
             log: self.log.clone(),
@@ -142,17 +142,17 @@
         let appender = context.actor_ref().clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            let ended = group.append().await;
-            if appender.tell(ended).send().await.is_err() {
-                warn!(event = "appender_stopped"; "");
+            let finished = batch.append().await;
+            if appender.tell(finished).send().await.is_err() {
+                warn!(event = "appender_stopped"; "the appender has stopped");
             }
         });
     }
 
-    /// Tells whether the fold knows this run.
+    /// Returns whether this incarnation's join has been folded.
     ///
-    /// A record that enters the log before its run's join is rejected for good; an operator who
-    /// declares something right after a start would see a valid declaration refused.
+    /// A record that enters the log before the join of its incarnation is rejected permanently,
+    /// which would fail a valid declaration right after a start.
     fn has_joined(&self) -> bool {
         self.published
             .load()
@@ -161,42 +161,42 @@
             .is_some()
     }
 
-    /// Returns how many appends this node may make now, in a second.
+    /// Returns the rate that this node may use now, in appends a second.
     ///
-    /// After a failure all nodes have something to append although the log shows none of it yet,
-    /// so each keeps to its fair part for a while.
+    /// After a failure every node has queued records that the log does not show yet, so each
+    /// node keeps to its fair share for a while.
     fn allowed_per_s(&mut self) -> u64 {
         let now_ms = self.clock.now_ms();
-        if now_ms < self.cautious_until_ms {
-            return self.share.fair_share_per_s();
+        if now_ms < self.fair_share_until_ms {
+            return self.rate_share.fair_share_per_s();
         }
         let state = self.published.load();
-        let others = state
+        let other_records = state
             .writers()
             .iter()
             .filter(|writer| writer.incarnation != self.incarnation)
             .map(|writer| writer.sequence)
             .sum();
-        self.share.allowed_per_s(now_ms, others)
+        self.rate_share.allowed_per_s(now_ms, other_records)
     }
 
-    fn be_cautious(&mut self) {
-        self.cautious_until_ms = self.clock.now_ms() + CAUTIOUS_MS;
+    fn limit_to_fair_share(&mut self) {
+        self.fair_share_until_ms = self.clock.now_ms() + FAIR_SHARE_PERIOD_MS;
     }
 
-    /// Returns how long to refuse, longer after each refusal and another time on each node.
+    /// Returns the backoff after a rejection, exponential and with a jitter for each node.
     ///
-    /// Nodes that all came back in the same moment would exceed the service's rate together.
-    fn refusal_ms(&self) -> u64 {
-        let base_ms = (REFUSAL_MS << self.refusals.min(3)).min(MAX_REFUSAL_MS);
+    /// Without the jitter all nodes would retry at once and exceed the service's rate limit.
+    fn backoff_ms(&self) -> u64 {
+        let base_ms = (MIN_BACKOFF_MS << self.rejections.min(3)).min(MAX_BACKOFF_MS);
         base_ms / 2 + jitter_ms(self.incarnation ^ self.sequence, base_ms)
     }
 
-    /// Refuses what waits behind a group that is refused or stuck.
+    /// Rejects the records queued behind a batch that is rejected or stalled.
     ///
-    /// It was never sent, so it did not run; left in the queue, its proposers would be told after
-    /// their whole timeout that the outcome is unknown.
-    fn refuse_queued(&mut self) {
+    /// They were never sent. Left in the queue, their proposers would time out and report an
+    /// unknown outcome.
+    fn reject_queued(&mut self) {
         let sequences: Vec<u64> = self
             .queue
             .drain(..)
@@ -207,7 +207,7 @@
 }
 
 impl Message<Submit> for Appender {
-    type Reply = Result<Ticket, ProposeError>;
+    type Reply = Result<Submission, ProposeError>;
 
     async fn handle(
         &mut self,
@@ -215,11 +215,14 @@
         context: &mut Context<Self, Self::Reply>,
     ) -> Self::Reply {
         let now_ms = self.clock.now_ms();
-        let is_early = !matches!(message.body, RecordBody::Join { .. }) && !self.has_joined();
-        let is_down = self.is_stuck || now_ms < self.refused_until_ms;
-        if is_early || is_down || self.queue.len() >= MAX_QUEUED {
+        let is_before_join = !matches!(message.body, RecordBody::Join { .. }) && !self.has_joined();
+        let is_unavailable = self.is_stalled || now_ms < self.backoff_until_ms;
+        if is_before_join || is_unavailable || self.queue.len() >= MAX_QUEUED_RECORDS {
             return Err(ProposeError::NotAppended {
-                retry_after_ms: self.refused_until_ms.saturating_sub(now_ms).max(REFUSAL_MS),
+                retry_after_ms: self
+                    .backoff_until_ms
+                    .saturating_sub(now_ms)
+                    .max(MIN_BACKOFF_MS),
             });
         }
         self.sequence += 1;
@@ -227,47 +230,47 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
         };
-        let decision = self.waiters.register(id.sequence);
+        let outcome = self.waiters.register(id.sequence);
         self.queue.push(Record {
             id,
             time_ms: now_ms,
             body: message.body,
         });
         self.flush(context);
-        Ok(Ticket { id, decision })
+        Ok(Submission { id, outcome })
     }
 }
 
-impl Message<GroupEnded> for Appender {
+impl Message<BatchFinished> for Appender {
     type Reply = ();
 
-    async fn handle(&mut self, message: GroupEnded, context: &mut Context<Self, Self::Reply>) {
-        self.is_busy = false;
-        self.is_stuck = false;
-        if message.is_refused {
-            self.be_cautious();
-            self.refused_until_ms = self.clock.now_ms() + self.refusal_ms();
-            self.refusals += 1;
-            self.refuse_queued();
+    async fn handle(&mut self, message: BatchFinished, context: &mut Context<Self, Self::Reply>) {
+        self.is_append_in_flight = false;
+        self.is_stalled = false;
+        if message.is_rejected {
+            self.limit_to_fair_share();
+            self.backoff_until_ms = self.clock.now_ms() + self.backoff_ms();
+            self.rejections += 1;
+            self.reject_queued();
         } else {
-            self.refusals = 0;
+            self.rejections = 0;
         }
         self.flush(context);
     }
 }
 
-impl Message<GroupStuck> for Appender {
+impl Message<BatchStalled> for Appender {
     type Reply = ();
 
-    async fn handle(&mut self, _message: GroupStuck, _context: &mut Context<Self, Self::Reply>) {
-        self.is_stuck = true;
-        self.be_cautious();
-        self.refuse_queued();
+    async fn handle(&mut self, _message: BatchStalled, _context: &mut Context<Self, Self::Reply>) {
+        self.is_stalled = true;
+        self.limit_to_fair_share();
+        self.reject_queued();
     }
 }
 
-/// Records that are appended together.
-struct Group {
+/// Records appended in one request.
+struct Batch {
     records: Vec<Record>,
     appender: ActorRef<Appender>,
     log: LogClient,
@@ -275,8 +278,8 @@
     waiters: Arc<Waiters>,
 }
 
-impl Group {
-    async fn append(self) -> GroupEnded {
+impl Batch {
+    async fn append(self) -> BatchFinished {
         let mut entries = Vec::with_capacity(self.records.len());
         let mut sequences = Vec::with_capacity(self.records.len());
         for record in &self.records {
@@ -292,26 +295,26 @@
             }
         }
         let mut may_be_applied = false;
-        let mut pause_ms = RETRY_PAUSE_MS;
+        let mut pause_ms = MIN_RETRY_PAUSE_MS;
         let mut failures = 0;
         loop {
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             metrics::counter!("lynxwheel_appends_total").increment(1);
             match self.log.append(entries.clone()).await {
-                Ok(_) => return GroupEnded { is_refused: false },
+                Ok(_) => return BatchFinished { is_rejected: false },
                 Err(error) => {
                     failures += 1;
                     may_be_applied |= error.may_have_run();
-                    self.warn(&error, may_be_applied);
+                    self.log_failure(&error, may_be_applied);
                 }
             }
             if !may_be_applied {
                 self.waiters.cancel(&sequences);
-                return GroupEnded { is_refused: true };
+                return BatchFinished { is_rejected: true };
             }
-            let is_slow = sent.elapsed() > Duration::from_millis(SLOW_MS);
-            if (is_slow || failures > 1) && self.appender.tell(GroupStuck).send().await.is_err() {
-                warn!(event = "appender_stopped"; "");
+            let is_slow = sent_at.elapsed() > Duration::from_millis(STALL_THRESHOLD_MS);
+            if (is_slow || failures > 1) && self.appender.tell(BatchStalled).send().await.is_err() {
+                warn!(event = "appender_stopped"; "the appender has stopped");
             }
             let seed = self
                 .records
@@ -319,14 +322,14 @@
                 .map_or(0, |record| record.id.incarnation);
             let wait_ms = pause_ms + jitter_ms(seed ^ pause_ms, pause_ms);
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-            if self.has_come_back() {
-                return GroupEnded { is_refused: false };
+            if self.is_in_log() {
+                return BatchFinished { is_rejected: false };
             }
             pause_ms = (pause_ms * 2).min(MAX_RETRY_PAUSE_MS);
         }
     }
 
-    fn has_come_back(&self) -> bool {
+    fn is_in_log(&self) -> bool {
         self.records.last().is_none_or(|last| {
             self.published
                 .load()
@@ -336,13 +339,14 @@
         })
     }
 
-    fn warn(&self, error: &LogError, may_be_applied: bool) {
+    fn log_failure(&self, error: &LogError, may_be_applied: bool) {
         let first = self.records.first().map_or(0, |record| record.id.sequence);
-        warn!(event = "append_failed", sequence = first, may_be_applied = may_be_applied; "{error}");
+        warn!(event = "append_failed", sequence = first,
+            may_be_applied = may_be_applied; "{error}");
     }
 }
 
-/// Returns a time below `bound_ms` that differs from node to node.
-fn jitter_ms(seed: u64, bound_ms: u64) -> u64 {
-    xxh3_64(&seed.to_le_bytes()) % bound_ms.max(1)
+/// Returns a pseudo-random duration below `limit_ms`, derived from `seed`.
+fn jitter_ms(seed: u64, limit_ms: u64) -> u64 {
+    xxh3_64(&seed.to_le_bytes()) % limit_ms.max(1)
 }
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -1,4 +1,4 @@
-//! Proposing records and learning what became of them.
+//! Proposes records and waits for their outcomes.
 
 use {
     crate::{
@@ -12,31 +12,31 @@
     tokio::time::timeout,
 };
 
-/// Time after which to come back when the log refuses, in milliseconds.
+/// Suggested retry delay when a proposal is rejected locally, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What the fold made of a proposal.
+/// Outcome of a proposal that was appended and folded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ProposalOutcome {
     /// Identity of the record.
     pub id: WriterId,
-    /// Offset of the record.
+    /// Offset of the record in the log.
     pub offset: u64,
-    /// Verdict.
+    /// Verdict of the fold.
     pub verdict: Verdict,
 }
 
-/// Why a proposal has no decision.
+/// Error of a proposal without an outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProposeError {
-    /// It was not appended and never will be.
+    /// The record was not appended and never will be.
     NotAppended {
-        /// When to come back, in milliseconds.
+        /// Suggested retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It may have been appended, or may be later.
+    /// The record may have been appended, or may still be.
     OutcomeUnknown {
-        /// Identity of the record, by which its outcome can be looked up.
+        /// Identity of the record, for looking up its outcome later.
         id: WriterId,
     },
 }
@@ -47,12 +47,12 @@
             Self::NotAppended { retry_after_ms } => {
                 write!(
                     formatter,
-                    "the log takes no records; come back in {retry_after_ms} ms"
+                    "the log accepts no records; retry in {retry_after_ms} ms"
                 )
             }
             Self::OutcomeUnknown { id } => write!(
                 formatter,
-                "the outcome of record {}-{} is not known yet",
+                "the outcome of record {}-{} is unknown",
                 id.incarnation, id.sequence
             ),
         }
@@ -65,28 +65,29 @@
 #[derive(Clone, Debug)]
 pub struct Proposer {
     appender: ActorRef<Appender>,
-    limit: Duration,
+    outcome_timeout: Duration,
     divergence: Arc<Divergence>,
 }
 
 impl Proposer {
     pub(crate) fn new(
         appender: ActorRef<Appender>,
-        limit: Duration,
+        outcome_timeout: Duration,
         divergence: Arc<Divergence>,
     ) -> Self {
         Self {
             appender,
-            limit,
+            outcome_timeout,
             divergence,
         }
     }
 
-    /// Proposes a record and waits until it has come back through the log.
+    /// Proposes a record and waits until the fold has decided on it.
     ///
     /// # Errors
     ///
-    /// Fails when the record was not appended, or when its outcome is not known in time.
+    /// Returns an error when the record was not appended, or when its outcome is not known within
+    /// the timeout.
     pub async fn propose(&self, body: RecordBody) -> Result<ProposalOutcome, ProposeError> {
         let not_appended = ProposeError::NotAppended {
             retry_after_ms: RETRY_AFTER_MS,
@@ -94,20 +95,20 @@
         if self.divergence.has_diverged() {
             return Err(not_appended);
         }
-        let ticket = match self.appender.ask(Submit { body }).try_send().await {
-            Ok(ticket) => ticket,
+        let submission = match self.appender.ask(Submit { body }).try_send().await {
+            Ok(submission) => submission,
             Err(SendError::HandlerError(error)) => return Err(error),
             Err(_) => return Err(not_appended),
         };
-        match timeout(self.limit, ticket.decision).await {
-            Ok(Ok(decision)) => Ok(decision),
+        match timeout(self.outcome_timeout, submission.outcome).await {
+            Ok(Ok(outcome)) => Ok(outcome),
             Ok(Err(_)) => Err(not_appended),
-            Err(_) => Err(ProposeError::OutcomeUnknown { id: ticket.id }),
+            Err(_) => Err(ProposeError::OutcomeUnknown { id: submission.id }),
         }
     }
 
-    /// Proposes a record and tells whether it was accepted.
+    /// Proposes a record and returns whether it was accepted.
     pub async fn propose_and_confirm(&self, body: RecordBody) -> bool {
-        matches!(self.propose(body).await, Ok(decision) if decision.verdict.is_accepted())
+        matches!(self.propose(body).await, Ok(outcome) if outcome.verdict.is_accepted())
     }
 }
