--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,4 +1,5 @@
-//! Log reading and appending, membership, planning and actions of a lynxwheel node.
+//! Coordination of a lynxwheel node: reads and appends the log, tracks peers, plans placements and
+//! executes actions.
 //!
 //! ```no_run
 //! use lynxwheel_coordination::{Node, NodeIdentity, NodeSettings};
@@ -8,7 +9,7 @@
 //! let identity = NodeIdentity::new("node-1", "zone-1");
 //! let settings = NodeSettings::new(identity, "127.0.0.1:7000".parse().unwrap());
 //! let (node, _threads) = Node::start(settings, &Shutdown::new());
-//! println!("folded up to {}", node.state().offset());
+//! println!("folded up to offset {}", node.state().offset());
 //! # }
 //! ```
 
--- a/crates/coordination/src/log_client.rs
+++ b/crates/coordination/src/log_client.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's log service.
+//! Client for the platform's log service.
 
 use {
     lynxwheel_protocol::{AppendAnswer, AppendRequest, ReadAnswer, decode_message, encode_message},
@@ -6,41 +6,41 @@
     std::{error, fmt, net::SocketAddr, time::Duration},
 };
 
-/// Time that an append may take, in milliseconds.
+/// Timeout of an append, in milliseconds.
 const APPEND_TIMEOUT_MS: u64 = 2_000;
 
-/// Time by which a long poll may exceed its wait, in milliseconds.
-const READ_SLACK_MS: u64 = 5_000;
+/// Time by which a read's timeout exceeds its long-poll wait, in milliseconds.
+const READ_TIMEOUT_MARGIN_MS: u64 = 5_000;
 
-/// Statuses by which the service says that it did nothing.
-const NOT_DONE_STATUSES: [u16; 3] = [400, 429, 503];
+/// Status codes that guarantee that the request was not applied.
+const NOT_APPLIED_STATUSES: [u16; 3] = [400, 429, 503];
 
-/// Connections to the log service.
-const CONNECTIONS: usize = 4;
+/// Maximum number of connections to the log service.
+const MAX_CONNECTIONS: usize = 4;
 
-/// Failure of a call to the log service.
+/// Error of a call to the log service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LogError {
-    /// The exchange failed.
+    /// The request failed in transport.
     Transport(TransportError),
-    /// The service refused.
+    /// The service rejected the request, or its response was invalid.
     Refused {
         /// Address of the service.
         peer: SocketAddr,
-        /// Status.
+        /// HTTP status code.
         status: u16,
-        /// What it said.
+        /// Reason given by the service.
         reason: String,
     },
 }
 
 impl LogError {
-    /// Tells whether the call may have taken effect.
+    /// Returns whether the request may have been applied.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         match self {
             Self::Transport(error) => error.may_have_run,
-            Self::Refused { status, .. } => !NOT_DONE_STATUSES.contains(status),
+            Self::Refused { status, .. } => !NOT_APPLIED_STATUSES.contains(status),
         }
     }
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Client of one stream.
+/// Client for one stream of the log service.
 #[derive(Clone, Debug)]
 pub struct LogClient {
     client: Client,
@@ -76,20 +76,21 @@
 }
 
 impl LogClient {
-    /// Creates a client of `stream` at the platform's address.
+    /// Creates a client for `stream` at the platform's address.
     #[must_use]
     pub fn new(platform: SocketAddr, stream: &str) -> Self {
         Self {
-            client: Client::new(platform, CONNECTIONS),
+            client: Client::new(platform, MAX_CONNECTIONS),
             path: format!("/streams/{stream}"),
         }
     }
 
-    /// Appends entries, all or none, and returns the first offset.
+    /// Appends entries atomically and returns the offset of the first one.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached or refuses; see [`LogError::may_have_run`].
+    /// Returns an error when the service is unreachable or rejects the request; see
+    /// [`LogError::may_have_run`].
     pub async fn append(&self, entries: Vec<Vec<u8>>) -> Result<u64, LogError> {
         let peer = self.client.peer();
         let bytes =
@@ -99,41 +100,49 @@
                 reason: error.to_string(),
             })?;
         let request = ClientRequest::new(http::Method::POST, &self.path).with_body(bytes);
-        let answer: AppendAnswer = self.call(&request, APPEND_TIMEOUT_MS).await?;
-        Ok(answer.first_offset)
+        let response: AppendAnswer = self.call(&request, APPEND_TIMEOUT_MS).await?;
+        Ok(response.first_offset)
     }
 
-    /// Reads up to `max` entries from an offset, waiting up to `wait_ms` for the first.
+    /// Reads up to `max_entries` entries from an offset, waiting up to `wait_ms` for the first.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached or refuses.
-    pub async fn read(&self, from: u64, max: usize, wait_ms: u64) -> Result<ReadAnswer, LogError> {
-        let path = format!("{}?from={from}&max={max}&wait_ms={wait_ms}", self.path);
+    /// Returns an error when the service is unreachable or rejects the request.
+    pub async fn read(
+        &self,
+        from: u64,
+        max_entries: usize,
+        wait_ms: u64,
+    ) -> Result<ReadAnswer, LogError> {
+        let path = format!(
+            "{}?from={from}&max={max_entries}&wait_ms={wait_ms}",
+            self.path
+        );
         let request = ClientRequest::new(http::Method::GET, path);
-        self.call(&request, wait_ms + READ_SLACK_MS).await
+        self.call(&request, wait_ms + READ_TIMEOUT_MARGIN_MS).await
     }
 
     async fn call<A: serde::de::DeserializeOwned>(
         &self,
         request: &ClientRequest,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<A, LogError> {
         let peer = self.client.peer();
-        let answer = self
+        let response = self
             .client
-            .call(request, Duration::from_millis(limit_ms))
+            .call(request, Duration::from_millis(timeout_ms))
             .await?;
-        let status = answer.status.as_u16();
+        let status = response.status.as_u16();
         if status != 200 {
-            let reason = String::from_utf8_lossy(&answer.body).into_owned();
+            let reason = String::from_utf8_lossy(&response.body).into_owned();
             return Err(LogError::Refused {
                 peer,
                 status,
                 reason,
             });
         }
-        decode_message(&answer.body).map_err(|error| LogError::Refused {
+        decode_message(&response.body).map_err(|error| LogError::Refused {
             peer,
             status,
             reason: error.to_string(),
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node needs to know to start.
+//! Settings of a node.
 
 use {
     crate::clock::Clock,
@@ -6,17 +6,17 @@
     std::net::SocketAddr,
 };
 
-/// Name and place of a node.
+/// Name and availability zone of a node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NodeIdentity {
-    /// Name, unique among the nodes.
+    /// Name, unique among all nodes.
     pub node: NodeName,
-    /// Zone.
+    /// Availability zone.
     pub zone: ZoneName,
 }
 
 impl NodeIdentity {
-    /// Names a node in a zone.
+    /// Creates the identity of a node in an availability zone.
     #[must_use]
     pub fn new(node: &str, zone: &str) -> Self {
         Self {
@@ -26,46 +26,46 @@
     }
 }
 
-/// A peer and where it listens for other nodes.
+/// Name and address of a peer.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct PeerAddress {
-    /// Peer.
+    /// Name of the peer.
     pub node: NodeName,
-    /// Address of its peer listener.
+    /// Address on which it accepts connections from other nodes.
     pub address: SocketAddr,
 }
 
-/// Settings of a node's coordination.
+/// Settings of a [`Node`](crate::Node).
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Who the node is.
+    /// Name and availability zone of the node.
     pub identity: NodeIdentity,
     /// Address of the platform.
     pub platform: SocketAddr,
     /// Name of the fleet's stream in the log service.
     pub stream: String,
-    /// Other nodes, sorted by name.
+    /// Peers, sorted by name.
     pub peers: Vec<PeerAddress>,
-    /// Time that a proposal may take until its outcome is called unknown, in milliseconds.
+    /// Time after which the outcome of a proposal counts as unknown, in milliseconds.
     pub propose_timeout_ms: u64,
-    /// Pause between two looks at VMs and jobs, in milliseconds.
+    /// Interval at which VMs and jobs are polled, in milliseconds.
     pub poll_interval_ms: u64,
-    /// Pause by which each rank waits for the one before, in milliseconds.
+    /// Pause between attempts to join, in milliseconds.
     pub join_retry_ms: u64,
-    /// Time that a VM may take for an action, in milliseconds.
+    /// Timeout of an action on a VM, in milliseconds.
     pub action_timeout_ms: u64,
-    /// Records after which a snapshot is due; a small part of what the log keeps.
+    /// Number of records after which a snapshot is due; must be well below the log's retention.
     pub snapshot_interval_records: u64,
-    /// Time after which a snapshot is due, in milliseconds; a small part of what the log keeps.
+    /// Time after which a snapshot is due, in milliseconds; must be well below the log's retention.
     pub snapshot_interval_ms: u64,
-    /// Appends in a second that all nodes together make at most.
+    /// Maximum number of appends a second of all nodes together.
     pub max_appends_per_s: u32,
     /// Time source.
     pub clock: Clock,
 }
 
 impl NodeSettings {
-    /// Creates settings with defaults for everything else.
+    /// Creates settings with default values and no peers.
     #[must_use]
     pub fn new(identity: NodeIdentity, platform: SocketAddr) -> Self {
         Self {
@@ -91,7 +91,7 @@
         self
     }
 
-    /// Sets the other nodes.
+    /// Sets the peers.
     #[must_use]
     pub fn with_peers(mut self, mut peers: Vec<PeerAddress>) -> Self {
         peers.sort();
@@ -99,7 +99,7 @@
         self
     }
 
-    /// Returns the names of all nodes, this one included, sorted.
+    /// Returns the names of all nodes including this one, sorted.
     #[must_use]
     pub fn node_names(&self) -> Vec<NodeName> {
         let mut names: Vec<NodeName> = self.peers.iter().map(|peer| peer.node.clone()).collect();
