--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -6,7 +6,7 @@
         operations::Operations,
         proposer::ProposalOutcome,
         published_state::PublishedState,
-        recent::RecentEntries,
+        recent_entries::RecentEntries,
         waiters::Waiters,
     },
     kameo::{
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -34,7 +34,7 @@
 mod rate_limit;
 mod reader;
 mod readiness;
-mod recent;
+mod recent_entries;
 mod recovery;
 mod settings;
 mod snapshot_chunks;
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -20,7 +20,7 @@
         rate_limit::RateShare,
         reader,
         readiness::Readiness,
-        recent::RecentEntries,
+        recent_entries::RecentEntries,
         settings::NodeSettings,
         snapshots::write_snapshots,
         tasks,
