--- a/crates/coordination/src/divergence.rs
+++ b/crates/coordination/src/divergence.rs
@@ -1,4 +1,4 @@
-//! Noticing that this node's state differs from its peers'.
+//! Detects that this node's state differs from that of its peers.
 
 use {
     log::error,
@@ -14,113 +14,113 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Digests remembered; more than the records between two messages of a peer.
+/// Maximum number of digests kept; exceeds the number of records between two hellos of a peer.
 const MAX_DIGESTS: usize = 8_192;
 
-/// Records between two digests of the whole state.
-const MARK_RECORDS: u64 = 256;
+/// Number of records between two digests of the full state.
+const CHECKPOINT_INTERVAL_RECORDS: u64 = 256;
 
-/// Digest of the state after one record.
+/// Digest of the state at an offset.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct DigestAt {
-    /// Offset of the record.
+pub(crate) struct OffsetDigest {
+    /// Offset of the last record included.
     pub(crate) offset: u64,
     /// Digest.
     pub(crate) digest: u64,
 }
 
-/// Digests of the last records, and what peers said about them.
+/// Digests of the latest offsets and the results of comparing them with peers.
 ///
-/// A fault in memory or two builds that fold a record differently would let a node place work
-/// and count budgets by a state that nobody else has. It shows as another digest at the same
-/// offset. The node whose digest is not shared by more than half of those compared decides
-/// nothing any more, until it is started anew from another state.
+/// Memory corruption, or builds that fold a record differently, would let a node act on a state
+/// that no other node has. Such a state has a different digest at the same offset. A node whose
+/// digest is not shared by a majority of the compared nodes, itself included, stops proposing
+/// records until it is restarted from another state.
 #[derive(Debug, Default)]
 pub(crate) struct Divergence {
-    digests: Mutex<VecDeque<DigestAt>>,
-    mark: Mutex<Option<Arc<Mark>>>,
-    compared: Mutex<Vec<Compared>>,
+    digests: Mutex<VecDeque<OffsetDigest>>,
+    checkpoint: Mutex<Option<Arc<Checkpoint>>>,
+    comparisons: Mutex<Vec<PeerComparison>>,
     has_diverged: AtomicBool,
 }
 
-/// State at an offset where every node takes a digest of all of it.
+/// State at an offset at which every node computes a digest of the full state.
 ///
-/// The digest of the verdicts shows a difference only once a verdict depends on it. Copies of the
-/// state are cheap, so the fold only keeps one; whoever tells peers works the digest out.
+/// The rolling digest covers verdicts only and shows a difference once a verdict depends on it.
+/// The fold keeps a cheap clone of the state, and the digest is computed on first use.
 #[derive(Debug)]
-struct Mark {
+struct Checkpoint {
     state: FleetState,
     digest: OnceLock<u64>,
 }
 
-/// Last comparison with one peer.
+/// Result of the last comparison with a peer.
 #[derive(Debug)]
-struct Compared {
+struct PeerComparison {
     node: NodeName,
     agrees: bool,
 }
 
 impl Divergence {
-    /// Remembers digests, in order of their offsets.
-    pub(crate) fn note(&self, digests: &[DigestAt]) {
+    /// Adds digests in ascending order of their offsets.
+    pub(crate) fn add_digests(&self, digests: &[OffsetDigest]) {
         let mut kept = lock(&self.digests);
         kept.extend(digests);
-        let surplus = kept.len().saturating_sub(MAX_DIGESTS);
-        kept.drain(..surplus);
+        let excess = kept.len().saturating_sub(MAX_DIGESTS);
+        kept.drain(..excess);
     }
 
-    /// Forgets the digests, when the state was replaced.
-    pub(crate) fn forget(&self) {
+    /// Clears the digests and the checkpoint after the state was replaced.
+    pub(crate) fn reset(&self) {
         lock(&self.digests).clear();
-        *lock(&self.mark) = None;
+        *lock(&self.checkpoint) = None;
     }
 
-    /// Keeps the state for a digest of all of it, at the same offsets on every node.
-    pub(crate) fn mark_if_due(&self, state: &FleetState) {
-        if state.offset().is_multiple_of(MARK_RECORDS) {
-            let mark = Mark {
+    /// Stores a checkpoint if `state` is at a checkpoint offset, which is the same on every node.
+    pub(crate) fn checkpoint_if_due(&self, state: &FleetState) {
+        if state.offset().is_multiple_of(CHECKPOINT_INTERVAL_RECORDS) {
+            let checkpoint = Checkpoint {
                 state: state.clone(),
                 digest: OnceLock::new(),
             };
-            *lock(&self.mark) = Some(Arc::new(mark));
+            *lock(&self.checkpoint) = Some(Arc::new(checkpoint));
         }
     }
 
-    /// Returns the last digest of the whole state; offset 0 when there is none.
-    pub(crate) fn content_digest(&self) -> DigestAt {
-        let mark = lock(&self.mark).clone();
-        let Some(mark) = mark else {
-            return DigestAt::default();
+    /// Returns the digest of the last checkpoint; offset 0 if there is none.
+    pub(crate) fn content_digest(&self) -> OffsetDigest {
+        let checkpoint = lock(&self.checkpoint).clone();
+        let Some(checkpoint) = checkpoint else {
+            return OffsetDigest::default();
         };
-        let digest = mark
+        let digest = checkpoint
             .digest
-            .get_or_init(|| save(&mark.state).map_or(0, |bytes| xxh3_64(&bytes)));
-        DigestAt {
-            offset: mark.state.offset(),
+            .get_or_init(|| save(&checkpoint.state).map_or(0, |bytes| xxh3_64(&bytes)));
+        OffsetDigest {
+            offset: checkpoint.state.offset(),
             digest: *digest,
         }
     }
 
-    /// Compares a peer's digest with this node's at the same offset, if it is remembered.
+    /// Compares a peer's digests with this node's digests at the same offsets, if still known.
     pub(crate) fn compare(&self, hello: &PeerHello) {
-        let own = self.digest_at(hello.digest_offset);
-        let content = self.content_digest();
-        // A build that encodes the state otherwise knows another version of the fold; during an
-        // upgrade its digests of the whole state say nothing.
-        let is_same_mark = content.offset > 0
-            && content.offset == hello.content_offset
+        let own_digest = self.digest_at(hello.digest_offset);
+        let own_content = self.content_digest();
+        // Builds with different fold versions may encode the state differently, so their
+        // checkpoint digests are not comparable during an upgrade.
+        let is_same_checkpoint = own_content.offset > 0
+            && own_content.offset == hello.content_offset
             && hello.fold_version == FOLD_VERSION;
-        if own.is_none() && !is_same_mark {
+        if own_digest.is_none() && !is_same_checkpoint {
             return;
         }
-        let agrees = own.is_none_or(|own| own == hello.digest)
-            && (!is_same_mark || content.digest == hello.content_digest);
-        let mut compared = lock(&self.compared);
-        match compared.binary_search_by(|row| row.node.cmp(&hello.node)) {
-            Ok(row) => compared[row].agrees = agrees,
-            Err(row) => compared.insert(
-                row,
-                Compared {
+        let agrees = own_digest.is_none_or(|digest| digest == hello.digest)
+            && (!is_same_checkpoint || own_content.digest == hello.content_digest);
+        let mut comparisons = lock(&self.comparisons);
+        match comparisons.binary_search_by(|comparison| comparison.node.cmp(&hello.node)) {
+            Ok(index) => comparisons[index].agrees = agrees,
+            Err(index) => comparisons.insert(
+                index,
+                PeerComparison {
                     node: hello.node.clone(),
                     agrees,
                 },
@@ -131,26 +131,29 @@
         }
         error!(event = "digest_differs", peer = hello.node.as_str(),
             offset = hello.digest_offset, content_offset = hello.content_offset;
-            "a peer has another state at the same offset");
-        let differing = compared.iter().filter(|row| !row.agrees).count();
-        let agreeing = 1 + compared.len() - differing;
+            "a peer has a different state at the same offset");
+        let differing = comparisons
+            .iter()
+            .filter(|comparison| !comparison.agrees)
+            .count();
+        let agreeing = 1 + comparisons.len() - differing;
         if differing >= agreeing && !self.has_diverged.swap(true, Ordering::Relaxed) {
             error!(event = "diverged", offset = hello.digest_offset;
-                "this node decides nothing any more; replace it");
+                "the state has diverged; this node proposes no records until it is replaced");
         }
     }
 
-    /// Tells whether this node decides nothing any more.
+    /// Returns whether this node has stopped proposing records because of a divergence.
     pub(crate) fn has_diverged(&self) -> bool {
         self.has_diverged.load(Ordering::Relaxed)
     }
 
     fn digest_at(&self, offset: u64) -> Option<u64> {
         let digests = lock(&self.digests);
-        let row = digests
-            .binary_search_by_key(&offset, |row| row.offset)
+        let index = digests
+            .binary_search_by_key(&offset, |digest| digest.offset)
             .ok()?;
-        Some(digests[row].digest)
+        Some(digests[index].digest)
     }
 }
 
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -1,9 +1,9 @@
-//! Folding the log's entries into the published state.
+//! Folds log entries into the fleet state and publishes it.
 
 use {
     crate::{
-        divergence::{DigestAt, Divergence},
-        operations::Operations,
+        divergence::{Divergence, OffsetDigest},
+        operations::OperationHistory,
         proposer::ProposalOutcome,
         published_state::PublishedState,
         recent_entries::RecentEntries,
@@ -19,14 +19,14 @@
     std::sync::Arc,
 };
 
-/// Entries read from the log, in order.
+/// Message with entries read from the log, in order.
 #[derive(Debug)]
 pub(crate) struct FoldEntries {
-    /// Entries.
+    /// Entries to fold.
     pub(crate) entries: Vec<LogEntry>,
 }
 
-/// Replaces the state by a later one, when records between them cannot be read.
+/// Message that replaces the state by a later one when the records in between are unavailable.
 #[derive(Debug)]
 pub(crate) struct Reload {
     state: Box<FleetState>,
@@ -40,18 +40,18 @@
     }
 }
 
-/// What the fold tells the other duties of a node; copies share it.
+/// Outputs of the fold that the other parts of a node read; clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct FoldOutputs {
-    /// Latest state.
+    /// Latest published state.
     pub(crate) published: Arc<PublishedState>,
-    /// Proposers that wait for their records.
+    /// Proposers waiting for the outcomes of their records.
     pub(crate) waiters: Arc<Waiters>,
-    /// Latest entries, for peers that are cut from the log.
+    /// Latest entries, served to peers that cannot read the log.
     pub(crate) recent: Arc<RecentEntries>,
-    /// Outcomes of declarations.
-    pub(crate) operations: Arc<Operations>,
-    /// Digests to compare with peers.
+    /// Outcomes of recent declarations.
+    pub(crate) operations: Arc<OperationHistory>,
+    /// Digests to compare with those of peers.
     pub(crate) divergence: Arc<Divergence>,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Actor that owns the state.
+/// Actor that owns the fleet state.
 #[derive(Actor, Debug)]
 pub(crate) struct Fold {
     state: FleetState,
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Applies one entry; an entry that does not follow the last one is left out.
-    fn fold(&mut self, entry: &LogEntry) -> Option<ProposalOutcome> {
+    /// Applies an entry; ignores one that does not directly follow the current offset.
+    fn apply_entry(&mut self, entry: &LogEntry) -> Option<ProposalOutcome> {
         if entry.offset != self.state.offset() + 1 {
             return None;
         }
@@ -99,9 +99,7 @@
         };
         let verdict = self.state.apply(entry.offset, &record);
         log_verdict(entry.offset, &record, &verdict);
-        self.outputs
-            .operations
-            .note(entry.offset, &record, &verdict);
+        self.outputs.operations.add(entry.offset, &record, &verdict);
         (record.id.incarnation == self.incarnation).then_some(ProposalOutcome {
             id: record.id,
             offset: entry.offset,
@@ -114,28 +112,28 @@
     type Reply = ();
 
     async fn handle(&mut self, message: FoldEntries, _context: &mut Context<Self, Self::Reply>) {
-        let mut decisions = Vec::new();
+        let mut outcomes = Vec::new();
         let mut digests = Vec::with_capacity(message.entries.len());
         for entry in &message.entries {
-            decisions.extend(self.fold(entry));
+            outcomes.extend(self.apply_entry(entry));
             if self.state.offset() == entry.offset {
-                self.outputs.divergence.mark_if_due(&self.state);
-                digests.push(DigestAt {
+                self.outputs.divergence.checkpoint_if_due(&self.state);
+                digests.push(OffsetDigest {
                     offset: entry.offset,
                     digest: self.state.digest(),
                 });
             }
         }
-        self.outputs.divergence.note(&digests);
-        self.outputs.recent.note(&message.entries);
+        self.outputs.divergence.add_digests(&digests);
+        self.outputs.recent.extend(&message.entries);
         self.outputs.published.store(self.state.clone());
-        // Published first, so that a proposer finds its own record in the state it then reads.
-        for decision in decisions {
-            if decision.verdict != Verdict::Duplicate {
-                self.outputs.waiters.resolve(decision.id.sequence, decision);
+        // Publish before waking proposers, so that they read a state with their own record.
+        for outcome in outcomes {
+            if outcome.verdict != Verdict::Duplicate {
+                self.outputs.waiters.resolve(outcome.id.sequence, outcome);
             }
         }
-        metrics::gauge!("lynxwheel_fold_offset").set(offset_metric(self.state.offset()));
+        metrics::gauge!("lynxwheel_fold_offset").set(offset_as_f64(self.state.offset()));
     }
 }
 
@@ -146,9 +144,10 @@
         if message.state.offset() <= self.state.offset() {
             return;
         }
-        info!(event = "reloaded", from = self.state.offset(), offset = message.state.offset(); "");
+        info!(event = "reloaded", from = self.state.offset(), offset = message.state.offset();
+            "replaced the state by a later one");
         self.state = *message.state;
-        self.outputs.divergence.forget();
+        self.outputs.divergence.reset();
         self.outputs.published.store(self.state.clone());
     }
 }
@@ -157,13 +156,13 @@
     clippy::cast_precision_loss,
     reason = "gauges are floats; offsets stay far below 2^52"
 )]
-fn offset_metric(offset: u64) -> f64 {
+fn offset_as_f64(offset: u64) -> f64 {
     offset as f64
 }
 
 fn log_verdict(offset: u64, record: &Record, verdict: &Verdict) {
     let proposal = format!("{}-{}", record.id.incarnation, record.id.sequence);
-    let kind = kind_of(&record.body);
+    let kind = body_kind(&record.body);
     metrics::counter!("lynxwheel_records_total", "kind" => kind, "verdict" => verdict_name(verdict))
         .increment(1);
     match verdict {
@@ -173,7 +172,7 @@
         }
         other => {
             info!(event = "record", offset = offset, proposal = proposal.as_str(), kind = kind,
-                verdict = verdict_name(other); "");
+                verdict = verdict_name(other); "folded a record");
         }
     }
 }
@@ -186,7 +185,7 @@
     }
 }
 
-fn kind_of(body: &RecordBody) -> &'static str {
+fn body_kind(body: &RecordBody) -> &'static str {
     match body {
         RecordBody::Join { .. } => "join",
         RecordBody::RaiseVersion { .. } => "raise_version",
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -200,7 +200,7 @@
         &self.inner.peer_clients
     }
 
-    pub(crate) fn recent(&self) -> &RecentEntries {
+    pub(crate) fn recent_entries(&self) -> &RecentEntries {
         &self.inner.outputs.recent
     }
 
--- a/crates/coordination/src/operations.rs
+++ b/crates/coordination/src/operations.rs
@@ -1,4 +1,4 @@
-//! Verdicts of recent declarations, for looking up writes whose outcome was unknown.
+//! Outcomes of recent declarations, for lookups after a write with an unknown outcome.
 
 use {
     lynxwheel_protocol::{OperationId, OperationOutcome, Record, RecordBody, ResourceRef},
@@ -9,31 +9,31 @@
     },
 };
 
-/// Operations remembered: 8 days at 460 declarations a day.
+/// Maximum number of operations kept: 8 days at 460 declarations a day.
 const MAX_OPERATIONS: usize = 4_096;
 
-/// Verdicts of the latest declarations of all nodes.
+/// Outcomes of the latest declarations of all nodes.
 ///
-/// Every node folds the same records, so every node can answer for every other one.
+/// All nodes fold the same records, so each can look up the operations of the others.
 #[derive(Debug, Default)]
-pub(crate) struct Operations {
-    rows: Mutex<VecDeque<Operation>>,
+pub(crate) struct OperationHistory {
+    operations: Mutex<VecDeque<Operation>>,
 }
 
-/// One remembered declaration or withdrawal.
+/// A declaration or deletion of a resource and its outcome.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Identity of its record.
+    /// Identity of the operation's record.
     pub id: OperationId,
-    /// Resource that it wrote.
+    /// Resource that it declared or deleted.
     pub reference: ResourceRef,
-    /// What became of it.
+    /// Outcome.
     pub outcome: OperationOutcome,
 }
 
-impl Operations {
-    /// Notes what the fold made of a record, if it is a declaration.
-    pub(crate) fn note(&self, offset: u64, record: &Record, verdict: &Verdict) {
+impl OperationHistory {
+    /// Adds the verdict on a record if the record declares or deletes a resource.
+    pub(crate) fn add(&self, offset: u64, record: &Record, verdict: &Verdict) {
         let reference = match &record.body {
             RecordBody::Delete { reference, .. } => reference.clone(),
             RecordBody::Put { resource, .. } => resource.reference(),
@@ -45,57 +45,59 @@
                 offset,
                 reason: rejection.to_string(),
             },
-            // The first time it came is what counts and was noted then.
+            // The verdict on the first copy has been added already.
             Verdict::Duplicate => return,
         };
-        let mut rows = self.rows();
-        if rows.len() == MAX_OPERATIONS {
-            rows.pop_front();
+        let mut operations = self.lock();
+        if operations.len() == MAX_OPERATIONS {
+            operations.pop_front();
         }
-        rows.push_back(Operation {
+        operations.push_back(Operation {
             id: OperationId(record.id),
             reference,
             outcome,
         });
     }
 
-    /// Returns what is known of an operation at `state`.
+    /// Returns the outcome of an operation as known at `state`.
     ///
-    /// A run's records enter the log in order, so one that is not remembered although its run
-    /// came further was folded before this node's memory begins. Likewise a run older than all
-    /// known ones: to call it not seen would let an operator write a second time.
+    /// The records of an incarnation enter the log in order, so an unknown operation at or below
+    /// its incarnation's last sequence was folded before the history begins. The same is assumed
+    /// for an incarnation older than all known ones, as `NotSeen` would invite a repeated write.
     pub(crate) fn look_up(&self, id: OperationId, state: &FleetState) -> OperationOutcome {
-        let found = self
-            .rows()
+        let known_outcome = self
+            .lock()
             .iter()
             .rev()
-            .find(|row| row.id == id)
-            .map(|row| row.outcome.clone());
-        if let Some(outcome) = found {
+            .find(|operation| operation.id == id)
+            .map(|operation| operation.outcome.clone());
+        if let Some(outcome) = known_outcome {
             return outcome;
         }
-        let is_passed = match state.writers().get(id.0.incarnation) {
+        let is_folded = match state.writers().get(id.0.incarnation) {
             Some(writer) => id.0.sequence <= writer.sequence,
-            None => is_before_all(id.0.incarnation, state),
+            None => is_older_than_all(id.0.incarnation, state),
         };
-        if is_passed {
+        if is_folded {
             OperationOutcome::TooOld
         } else {
             OperationOutcome::NotSeen
         }
     }
 
-    /// Returns the latest operations, the last one first.
+    /// Returns the latest operations, newest first.
     pub(crate) fn latest(&self, limit: usize) -> Vec<Operation> {
-        self.rows().iter().rev().take(limit).cloned().collect()
+        self.lock().iter().rev().take(limit).cloned().collect()
     }
 
-    fn rows(&self) -> MutexGuard<'_, VecDeque<Operation>> {
-        self.rows.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, VecDeque<Operation>> {
+        self.operations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn is_before_all(incarnation: u64, state: &FleetState) -> bool {
+fn is_older_than_all(incarnation: u64, state: &FleetState) -> bool {
     let oldest = state.writers().iter().next();
     oldest.is_some_and(|oldest| incarnation < oldest.incarnation)
 }
--- a/crates/coordination/src/peer_server.rs
+++ b/crates/coordination/src/peer_server.rs
@@ -83,7 +83,7 @@
             .and_then(|from| from.parse().ok());
         match from {
             Some(from) => message_answer(&PeerEntries {
-                entries: self.recent().from(from),
+                entries: self.recent_entries().starting_at(from),
             }),
             None => error_answer(StatusCode::BAD_REQUEST, "from is missing"),
         }
--- a/crates/coordination/src/recent_entries.rs
+++ b/crates/coordination/src/recent_entries.rs
@@ -1,4 +1,4 @@
-//! The last folded entries, for peers that are cut from the log.
+//! Window of the latest folded entries, served to peers that cannot read the log.
 
 use {
     lynxwheel_protocol::LogEntry,
@@ -8,13 +8,13 @@
     },
 };
 
-/// Bytes of records kept at most.
-const MAX_KEPT_BYTES: usize = 1024 * 1024;
+/// Maximum size of the records in the window, in bytes.
+const MAX_WINDOW_BYTES: usize = 1024 * 1024;
 
-/// Bytes of records in one answer at most.
-const MAX_ANSWER_BYTES: usize = 256 * 1024;
+/// Maximum size of the records in one response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Bounded window of the last folded entries, without gaps.
+/// Bounded window of the latest folded entries, without gaps.
 #[derive(Debug, Default)]
 pub(crate) struct RecentEntries {
     window: Mutex<Window>,
@@ -27,38 +27,38 @@
 }
 
 impl RecentEntries {
-    /// Adds folded entries; entries that do not follow the last one start the window anew.
-    pub(crate) fn note(&self, entries: &[LogEntry]) {
-        let mut window = self.window();
+    /// Appends folded entries; a gap clears the window first.
+    pub(crate) fn extend(&self, entries: &[LogEntry]) {
+        let mut window = self.lock();
         for entry in entries {
             window.push(entry);
         }
     }
 
-    /// Returns entries from `from` on, or nothing when `from` is outside of the window.
-    pub(crate) fn from(&self, from: u64) -> Vec<LogEntry> {
-        let window = self.window();
+    /// Returns the entries from `offset` on; empty when `offset` is outside of the window.
+    pub(crate) fn starting_at(&self, offset: u64) -> Vec<LogEntry> {
+        let window = self.lock();
         let Some(first) = window.entries.front() else {
             return Vec::new();
         };
-        let Some(skipped) = from.checked_sub(first.offset) else {
+        let Some(skipped) = offset.checked_sub(first.offset) else {
             return Vec::new();
         };
-        let mut left_bytes = MAX_ANSWER_BYTES;
+        let mut remaining_bytes = MAX_RESPONSE_BYTES;
         window
             .entries
             .iter()
             .skip(usize::try_from(skipped).unwrap_or(usize::MAX))
             .take_while(|entry| {
-                let fits = entry.bytes.len() <= left_bytes;
-                left_bytes = left_bytes.saturating_sub(entry.bytes.len());
+                let fits = entry.bytes.len() <= remaining_bytes;
+                remaining_bytes = remaining_bytes.saturating_sub(entry.bytes.len());
                 fits
             })
             .cloned()
             .collect()
     }
 
-    fn window(&self) -> MutexGuard<'_, Window> {
+    fn lock(&self) -> MutexGuard<'_, Window> {
         self.window.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -75,7 +75,7 @@
         }
         self.size_bytes += entry.bytes.len();
         self.entries.push_back(entry.clone());
-        while self.size_bytes > MAX_KEPT_BYTES {
+        while self.size_bytes > MAX_WINDOW_BYTES {
             let Some(dropped) = self.entries.pop_front() else {
                 return;
             };
