--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -1,4 +1,4 @@
-//! Telling the peers about this node, and hearing from them.
+//! Exchanges periodic hello messages with the peers.
 
 use {
     crate::{node::Node, peer_server::HELLO_PATH, settings::PeerAddress},
@@ -10,32 +10,32 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Pause between two messages to a peer, in milliseconds.
-const PERIOD_MS: u64 = 1_000;
+/// Interval between two hellos to a peer, in milliseconds.
+const HELLO_INTERVAL_MS: u64 = 1_000;
 
-/// Longest addition to the pause, in milliseconds; nodes that start together must not stay in
-/// step.
-const JITTER_MS: u64 = 250;
+/// Maximum random addition to the interval, in milliseconds; keeps nodes that started together
+/// from sending in step.
+const MAX_JITTER_MS: u64 = 250;
 
-/// Time that one exchange may take, in milliseconds.
-const EXCHANGE_TIMEOUT_MS: u64 = 1_000;
+/// Timeout of an exchange, in milliseconds.
+const HELLO_TIMEOUT_MS: u64 = 1_000;
 
-/// Silence after which a node speaks first to a peer whose turn it is, in milliseconds.
-const SILENCE_MS: u64 = 2_000;
+/// Silence of an initiating peer after which this node sends a hello itself, in milliseconds.
+const MAX_SILENCE_MS: u64 = 2_000;
 
-/// Connections to one peer; one for the periodic message and one for entries or a snapshot.
-pub(crate) const PEER_CONNECTIONS: usize = 2;
+/// Maximum number of connections to a peer: one for hellos and one for entries or a snapshot.
+pub(crate) const MAX_PEER_CONNECTIONS: usize = 2;
 
-/// Exchanges messages with every peer for as long as it is polled.
+/// Exchanges hellos with every peer for as long as it is polled.
 ///
-/// Of two nodes the one with the lower name speaks and the other answers, so each pair costs one
-/// exchange a period. The other one speaks only after a silence or when it has urgent news.
+/// Of two nodes the one with the lower name sends and the other replies, so that a pair needs one
+/// exchange per interval. The other node sends only after a silence or an announcement.
 pub(crate) async fn exchange_hellos(node: Node) {
     let mut exchanges = JoinSet::new();
     for peer in node.settings().peers.clone() {
-        let exchange = Exchange {
+        let exchange = HelloExchange {
             client: node.peer_clients().get(peer.address),
-            news: node.peers().news(),
+            announcements: node.peers().announcements(),
             node: node.clone(),
             peer,
         };
@@ -44,45 +44,45 @@
     exchanges.join_all().await;
 }
 
-/// Exchanges with one peer.
-struct Exchange {
+/// Hello exchange with one peer.
+struct HelloExchange {
     node: Node,
     peer: PeerAddress,
     client: Client,
-    news: watch::Receiver<u64>,
+    announcements: watch::Receiver<u64>,
 }
 
-impl Exchange {
+impl HelloExchange {
     async fn run(mut self) {
         let mut round = 0_u64;
-        let mut has_news = true;
+        let mut is_announced = true;
         loop {
-            if has_news || self.is_to_speak() {
-                self.speak().await;
+            if is_announced || self.is_hello_due() {
+                self.send_hello().await;
             }
             round += 1;
-            let pause = Duration::from_millis(PERIOD_MS + self.jitter_ms(round));
-            has_news = tokio::time::timeout(pause, self.news.changed())
+            let pause = Duration::from_millis(HELLO_INTERVAL_MS + self.jitter_ms(round));
+            is_announced = tokio::time::timeout(pause, self.announcements.changed())
                 .await
                 .is_ok();
         }
     }
 
-    /// Tells whether it is this node's turn, or the peer has let its own turn pass.
+    /// Returns whether this node initiates the exchange, or the peer should have but did not.
     ///
-    /// A peer that cannot open connections to this node would otherwise count as dead although
-    /// this node can reach it.
-    fn is_to_speak(&self) -> bool {
-        let is_first = self.node.settings().identity.node < self.peer.node;
+    /// Otherwise a peer that cannot connect to this node would count as dead although this node
+    /// can reach it.
+    fn is_hello_due(&self) -> bool {
+        let is_initiator = self.node.settings().identity.node < self.peer.node;
         let now_ms = self.node.clock().now_ms();
-        is_first || self.node.peers().silence_ms(&self.peer.node, now_ms) >= SILENCE_MS
+        is_initiator || self.node.peers().silence_ms(&self.peer.node, now_ms) >= MAX_SILENCE_MS
     }
 
-    async fn speak(&self) {
+    async fn send_hello(&self) {
         match self.exchange().await {
-            Ok(hello) if hello.node == self.peer.node => self.node.note_hello(hello),
+            Ok(hello) if hello.node == self.peer.node => self.node.record_hello(hello),
             Ok(hello) => warn!(event = "peer_is_another", peer = self.peer.node.as_str(),
-                answered = hello.node.as_str(); ""),
+                answered = hello.node.as_str(); "another node answered at the peer's address"),
             Err(error) => {
                 debug!(event = "hello_failed", peer = self.peer.node.as_str(); "{error}");
             }
@@ -90,15 +90,15 @@
     }
 
     async fn exchange(&self) -> Result<PeerHello, TransportError> {
-        let limit = Duration::from_millis(EXCHANGE_TIMEOUT_MS);
+        let timeout = Duration::from_millis(HELLO_TIMEOUT_MS);
         self.client
-            .exchange(HELLO_PATH, &self.node.hello(), limit)
+            .exchange(HELLO_PATH, &self.node.hello(), timeout)
             .await
     }
 
     fn jitter_ms(&self, round: u64) -> u64 {
         let seed = self.node.incarnation();
         let name = self.peer.node.as_str().as_bytes();
-        xxh3_64_with_seed(name, seed.wrapping_add(round)) % JITTER_MS
+        xxh3_64_with_seed(name, seed.wrapping_add(round)) % MAX_JITTER_MS
     }
 }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: its threads and what they share.
+//! A node: its background threads and the data they share.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
         divergence::Divergence,
         fold::{Fold, FoldOutputs},
         log_client::LogClient,
-        membership::{PEER_CONNECTIONS, exchange_hellos},
+        membership::{MAX_PEER_CONNECTIONS, exchange_hellos},
         observer,
         operations::Operation,
         peers::Peers,
@@ -42,30 +42,30 @@
     },
 };
 
-/// Batches that wait for the fold at most.
-const FOLD_RING: usize = 8;
+/// Maximum number of batches of entries waiting for the fold.
+const FOLD_MAILBOX_CAPACITY: usize = 8;
 
-/// Proposals that wait for the appender at most.
-const APPEND_RING: usize = 1_024;
+/// Maximum number of proposals waiting for the appender.
+const APPENDER_MAILBOX_CAPACITY: usize = 1_024;
 
-/// Connections to one endpoint for probes.
-const PROBE_CONNECTIONS: usize = 2;
+/// Maximum number of connections to an endpoint for probes.
+const MAX_ENDPOINT_CONNECTIONS: usize = 2;
 
-/// What the name of the snapshot stream adds to the fleet's stream.
-const SNAPSHOT_SUFFIX: &str = "-snapshots";
+/// Suffix that the snapshot stream's name adds to the name of the fleet's stream.
+const SNAPSHOT_STREAM_SUFFIX: &str = "-snapshots";
 
-/// Age of the last successful read after which a node no longer takes itself for current, in
+/// Age of the last successful read of the log beyond which a node is no longer current, in
 /// milliseconds.
-const CURRENT_MS: u64 = 5_000;
+const MAX_READ_AGE_MS: u64 = 5_000;
 
-/// A running node; copies share it.
+/// Handle to a running node; clones share it.
 #[derive(Clone, Debug)]
 pub struct Node {
-    inner: Arc<Inner>,
+    shared: Arc<Shared>,
 }
 
 #[derive(Debug)]
-struct Inner {
+struct Shared {
     settings: NodeSettings,
     incarnation: u64,
     outputs: FoldOutputs,
@@ -77,7 +77,7 @@
     has_been_current: AtomicBool,
 }
 
-impl Inner {
+impl Shared {
     fn new(
         settings: NodeSettings,
         incarnation: u64,
@@ -92,16 +92,18 @@
             Arc::clone(&outputs.waiters),
             incarnation,
         );
-        let appender =
-            Appender::spawn_in_thread_with_mailbox(appender, mailbox::bounded(APPEND_RING));
-        let limit = Duration::from_millis(settings.propose_timeout_ms);
-        let snapshots = format!("{}{SNAPSHOT_SUFFIX}", settings.stream);
+        let appender = Appender::spawn_in_thread_with_mailbox(
+            appender,
+            mailbox::bounded(APPENDER_MAILBOX_CAPACITY),
+        );
+        let outcome_timeout = Duration::from_millis(settings.propose_timeout_ms);
+        let snapshots = format!("{}{SNAPSHOT_STREAM_SUFFIX}", settings.stream);
         Self {
             incarnation,
-            proposer: Proposer::new(appender, limit, Arc::clone(&outputs.divergence)),
-            clients: Arc::new(Clients::new(PROBE_CONNECTIONS)),
+            proposer: Proposer::new(appender, outcome_timeout, Arc::clone(&outputs.divergence)),
+            clients: Arc::new(Clients::new(MAX_ENDPOINT_CONNECTIONS)),
             peers: Peers::new(&settings),
-            peer_clients: Clients::new(PEER_CONNECTIONS),
+            peer_clients: Clients::new(MAX_PEER_CONNECTIONS),
             snapshot_log: LogClient::new(settings.platform, &snapshots),
             has_been_current: AtomicBool::new(false),
             outputs,
@@ -111,16 +113,17 @@
 }
 
 impl Node {
-    /// Starts a node and its duties, which end with the signal.
+    /// Starts a node and its background threads, which run until shutdown.
     #[must_use]
     pub fn start(settings: NodeSettings, shutdown: &Shutdown) -> (Self, BackgroundThreads) {
         let incarnation = new_incarnation(settings.identity.node.as_str(), &settings.clock);
         let outputs = FoldOutputs::new(FleetState::new());
         let log = LogClient::new(settings.platform, &settings.stream);
         let fold = Fold::new(FleetState::new(), outputs.clone(), incarnation);
-        let fold = Fold::spawn_in_thread_with_mailbox(fold, mailbox::bounded(FOLD_RING));
+        let fold =
+            Fold::spawn_in_thread_with_mailbox(fold, mailbox::bounded(FOLD_MAILBOX_CAPACITY));
         let node = Self {
-            inner: Arc::new(Inner::new(settings, incarnation, &log, outputs)),
+            shared: Arc::new(Shared::new(settings, incarnation, &log, outputs)),
         };
         let mut threads = BackgroundThreads::new(shutdown.clone());
         threads.run("reader", reader::read_log(node.clone(), log, fold.clone()));
@@ -139,134 +142,135 @@
     /// Returns the settings.
     #[must_use]
     pub fn settings(&self) -> &NodeSettings {
-        &self.inner.settings
+        &self.shared.settings
     }
 
     /// Returns the time source.
     #[must_use]
     pub fn clock(&self) -> &Clock {
-        &self.inner.settings.clock
+        &self.shared.settings.clock
     }
 
-    /// Returns the number of this run.
+    /// Returns the incarnation of this node process.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
-        self.inner.incarnation
+        self.shared.incarnation
     }
 
     /// Returns the latest state.
     #[must_use]
     pub fn state(&self) -> Arc<FleetState> {
-        self.inner.outputs.published.load()
+        self.shared.outputs.published.load()
     }
 
-    /// Returns where the state is published.
+    /// Returns the published state, for waiting on new offsets.
     #[must_use]
     pub fn published_state(&self) -> &PublishedState {
-        &self.inner.outputs.published
+        &self.shared.outputs.published
     }
 
-    /// Returns what became of a declaration that any node wrote.
+    /// Returns the outcome of a declaration by any node.
     #[must_use]
     pub fn operation(&self, id: OperationId) -> OperationOutcome {
-        self.inner.outputs.operations.look_up(id, &self.state())
+        self.shared.outputs.operations.look_up(id, &self.state())
     }
 
-    /// Returns the latest declarations of all nodes, the last one first.
+    /// Returns the latest declarations of all nodes, newest first.
     #[must_use]
     pub fn latest_operations(&self, limit: usize) -> Vec<Operation> {
-        self.inner.outputs.operations.latest(limit)
+        self.shared.outputs.operations.latest(limit)
     }
 
-    /// Returns the handle for proposals.
+    /// Returns the handle for proposing records.
     #[must_use]
     pub fn proposer(&self) -> &Proposer {
-        &self.inner.proposer
+        &self.shared.proposer
     }
 
-    /// Returns the clients for probes.
+    /// Returns the HTTP clients for endpoints.
     #[must_use]
     pub fn endpoint_clients(&self) -> &Arc<Clients> {
-        &self.inner.clients
+        &self.shared.clients
     }
 
-    /// Returns what is known of the other nodes.
+    /// Returns the table of peers.
     #[must_use]
     pub fn peers(&self) -> &Peers {
-        &self.inner.peers
+        &self.shared.peers
     }
 
     pub(crate) fn peer_clients(&self) -> &Clients {
-        &self.inner.peer_clients
+        &self.shared.peer_clients
     }
 
     pub(crate) fn recent_entries(&self) -> &RecentEntries {
-        &self.inner.outputs.recent
+        &self.shared.outputs.recent
     }
 
-    /// Returns the nodes that are taken to be live, this one included, sorted.
+    /// Returns the names of all live nodes including this one, sorted.
     #[must_use]
     pub fn live_nodes(&self) -> Vec<NodeName> {
-        self.inner.peers.live_nodes(self.clock().now_ms())
+        self.shared.peers.live_nodes(self.clock().now_ms())
     }
 
-    /// Tells whether the state includes everything accepted up to a few seconds ago.
+    /// Returns whether the state includes every record up to a few seconds ago.
     ///
-    /// Its run must have been accepted. Then either the node has read the log lately to its end,
-    /// or a live peer has and is not ahead.
+    /// This requires that the node has joined, and that either the node or a live peer that is not
+    /// ahead of it has recently read the log to its end.
     #[must_use]
     pub fn is_current(&self) -> bool {
         let state = self.state();
-        let has_joined = state.writers().get(self.inner.incarnation).is_some();
-        has_joined && (self.reads_log() || self.is_level_with_reader(state.offset()))
+        let has_joined = state.writers().get(self.shared.incarnation).is_some();
+        has_joined && (self.reads_log() || self.matches_log_reader(state.offset()))
     }
 
-    /// Returns what the node's readiness depends on.
+    /// Returns the conditions for the node's readiness.
     #[must_use]
     pub fn readiness(&self) -> Readiness {
         let is_current = self.is_current();
         if is_current {
-            self.inner.has_been_current.store(true, Ordering::Relaxed);
+            self.shared.has_been_current.store(true, Ordering::Relaxed);
         }
-        let views = self.peers().live_peers(self.clock().now_ms());
+        let peers = self.peers().live_peers(self.clock().now_ms());
         Readiness {
             is_current,
-            has_been_current: self.inner.has_been_current.load(Ordering::Relaxed),
+            has_been_current: self.shared.has_been_current.load(Ordering::Relaxed),
             configured_peers: self.settings().peers.len(),
-            live_peers: views.len(),
-            log_reading_peers: views.iter().filter(|view| view.hello.reads_log).count(),
+            live_peers: peers.len(),
+            log_reading_peers: peers.iter().filter(|peer| peer.hello.reads_log).count(),
         }
     }
 
-    fn is_level_with_reader(&self, offset: u64) -> bool {
-        let views = self.peers().live_peers(self.clock().now_ms());
-        views
+    fn matches_log_reader(&self, offset: u64) -> bool {
+        let peers = self.peers().live_peers(self.clock().now_ms());
+        peers
             .iter()
-            .any(|view| view.hello.reads_log && view.hello.offset <= offset)
+            .any(|peer| peer.hello.reads_log && peer.hello.offset <= offset)
     }
 
-    /// Tells whether the state differs from the peers'; such a node proposes nothing.
+    /// Returns whether the state has diverged from that of the peers; such a node proposes nothing.
     #[must_use]
     pub fn has_diverged(&self) -> bool {
-        self.inner.outputs.divergence.has_diverged()
+        self.shared.outputs.divergence.has_diverged()
     }
 
-    /// Tells whether the node itself has read the log lately and to its end.
+    /// Returns whether the node itself has recently read the log to its end.
     pub(crate) fn reads_log(&self) -> bool {
-        let read_ms = self.inner.outputs.published.last_read_ms();
-        read_ms + CURRENT_MS > self.clock().now_ms() && self.inner.outputs.published.is_caught_up()
+        let read_ms = self.shared.outputs.published.last_read_ms();
+        read_ms + MAX_READ_AGE_MS > self.clock().now_ms()
+            && self.shared.outputs.published.is_caught_up()
     }
 
     pub(crate) fn divergence(&self) -> &Divergence {
-        &self.inner.outputs.divergence
+        &self.shared.outputs.divergence
     }
 
     pub(crate) fn snapshot_log(&self) -> &LogClient {
-        &self.inner.snapshot_log
+        &self.shared.snapshot_log
     }
 }
 
-/// Threads of a node's duties.
+/// Background threads of a node.
 #[derive(Debug)]
 pub struct BackgroundThreads {
     shutdown: Shutdown,
@@ -284,31 +288,31 @@
     fn run<F: Future<Output = ()> + Send + 'static>(&mut self, name: &str, future: F) {
         match spawn_background_thread(name, &self.shutdown, future) {
             Ok(thread) => self.threads.push(thread),
-            Err(problem) => error!(event = "duty_not_started", duty = name; "{problem}"),
+            Err(error) => error!(event = "duty_not_started", duty = name; "{error}"),
         }
     }
 
-    /// Waits until every duty has ended, which they do after the signal.
+    /// Waits until all threads have ended, which they do on shutdown.
     pub fn join(self) {
         for thread in self.threads {
             if thread.join().is_err() {
-                error!(event = "duty_panicked"; "");
+                error!(event = "duty_panicked"; "a background thread panicked");
             }
         }
     }
 }
 
-/// Announces the run in the log, again and again until it is there.
+/// Proposes this incarnation's join until it is accepted.
 async fn join(node: Node) {
     loop {
         let body = RecordBody::Join {
             node: node.settings().identity.node.clone(),
             fold_version: FOLD_VERSION,
         };
-        let joined = node.proposer().propose(body).await;
-        let is_known = node.state().writers().get(node.incarnation()).is_some();
-        if joined.is_ok_and(|decision| decision.verdict.is_accepted()) || is_known {
-            info!(event = "joined", incarnation = node.incarnation(); "");
+        let outcome = node.proposer().propose(body).await;
+        let has_joined = node.state().writers().get(node.incarnation()).is_some();
+        if outcome.is_ok_and(|outcome| outcome.verdict.is_accepted()) || has_joined {
+            info!(event = "joined", incarnation = node.incarnation(); "the node has joined");
             return;
         }
         tokio::time::sleep(Duration::from_millis(node.settings().join_retry_ms)).await;
--- a/crates/coordination/src/peer_server.rs
+++ b/crates/coordination/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers to the other nodes.
+//! Server side of the peer protocol.
 
 use {
     crate::node::Node,
@@ -10,20 +10,20 @@
     lynxwheel_transport::{Body, collect_body, error_answer, message_answer},
 };
 
-/// Path of the periodic message.
+/// Path for hellos.
 pub(crate) const HELLO_PATH: &str = "/peer/hello";
 
-/// Path of the entries.
+/// Path for recent log entries.
 pub(crate) const ENTRIES_PATH: &str = "/peer/entries";
 
-/// Path of the snapshot.
+/// Path for a snapshot of the state.
 pub(crate) const SNAPSHOT_PATH: &str = "/peer/snapshot";
 
-/// Bytes of a periodic message at most.
+/// Maximum size of a hello, in bytes.
 const MAX_HELLO_BYTES: usize = 16 * 1024;
 
 impl Node {
-    /// Answers a peer's request for its state, entries or snapshot.
+    /// Handles a peer's hello or its request for entries or a snapshot.
     pub async fn handle_peer_request(&self, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, HELLO_PATH) => self.answer_hello(request).await,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the message that tells peers about this node.
+    /// Returns the hello that describes this node to its peers.
     #[must_use]
     pub fn hello(&self) -> PeerHello {
         let state = self.state();
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Takes in what a peer tells.
-    pub(crate) fn note_hello(&self, hello: PeerHello) {
+    /// Records a peer's hello and compares its digests.
+    pub(crate) fn record_hello(&self, hello: PeerHello) {
         self.divergence().compare(&hello);
-        self.peers().note(hello, self.clock().now_ms());
+        self.peers().update(hello, self.clock().now_ms());
     }
 
     async fn answer_hello(&self, request: Request<Incoming>) -> Response<Body> {
@@ -69,7 +69,7 @@
         };
         match decode_message::<PeerHello>(&bytes) {
             Ok(hello) => {
-                self.note_hello(hello);
+                self.record_hello(hello);
                 message_answer(&self.hello())
             }
             Err(error) => error_answer(StatusCode::BAD_REQUEST, &error.to_string()),
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -1,4 +1,4 @@
-//! What is known of the other nodes.
+//! Table of the other nodes and their liveness.
 
 use {
     crate::settings::NodeSettings,
@@ -14,23 +14,25 @@
     tokio::sync::watch,
 };
 
-/// Silence after which a peer is no longer taken to be live, in milliseconds.
+/// Silence after which a peer no longer counts as live, in milliseconds.
 pub(crate) const PEER_TIMEOUT_MS: u64 = 5_000;
 
-/// Endpoints named in one message at most, of each list.
-const MAX_LISTED: usize = 64;
+/// Maximum length of each endpoint list in a hello.
+const MAX_LISTED_ENDPOINTS: usize = 64;
 
-/// Reads endpoints from the request path.
-type ReadEndpoints = Box<dyn Fn() -> Vec<EndpointLoad> + Send + Sync>;
+/// Function that lists endpoints of the request path.
+type ListEndpoints = Box<dyn Fn() -> Vec<EndpointLoad> + Send + Sync>;
 
-/// What the request path tells the peers.
+/// Endpoint lists of the request path that hellos carry to the peers.
 pub struct LocalEndpoints {
-    loads: ReadEndpoints,
-    leaving: ReadEndpoints,
+    loads: ListEndpoints,
+    leaving: ListEndpoints,
 }
 
 impl LocalEndpoints {
-    /// Creates a view from two functions, which must be quick.
+    /// Creates it from two functions that list endpoint loads and leaving endpoints.
+    ///
+    /// They are called for every hello and must not block.
     #[must_use]
     pub fn new(
         loads: impl Fn() -> Vec<EndpointLoad> + Send + Sync + 'static,
@@ -51,25 +53,25 @@
     }
 }
 
-/// A peer as it last described itself.
+/// Last known status of a peer.
 #[derive(Clone, Debug)]
 pub struct PeerStatus {
-    /// Its last message.
+    /// Last hello of the peer.
     pub hello: PeerHello,
-    /// When the message came, in milliseconds since the epoch.
-    pub seen_ms: u64,
+    /// Time at which the hello arrived, in milliseconds since the Unix epoch.
+    pub last_seen_ms: u64,
 }
 
-/// Last messages of the other nodes.
+/// Configured peers and their last hellos.
 #[derive(Debug)]
 pub struct Peers {
     node: NodeName,
     configured: Vec<NodeName>,
     started_ms: u64,
-    rows: Mutex<Vec<PeerStatus>>,
-    local: OnceLock<LocalEndpoints>,
+    statuses: Mutex<Vec<PeerStatus>>,
+    local_endpoints: OnceLock<LocalEndpoints>,
     is_stopping: AtomicBool,
-    news: watch::Sender<u64>,
+    announcements: watch::Sender<u64>,
 }
 
 impl Peers {
@@ -83,104 +85,106 @@
             node: settings.identity.node.clone(),
             configured,
             started_ms: settings.clock.now_ms(),
-            rows: Mutex::new(Vec::new()),
-            local: OnceLock::new(),
+            statuses: Mutex::new(Vec::new()),
+            local_endpoints: OnceLock::new(),
             is_stopping: AtomicBool::new(false),
-            news: watch::Sender::new(0),
+            announcements: watch::Sender::new(0),
         }
     }
 
-    /// Sets what the request path tells the peers; only the first call counts.
-    pub fn set_local_endpoints(&self, local: LocalEndpoints) {
-        drop(self.local.set(local));
+    /// Sets the endpoint lists for hellos; only the first call has an effect.
+    pub fn set_local_endpoints(&self, local_endpoints: LocalEndpoints) {
+        drop(self.local_endpoints.set(local_endpoints));
     }
 
-    /// Tells the peers at once what is usually told in the next period.
+    /// Sends a hello to all peers immediately instead of at the next interval.
     ///
-    /// For what must not wait, such as an endpoint that was seen leaving.
+    /// Used for urgent changes, such as an endpoint that starts leaving.
     pub fn announce(&self) {
-        self.news.send_modify(|count| *count += 1);
+        self.announcements.send_modify(|count| *count += 1);
     }
 
-    /// Tells the peers at once that this node stops and takes no new work.
+    /// Informs the peers immediately that this node is stopping and accepts no new work.
     pub fn announce_stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
         self.announce();
     }
 
-    /// Tells whether this node stops.
+    /// Returns whether this node is stopping.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Returns a receiver that wakes when there is something to tell at once.
-    pub(crate) fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    /// Returns a receiver that is notified when a hello must be sent immediately.
+    pub(crate) fn announcements(&self) -> watch::Receiver<u64> {
+        self.announcements.subscribe()
     }
 
-    /// Returns for how long a peer has been silent, in milliseconds.
+    /// Returns the time since the last hello of a peer, in milliseconds.
     pub(crate) fn silence_ms(&self, peer: &NodeName, now_ms: u64) -> u64 {
-        let rows = self.rows();
-        let seen_ms = rows
-            .binary_search_by(|view| view.hello.node.cmp(peer))
-            .map_or(self.started_ms, |row| rows[row].seen_ms);
-        now_ms.saturating_sub(seen_ms)
+        let statuses = self.lock();
+        let last_seen_ms = statuses
+            .binary_search_by(|status| status.hello.node.cmp(peer))
+            .map_or(self.started_ms, |index| statuses[index].last_seen_ms);
+        now_ms.saturating_sub(last_seen_ms)
     }
 
-    /// Returns the live peers' last messages, by name.
+    /// Returns the statuses of the live peers, sorted by name.
     #[must_use]
     pub fn live_peers(&self, now_ms: u64) -> Vec<PeerStatus> {
-        let mut views = self.rows().clone();
-        views.retain(|view| is_live(view, now_ms));
-        views
+        let mut statuses = self.lock().clone();
+        statuses.retain(|status| is_live(status, now_ms));
+        statuses
     }
 
-    /// Notes a message; one of an earlier run of the sender is ignored.
-    pub(crate) fn note(&self, hello: PeerHello, now_ms: u64) {
+    /// Updates the sender's status; a hello of an earlier incarnation is ignored.
+    pub(crate) fn update(&self, hello: PeerHello, now_ms: u64) {
         if hello.node == self.node || self.configured.binary_search(&hello.node).is_err() {
             return;
         }
-        let mut rows = self.rows();
-        let row = rows.binary_search_by(|view| view.hello.node.cmp(&hello.node));
-        match row {
-            Ok(row) if hello.incarnation < rows[row].hello.incarnation => {}
-            Ok(row) => {
-                if hello.stopping && !rows[row].hello.stopping {
-                    info!(event = "peer_stopping", peer = hello.node.as_str(); "");
+        let mut statuses = self.lock();
+        let index = statuses.binary_search_by(|status| status.hello.node.cmp(&hello.node));
+        match index {
+            Ok(index) if hello.incarnation < statuses[index].hello.incarnation => {}
+            Ok(index) => {
+                if hello.stopping && !statuses[index].hello.stopping {
+                    info!(event = "peer_stopping", peer = hello.node.as_str();
+                        "a peer is stopping");
                 }
-                rows[row] = PeerStatus {
+                statuses[index] = PeerStatus {
                     hello,
-                    seen_ms: now_ms,
+                    last_seen_ms: now_ms,
                 };
             }
-            Err(row) => {
-                info!(event = "peer_seen", peer = hello.node.as_str(); "");
-                rows.insert(
-                    row,
+            Err(index) => {
+                info!(event = "peer_seen", peer = hello.node.as_str(); "first hello of a peer");
+                statuses.insert(
+                    index,
                     PeerStatus {
                         hello,
-                        seen_ms: now_ms,
+                        last_seen_ms: now_ms,
                     },
                 );
             }
         }
     }
 
-    /// Returns the names of the nodes that are taken to be live, this one included, sorted.
+    /// Returns the names of all live nodes including this one, sorted.
     ///
-    /// A configured peer that was not heard yet counts as live until the timeout has passed since
-    /// the start; a starting node would otherwise rank first for everything.
+    /// A configured peer without a hello counts as live until the timeout has passed since the
+    /// start; otherwise a starting node would rank first for everything.
     #[must_use]
     pub fn live_nodes(&self, now_ms: u64) -> Vec<NodeName> {
-        let rows = self.rows();
+        let statuses = self.lock();
         let is_starting = now_ms < self.started_ms + PEER_TIMEOUT_MS;
         let mut names: Vec<NodeName> = self
             .configured
             .iter()
             .filter(|name| {
-                rows.binary_search_by(|view| view.hello.node.cmp(name))
-                    .map_or(is_starting, |row| is_live(&rows[row], now_ms))
+                statuses
+                    .binary_search_by(|status| status.hello.node.cmp(name))
+                    .map_or(is_starting, |index| is_live(&statuses[index], now_ms))
             })
             .cloned()
             .collect();
@@ -190,34 +194,34 @@
         names
     }
 
-    /// Returns the loads to tell, at most [`MAX_LISTED`].
+    /// Returns the endpoint loads for a hello, at most [`MAX_LISTED_ENDPOINTS`].
     pub(crate) fn local_loads(&self) -> Vec<EndpointLoad> {
-        self.listed(|local| &local.loads)
+        self.list_local(|local_endpoints| &local_endpoints.loads)
     }
 
-    /// Returns the leaving endpoints to tell, at most [`MAX_LISTED`].
+    /// Returns the leaving endpoints for a hello, at most [`MAX_LISTED_ENDPOINTS`].
     pub(crate) fn local_leaving(&self) -> Vec<EndpointLoad> {
-        self.listed(|local| &local.leaving)
+        self.list_local(|local_endpoints| &local_endpoints.leaving)
     }
 
-    fn listed(&self, list: impl Fn(&LocalEndpoints) -> &ReadEndpoints) -> Vec<EndpointLoad> {
-        let mut rows = self
-            .local
+    fn list_local(&self, list: impl Fn(&LocalEndpoints) -> &ListEndpoints) -> Vec<EndpointLoad> {
+        let mut endpoints = self
+            .local_endpoints
             .get()
-            .map(|local| list(local)())
+            .map(|local_endpoints| list(local_endpoints)())
             .unwrap_or_default();
-        // The message is bounded; the highest loads matter most to others.
-        rows.sort_by(|a, b| b.in_progress.cmp(&a.in_progress).then(a.cmp(b)));
-        rows.truncate(MAX_LISTED);
-        rows.sort();
-        rows
+        // Keep the highest loads, which matter most to the peers.
+        endpoints.sort_by(|a, b| b.in_progress.cmp(&a.in_progress).then(a.cmp(b)));
+        endpoints.truncate(MAX_LISTED_ENDPOINTS);
+        endpoints.sort();
+        endpoints
     }
 
-    fn rows(&self) -> MutexGuard<'_, Vec<PeerStatus>> {
-        self.rows.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<PeerStatus>> {
+        self.statuses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn is_live(view: &PeerStatus, now_ms: u64) -> bool {
-    !view.hello.stopping && now_ms < view.seen_ms + PEER_TIMEOUT_MS
+fn is_live(status: &PeerStatus, now_ms: u64) -> bool {
+    !status.hello.stopping && now_ms < status.last_seen_ms + PEER_TIMEOUT_MS
 }
