--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Starting and watching the attempts that this node holds.
 
 use {
-    crate::{cpu_share::CpuShare, node::Node, watched::Watched},
+    crate::{cpu_share::CpuShare, node::Node, poll_schedule::Watched},
     log::{info, warn},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
