--- a/crates/coordination/src/catch_up.rs
+++ b/crates/coordination/src/catch_up.rs
@@ -1,11 +1,11 @@
-//! Catching up from peers when the log itself cannot be read.
+//! Catches up from peers while the log cannot be read.
 
 use {
     crate::{
         fold::{Fold, FoldEntries, Reload},
         node::Node,
         peer_server::ENTRIES_PATH,
-        recovery::from_peer,
+        recovery::fetch_state,
     },
     kameo::actor::ActorRef,
     log::{info, warn},
@@ -14,69 +14,71 @@
     std::time::Duration,
 };
 
-/// Pause between two looks, in milliseconds.
-const LOOK_MS: u64 = 500;
+/// Interval between two checks, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 500;
 
-/// Time that a peer may take, in milliseconds.
-const TIMEOUT_MS: u64 = 2_000;
+/// Timeout of a request for entries, in milliseconds.
+const ENTRIES_TIMEOUT_MS: u64 = 2_000;
 
-/// Catches up for as long as it is polled.
+/// Catches up from peers for as long as it is polled.
 ///
-/// A node that is cut from the log but not from its peers would otherwise go on routing by an
-/// old configuration. It asks only after it stood still for a look while a peer was ahead, so
-/// that a node that reads the log costs its peers nothing.
+/// Otherwise a node that cannot reach the log would keep routing by an outdated state. It sends
+/// a request only when a peer is ahead and its own offset has not changed since the last check, so
+/// that nodes that read the log do not burden their peers.
 pub(crate) async fn catch_up(node: Node, fold: ActorRef<Fold>) {
-    let mut last = None;
+    let mut previous_offset = None;
     loop {
-        tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-        let own = node.state().offset();
-        let ahead = most_ahead(&node, own);
-        if let Some(peer) = ahead
-            && last == Some(own)
-            && let Err(error) = take_entries(&node, &peer, own, &fold).await
+        tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
+        let own_offset = node.state().offset();
+        let peer_ahead = most_advanced_peer(&node, own_offset);
+        if let Some(peer) = peer_ahead
+            && previous_offset == Some(own_offset)
+            && let Err(error) = fetch_entries(&node, &peer, own_offset, &fold).await
         {
-            warn!(event = "catch_up_failed", peer = peer.as_str(), offset = own; "{error}");
+            warn!(event = "catch_up_failed", peer = peer.as_str(), offset = own_offset; "{error}");
         }
-        last = Some(own);
+        previous_offset = Some(own_offset);
     }
 }
 
-/// Returns the live peer that has folded most, if it is ahead.
-fn most_ahead(node: &Node, own: u64) -> Option<NodeName> {
-    let views = node.peers().live_peers(node.clock().now_ms());
-    views
+/// Returns the live peer with the highest offset, if it is ahead of this node.
+fn most_advanced_peer(node: &Node, own_offset: u64) -> Option<NodeName> {
+    let peers = node.peers().live_peers(node.clock().now_ms());
+    peers
         .into_iter()
-        .map(|view| view.hello)
-        .filter(|hello| hello.offset > own && !hello.diverged)
+        .map(|peer| peer.hello)
+        .filter(|hello| hello.offset > own_offset && !hello.diverged)
         .max_by_key(|hello| hello.offset)
         .map(|hello| hello.node)
 }
 
-async fn take_entries(
+async fn fetch_entries(
     node: &Node,
     peer: &NodeName,
-    own: u64,
+    own_offset: u64,
     fold: &ActorRef<Fold>,
 ) -> Result<(), TransportError> {
-    let Some(client) = client_of(node, peer) else {
+    let Some(client) = peer_client(node, peer) else {
         return Ok(());
     };
-    let path = format!("{ENTRIES_PATH}?from={}", own + 1);
-    let limit = Duration::from_millis(TIMEOUT_MS);
-    let answer: PeerEntries = client.fetch(&path, limit).await?;
-    info!(event = "entries_from_peer", peer = peer.as_str(), offset = own,
-        count = answer.entries.len(); "");
-    if !answer.entries.is_empty() {
-        let entries = answer.entries;
+    let path = format!("{ENTRIES_PATH}?from={}", own_offset + 1);
+    let timeout = Duration::from_millis(ENTRIES_TIMEOUT_MS);
+    let response: PeerEntries = client.fetch(&path, timeout).await?;
+    info!(event = "entries_from_peer", peer = peer.as_str(), offset = own_offset,
+        count = response.entries.len(); "received entries from a peer");
+    if !response.entries.is_empty() {
+        let entries = response.entries;
         drop(fold.tell(FoldEntries { entries }).send().await);
-    } else if let Some(state) = from_peer(&client).await {
+    } else if let Some(state) = fetch_state(&client).await {
         drop(fold.tell(Reload::new(state)).send().await);
     }
     Ok(())
 }
 
-fn client_of(node: &Node, peer: &NodeName) -> Option<Client> {
+fn peer_client(node: &Node, peer: &NodeName) -> Option<Client> {
     let peers = &node.settings().peers;
-    let row = peers.binary_search_by(|row| row.node.cmp(peer)).ok()?;
-    Some(node.peer_clients().get(peers[row].address))
+    let index = peers
+        .binary_search_by(|configured| configured.node.cmp(peer))
+        .ok()?;
+    Some(node.peer_clients().get(peers[index].address))
 }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -9,7 +9,7 @@
         clock::{Clock, new_incarnation},
         divergence::Divergence,
         fold::{Fold, FoldOutputs},
-        housekeeping::keep_up,
+        housekeeping::run_housekeeping,
         log_client::LogClient,
         membership::{MAX_PEER_CONNECTIONS, exchange_hellos},
         observer,
@@ -134,7 +134,7 @@
         threads.run("membership", exchange_hellos(node.clone()));
         threads.run("catch_up", catch_up(node.clone(), fold));
         threads.run("snapshots", write_snapshots(node.clone()));
-        threads.run("upkeep", keep_up(node.clone()));
+        threads.run("upkeep", run_housekeeping(node.clone()));
         threads.run("join", join(node.clone()));
         (node, threads)
     }
--- a/crates/coordination/src/poll_schedule.rs
+++ b/crates/coordination/src/poll_schedule.rs
@@ -1,76 +1,76 @@
-//! When running attempts are looked at again.
+//! Schedule for polling running attempts.
 
 use {
     lynxwheel_protocol::JobName,
     lynxwheel_state::{FleetState, JobState, TASK_LEASE_MS},
 };
 
-/// Longest time between two looks at an attempt: a lease survives two lost renewals.
+/// Longest interval between two polls of an attempt; a lease survives two lost renewals.
 const MAX_INTERVAL_MS: u64 = TASK_LEASE_MS / 3;
 
-/// Part of its age for which an attempt is left alone: its end is noticed this much late.
-const AGE_PARTS: u64 = 8;
+/// Divisor of an attempt's age that gives its polling interval; bounds the delay in noticing its
+/// end.
+const AGE_FRACTION: u64 = 8;
 
-/// Time added for each attempt that the node watches, in milliseconds.
-const MS_PER_ATTEMPT: u64 = 5;
+/// Lower bound of the polling interval per watched attempt, in milliseconds.
+const INTERVAL_MS_PER_ATTEMPT: u64 = 5;
 
-/// Last looks at the attempts of a node.
+/// Last polls of the attempts that a node watches.
 #[derive(Debug, Default)]
-pub(crate) struct Watched {
-    rows: Vec<Look>,
+pub(crate) struct PollSchedule {
+    polls: Vec<LastPoll>,
 }
 
 #[derive(Debug)]
-struct Look {
+struct LastPoll {
     job: JobName,
     attempt: u32,
-    at_ms: u64,
+    polled_ms: u64,
 }
 
-impl Watched {
-    /// Tells whether an attempt is due, and notes the look if so.
+impl PollSchedule {
+    /// Returns whether an attempt is due, and records the poll if so.
     ///
-    /// Looking at every attempt in every tick would cost two calls for each: at two thousand
-    /// attempts a node, thousands of calls a second. A young attempt may end at any moment and is
-    /// looked at often; an old one is left alone in proportion to its age.
+    /// A poll costs two calls, so polling thousands of attempts in every tick would cost thousands
+    /// of calls a second. The interval therefore grows with the age of the attempt.
     pub(crate) fn is_due(&mut self, job: &JobState, age_ms: u64, now_ms: u64) -> bool {
-        let wait_ms = interval_ms(age_ms, self.rows.len());
-        let look = Look {
+        let wait_ms = interval_ms(age_ms, self.polls.len());
+        let poll = LastPoll {
             job: job.spec.name.clone(),
             attempt: job.attempts,
-            at_ms: now_ms,
+            polled_ms: now_ms,
         };
-        match self.rows.binary_search_by(|row| row.job.cmp(&look.job)) {
-            Ok(row) if self.rows[row].attempt == look.attempt => {
-                let is_due = now_ms >= self.rows[row].at_ms + wait_ms;
+        match self.polls.binary_search_by(|last| last.job.cmp(&poll.job)) {
+            Ok(index) if self.polls[index].attempt == poll.attempt => {
+                let is_due = now_ms >= self.polls[index].polled_ms + wait_ms;
                 if is_due {
-                    self.rows[row].at_ms = now_ms;
+                    self.polls[index].polled_ms = now_ms;
                 }
                 is_due
             }
-            Ok(row) => {
-                self.rows[row] = look;
+            Ok(index) => {
+                self.polls[index] = poll;
                 true
             }
-            Err(row) => {
-                self.rows.insert(row, look);
+            Err(index) => {
+                self.polls.insert(index, poll);
                 true
             }
         }
     }
 
-    /// Forgets jobs without a running attempt.
+    /// Removes jobs without a running attempt.
     pub(crate) fn retain_running(&mut self, state: &FleetState) {
-        self.rows.retain(|row| {
-            let job = state.jobs().get(row.job.as_str());
+        self.polls.retain(|last| {
+            let job = state.jobs().get(last.job.as_str());
             job.is_some_and(|job| job.attempt.is_some())
         });
     }
 }
 
-/// Returns the time between two looks at an attempt of some age, among `count` attempts.
-fn interval_ms(age_ms: u64, count: usize) -> u64 {
-    let by_age_ms = age_ms / AGE_PARTS;
-    let by_count_ms = MS_PER_ATTEMPT * count as u64;
+/// Returns the polling interval of an attempt of age `age_ms` among `attempt_count` attempts.
+fn interval_ms(age_ms: u64, attempt_count: usize) -> u64 {
+    let by_age_ms = age_ms / AGE_FRACTION;
+    let by_count_ms = INTERVAL_MS_PER_ATTEMPT * attempt_count as u64;
     by_age_ms.max(by_count_ms).min(MAX_INTERVAL_MS)
 }
--- a/crates/coordination/src/reader.rs
+++ b/crates/coordination/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading the log from the last folded offset on.
+//! Reads the log and forwards its entries to the fold.
 
 use {
     crate::{
@@ -13,24 +13,24 @@
     std::time::Duration,
 };
 
-/// Entries read at once at most.
-const MAX_ENTRIES: usize = 1_024;
+/// Maximum number of entries in one read.
+const MAX_ENTRIES_PER_READ: usize = 1_024;
 
-/// Time that a read waits for the first entry, in milliseconds.
-const WAIT_MS: u64 = 2_000;
+/// Long-poll wait of a read for the first entry, in milliseconds.
+const LONG_POLL_MS: u64 = 2_000;
 
-/// Pause after a failed read, in milliseconds.
-const PAUSE_MS: u64 = 200;
+/// Pause before a retry, in milliseconds.
+const RETRY_PAUSE_MS: u64 = 200;
 
-/// Why reading on from an offset is impossible.
-enum ReadEnd {
+/// Reason for which reading stopped.
+enum ReadStop {
     /// Records were trimmed before they were read.
     Trimmed,
-    /// The fold is gone.
-    NoFold,
+    /// The fold actor has stopped.
+    FoldStopped,
 }
 
-/// Reads for as long as it is polled, from a recovered state on.
+/// Reads the log from a recovered state on, for as long as it is polled.
 pub(crate) async fn read_log(node: Node, log: LogClient, fold: ActorRef<Fold>) {
     loop {
         let state = recover(&node, &log).await;
@@ -39,8 +39,8 @@
             return;
         }
         match read_from(next_offset, &node, &log, &fold).await {
-            ReadEnd::Trimmed => {}
-            ReadEnd::NoFold => return,
+            ReadStop::Trimmed => {}
+            ReadStop::FoldStopped => return,
         }
     }
 }
@@ -50,57 +50,60 @@
     node: &Node,
     log: &LogClient,
     fold: &ActorRef<Fold>,
-) -> ReadEnd {
+) -> ReadStop {
     loop {
-        // Entries may have come from a peer meanwhile.
+        // Entries may have been fetched from a peer in the meantime.
         next_offset = next_offset.max(node.state().offset() + 1);
-        match log.read(next_offset, MAX_ENTRIES, WAIT_MS).await {
-            Ok(answer) => {
-                if let Err(end) = hand_on(answer, &mut next_offset, node, fold).await {
-                    return end;
+        match log
+            .read(next_offset, MAX_ENTRIES_PER_READ, LONG_POLL_MS)
+            .await
+        {
+            Ok(response) => {
+                if let Err(stop) = forward_entries(response, &mut next_offset, node, fold).await {
+                    return stop;
                 }
             }
             Err(error) => {
                 warn!(event = "read_failed", offset = next_offset; "{error}");
-                tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+                tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             }
         }
     }
 }
 
-/// Hands entries to the fold.
-async fn hand_on(
-    answer: ReadAnswer,
+/// Checks a response and forwards its entries to the fold.
+async fn forward_entries(
+    response: ReadAnswer,
     next_offset: &mut u64,
     node: &Node,
     fold: &ActorRef<Fold>,
-) -> Result<(), ReadEnd> {
-    if *next_offset < answer.earliest_offset {
-        error!(event = "log_trimmed", offset = *next_offset, earliest = answer.earliest_offset;
-            "records were trimmed before they were read; the state is loaded anew");
-        return Err(ReadEnd::Trimmed);
+) -> Result<(), ReadStop> {
+    if *next_offset < response.earliest_offset {
+        error!(event = "log_trimmed", offset = *next_offset, earliest = response.earliest_offset;
+            "records were trimmed before they were read; recovering the state");
+        return Err(ReadStop::Trimmed);
     }
-    if answer.next_offset < *next_offset {
-        // Another log, or one that lost its end. Serving what it holds would revert what was
-        // accepted, so the state stays and the node does not take itself for current.
-        error!(event = "log_behind", offset = *next_offset, end = answer.next_offset;
-            "the log ends before what was already read");
-        tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+    if response.next_offset < *next_offset {
+        // The log was replaced or truncated. Following it would revert accepted records, so the
+        // state stays as it is and the node is no longer current.
+        error!(event = "log_behind", offset = *next_offset, end = response.next_offset;
+            "the log ends before the offset already read");
+        tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
         return Ok(());
     }
     node.published_state().record_read(
         node.clock().now_ms(),
-        answer.earliest_offset,
-        answer.next_offset - 1,
+        response.earliest_offset,
+        response.next_offset - 1,
     );
-    let Some(last) = answer.entries.last() else {
+    let Some(last) = response.entries.last() else {
         return Ok(());
     };
     *next_offset = last.offset + 1;
     fold.tell(FoldEntries {
-        entries: answer.entries,
+        entries: response.entries,
     })
     .send()
     .await
-    .map_err(|_| ReadEnd::NoFold)
+    .map_err(|_| ReadStop::FoldStopped)
 }
--- a/crates/coordination/src/recovery.rs
+++ b/crates/coordination/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Finding a state to start from: a peer's, the snapshot stream's, or the log's beginning.
+//! Finds a state to start from: a peer's, the latest snapshot, or an empty one.
 
 use {
     crate::{
@@ -15,28 +15,28 @@
     tokio::task::JoinSet,
 };
 
-/// Time that a peer may take for its message, in milliseconds.
+/// Timeout of a hello, in milliseconds.
 const HELLO_TIMEOUT_MS: u64 = 500;
 
-/// Time that a peer may take for its snapshot, in milliseconds.
+/// Timeout of a request for a peer's snapshot, in milliseconds.
 const SNAPSHOT_TIMEOUT_MS: u64 = 5_000;
 
-/// Peers asked for a snapshot at most.
-const MAX_ASKED: usize = 3;
+/// Maximum number of peers asked for a snapshot in one attempt.
+const MAX_SNAPSHOT_REQUESTS: usize = 3;
 
-/// Chunks read at once.
-const WINDOW: u64 = 64;
+/// Number of chunks in one read.
+const CHUNKS_PER_READ: u64 = 64;
 
-/// Chunks looked through at most, from the stream's end.
-const MAX_LOOKED: u64 = 16_384;
+/// Maximum number of chunks scanned, backwards from the end of the stream.
+const MAX_SCANNED_CHUNKS: u64 = 16_384;
 
-/// Pause before the next try, in milliseconds.
-const PAUSE_MS: u64 = 500;
+/// Pause between attempts, in milliseconds.
+const RETRY_PAUSE_MS: u64 = 500;
 
-/// Finds a state from which the log can be read on, trying until there is one.
+/// Returns a state from which reading the log can continue; retries until there is one.
 ///
-/// The state is never below what this node has served. A state whose next record was trimmed is
-/// of no use: going on from it would skip records.
+/// The state is never older than the one this node has served. A state whose next record was
+/// trimmed is unusable, since continuing from it would skip records.
 pub(crate) async fn recover(node: &Node, log: &LogClient) -> FleetState {
     loop {
         let head = match log.read(1, 1, 0).await {
@@ -46,60 +46,62 @@
                 None
             }
         };
-        if let Some(state) = find(node, head.as_ref()).await {
-            info!(event = "recovered", offset = state.offset(); "");
+        if let Some(state) = find_state(node, head.as_ref()).await {
+            info!(event = "recovered", offset = state.offset(); "recovered a state");
             return state;
         }
         if let Some(head) = &head {
             error!(event = "state_not_found", earliest = head.earliest_offset;
-                "the log is trimmed, and neither a peer nor a snapshot reaches its beginning");
+                "the log is trimmed, and no peer or snapshot reaches its earliest record");
         }
-        tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
     }
 }
 
-async fn find(node: &Node, head: Option<&ReadAnswer>) -> Option<FleetState> {
-    let served = node.state().offset();
-    let earliest = head.map_or(0, |head| head.earliest_offset);
+async fn find_state(node: &Node, head: Option<&ReadAnswer>) -> Option<FleetState> {
+    let served_offset = node.state().offset();
+    let earliest_offset = head.map_or(0, |head| head.earliest_offset);
     let is_usable = |state: &FleetState| {
-        state.offset() + 1 >= earliest && state.offset() >= served && state.offset() > 0
+        state.offset() + 1 >= earliest_offset
+            && state.offset() >= served_offset
+            && state.offset() > 0
     };
     if head.is_some_and(|head| head.next_offset <= 1) {
         return Some(FleetState::new());
     }
-    if let Some(state) = from_peers(node).await.filter(is_usable) {
+    if let Some(state) = fetch_from_peers(node).await.filter(is_usable) {
         return Some(state);
     }
-    let stored = match from_stream(node.snapshot_log()).await {
+    let loaded = match load_from_stream(node.snapshot_log()).await {
         Ok(state) => state.filter(is_usable),
         Err(error) => {
             warn!(event = "snapshots_not_readable"; "{error}");
             return None;
         }
     };
-    if stored.is_some() {
-        return stored;
+    if loaded.is_some() {
+        return loaded;
     }
-    (earliest == 1 && served == 0).then(FleetState::new)
+    (earliest_offset == 1 && served_offset == 0).then(FleetState::new)
 }
 
-/// Takes the snapshot of the peer that has folded most.
-async fn from_peers(node: &Node) -> Option<FleetState> {
-    let mut asked = JoinSet::new();
+/// Fetches a snapshot from the peer with the highest offset.
+async fn fetch_from_peers(node: &Node) -> Option<FleetState> {
+    let mut requests = JoinSet::new();
     for peer in &node.settings().peers {
         let client = node.peer_clients().get(peer.address);
         let own = node.hello();
-        asked.spawn(async move {
-            let limit = Duration::from_millis(HELLO_TIMEOUT_MS);
-            let hello = client.exchange::<_, PeerHello>(HELLO_PATH, &own, limit);
+        requests.spawn(async move {
+            let timeout = Duration::from_millis(HELLO_TIMEOUT_MS);
+            let hello = client.exchange::<_, PeerHello>(HELLO_PATH, &own, timeout);
             hello.await.ok().map(|hello| Candidate { hello, client })
         });
     }
-    let mut candidates: Vec<Candidate> = asked.join_all().await.into_iter().flatten().collect();
+    let mut candidates: Vec<Candidate> = requests.join_all().await.into_iter().flatten().collect();
     candidates.retain(|candidate| !candidate.hello.diverged && candidate.hello.offset > 0);
     candidates.sort_by_key(|candidate| std::cmp::Reverse(candidate.hello.offset));
-    for candidate in candidates.iter().take(MAX_ASKED) {
-        if let Some(state) = from_peer(&candidate.client).await {
+    for candidate in candidates.iter().take(MAX_SNAPSHOT_REQUESTS) {
+        if let Some(state) = fetch_state(&candidate.client).await {
             return Some(state);
         }
     }
@@ -111,10 +113,10 @@
     client: Client,
 }
 
-/// Takes one peer's snapshot.
-pub(crate) async fn from_peer(client: &Client) -> Option<FleetState> {
-    let limit = Duration::from_millis(SNAPSHOT_TIMEOUT_MS);
-    let snapshot: PeerSnapshot = match client.fetch(SNAPSHOT_PATH, limit).await {
+/// Fetches a peer's snapshot.
+pub(crate) async fn fetch_state(client: &Client) -> Option<FleetState> {
+    let timeout = Duration::from_millis(SNAPSHOT_TIMEOUT_MS);
+    let snapshot: PeerSnapshot = match client.fetch(SNAPSHOT_PATH, timeout).await {
         Ok(snapshot) => snapshot,
         Err(error) => {
             warn!(event = "peer_snapshot_failed"; "{error}");
@@ -122,23 +124,25 @@
         }
     };
     let state = restore(&snapshot.bytes).ok()?;
-    let is_whole = state.offset() == snapshot.offset && state.digest() == snapshot.digest;
-    is_whole.then_some(state)
+    let is_complete = state.offset() == snapshot.offset && state.digest() == snapshot.digest;
+    is_complete.then_some(state)
 }
 
-/// Takes the latest whole snapshot of the stream, looking backwards from its end.
-async fn from_stream(log: &LogClient) -> Result<Option<FleetState>, LogError> {
+/// Loads the latest complete snapshot of the stream, scanning backwards from its end.
+async fn load_from_stream(log: &LogClient) -> Result<Option<FleetState>, LogError> {
     let head = log.read(1, 1, 0).await?;
-    let lowest = head
+    let lowest_offset = head
         .earliest_offset
-        .max(head.next_offset.saturating_sub(MAX_LOOKED));
+        .max(head.next_offset.saturating_sub(MAX_SCANNED_CHUNKS));
     let mut assembler = SnapshotAssembler::default();
-    let mut end = head.next_offset;
-    while end > lowest {
-        let from = end.saturating_sub(WINDOW).max(lowest);
-        let count = usize::try_from(end - from).unwrap_or(0);
-        let answer = log.read(from, count, 0).await?;
-        answer
+    let mut end_offset = head.next_offset;
+    while end_offset > lowest_offset {
+        let from = end_offset
+            .saturating_sub(CHUNKS_PER_READ)
+            .max(lowest_offset);
+        let count = usize::try_from(end_offset - from).unwrap_or(0);
+        let response = log.read(from, count, 0).await?;
+        response
             .entries
             .iter()
             .filter_map(|entry| decode_chunk(&entry.bytes).ok())
@@ -146,7 +150,7 @@
         if let Some(state) = assembler.latest() {
             return Ok(Some(state));
         }
-        end = from;
+        end_offset = from;
     }
     Ok(None)
 }
--- a/crates/coordination/src/snapshot_chunks.rs
+++ b/crates/coordination/src/snapshot_chunks.rs
@@ -1,4 +1,4 @@
-//! Cutting a state into chunks and putting it together again.
+//! Splits a state into chunks and assembles chunks into a state.
 
 use {
     lynxwheel_protocol::{MAX_SNAPSHOT_CHUNKS, SNAPSHOT_CHUNK_BYTES, SnapshotChunk, SnapshotId},
@@ -6,10 +6,10 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Snapshots put together at once at most; older ones give way.
-const MAX_PARTIAL: usize = 8;
+/// Maximum number of snapshots being assembled; the oldest is dropped beyond it.
+const MAX_PARTIAL_SNAPSHOTS: usize = 8;
 
-/// Cuts a state into chunks; nothing when it cannot be encoded or is too large.
+/// Splits a state into chunks; returns `None` if it cannot be encoded or is too large.
 #[must_use]
 pub fn split_snapshot(state: &FleetState, writer: u64) -> Option<Vec<SnapshotChunk>> {
     let bytes = save(state).ok()?;
@@ -23,7 +23,7 @@
         chunks,
         digest: xxh3_64(&bytes),
     };
-    let cut = (0..)
+    let split = (0..)
         .zip(bytes.chunks(SNAPSHOT_CHUNK_BYTES))
         .map(|(index, part)| SnapshotChunk {
             id,
@@ -31,59 +31,59 @@
             bytes: part.to_vec(),
         })
         .collect();
-    Some(cut)
+    Some(split)
 }
 
-/// Snapshots being put together from chunks in any order.
+/// Assembles snapshots from chunks in any order.
 ///
-/// Two nodes may write at the same time, a writer may die half way, and an append may be repeated
-/// after a lost answer. Chunks are therefore kept apart by the whole identity of their snapshot,
-/// and a snapshot counts only when all are there and the digest matches.
+/// Two nodes may write snapshots concurrently, a writer may crash halfway, and an append may be
+/// repeated after a lost response. Chunks are therefore grouped by the full identity of their
+/// snapshot, and a snapshot is complete only if no chunk is missing and the digest matches.
 #[derive(Debug, Default)]
 pub struct SnapshotAssembler {
-    partial: Vec<Partial>,
+    snapshots: Vec<PartialSnapshot>,
 }
 
 #[derive(Debug)]
-struct Partial {
+struct PartialSnapshot {
     id: SnapshotId,
     parts: Vec<Option<Vec<u8>>>,
     missing: usize,
 }
 
 impl SnapshotAssembler {
-    /// Adds a chunk; one that does not fit its snapshot is ignored.
+    /// Adds a chunk; an invalid chunk is ignored.
     pub fn add(&mut self, chunk: SnapshotChunk) {
-        let is_sound = chunk.id.chunks <= MAX_SNAPSHOT_CHUNKS
+        let is_valid = chunk.id.chunks <= MAX_SNAPSHOT_CHUNKS
             && chunk.index < chunk.id.chunks
             && chunk.bytes.len() <= SNAPSHOT_CHUNK_BYTES;
-        if !is_sound {
+        if !is_valid {
             return;
         }
-        let row = match self
-            .partial
-            .binary_search_by_key(&chunk.id, |partial| partial.id)
+        let index = match self
+            .snapshots
+            .binary_search_by_key(&chunk.id, |snapshot| snapshot.id)
         {
-            Ok(row) => row,
-            Err(row) => {
-                self.partial.insert(row, Partial::new(chunk.id));
-                row
+            Ok(index) => index,
+            Err(index) => {
+                self.snapshots.insert(index, PartialSnapshot::new(chunk.id));
+                index
             }
         };
-        self.partial[row].add(chunk);
-        if self.partial.len() > MAX_PARTIAL {
-            self.partial.remove(0);
+        self.snapshots[index].add(chunk);
+        if self.snapshots.len() > MAX_PARTIAL_SNAPSHOTS {
+            self.snapshots.remove(0);
         }
     }
 
-    /// Returns the latest whole snapshot's state.
+    /// Returns the state of the latest complete snapshot.
     #[must_use]
     pub fn latest(&self) -> Option<FleetState> {
-        self.partial.iter().rev().find_map(Partial::state)
+        self.snapshots.iter().rev().find_map(PartialSnapshot::state)
     }
 }
 
-impl Partial {
+impl PartialSnapshot {
     fn new(id: SnapshotId) -> Self {
         let count = id.chunks as usize;
         Self {
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Starting and watching the attempts that this node holds.
 
 use {
-    crate::{cpu_share::CpuShare, node::Node, poll_schedule::Watched},
+    crate::{cpu_share::CpuShare, node::Node, poll_schedule::PollSchedule},
     log::{info, warn},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
@@ -30,14 +30,14 @@
     let platform = Client::new(node.settings().platform, CONNECTIONS);
     let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let mut offsets = node.published_state().subscribe();
-    let mut watched = Watched::default();
+    let mut schedule = PollSchedule::default();
     loop {
         let began = Instant::now();
         let state = node.state();
         let nodes = node.live_nodes();
         let now_ms = node.clock().now_ms();
         let mut steps = JoinSet::new();
-        watched.retain_running(&state);
+        schedule.retain_running(&state);
         for job in state.jobs().iter() {
             let Some(attempt) = &job.attempt else {
                 continue;
@@ -46,7 +46,7 @@
                 continue;
             }
             let age_ms = now_ms.saturating_sub(attempt.since_ms);
-            let is_due = watched.is_due(job, age_ms, now_ms);
+            let is_due = schedule.is_due(job, age_ms, now_ms);
             if is_due || needs_step(&state, attempt) {
                 let step = TaskStep {
                     node: node.clone(),
