--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -1,10 +1,10 @@
-//! Carrying out the claims that this node holds.
+//! Executes the claims that this node holds.
 
 use {
-    crate::{cpu_share::CpuShare, node::Node, observer::confirm_pool},
+    crate::{cpu_share::CpuShare, node::Node, observer::verify_pool},
     log::{info, warn},
     lynxwheel_decisions::{
-        ActionStep, ClaimReview, ClaimStep as Step, ReleaseReason, action_step, review_claims,
+        ActionStep, ClaimReview, ClaimStep, ReleaseReason, action_step, review_claims,
     },
     lynxwheel_protocol::{ActionRequest, ClaimPurpose, RecordBody, VmAction, VmName, VmPhase},
     lynxwheel_state::{Claim, ClaimStage, VmState},
@@ -14,67 +14,68 @@
     tokio::{task::JoinSet, time::Instant},
 };
 
-/// Time that a call to the platform may take, in milliseconds.
+/// Timeout of a request to the platform or an endpoint, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 2_000;
 
-/// Time between the recheck and the latest start of the action, in milliseconds.
+/// Time after which the platform must no longer start a requested action, in milliseconds.
 const ACTION_WINDOW_MS: u64 = 10_000;
 
-/// Connections to the platform for actions.
-const CONNECTIONS: usize = 8;
+/// Maximum number of connections to the platform for actions.
+const MAX_CONNECTIONS: usize = 8;
 
-/// Share of a core that looking for claims may take.
+/// CPU share for finding the claims to execute.
 const CPU_SHARE: CpuShare = CpuShare::new(5);
 
-/// Carries claims out for as long as it is polled.
-pub(crate) async fn act(node: Node) {
-    let platform = Client::new(node.settings().platform, CONNECTIONS);
+/// Executes claims for as long as it is polled.
+pub(crate) async fn execute_claims(node: Node) {
+    let platform = Client::new(node.settings().platform, MAX_CONNECTIONS);
     let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let mut offsets = node.published_state().subscribe();
     loop {
         if node.has_diverged() {
-            // A drain by a state that nobody else has would take a VM out of service uncharged.
+            // A drain based on a diverged state would not be charged to the pool's budget.
             tokio::time::sleep(tick).await;
             continue;
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let state = node.state();
         let reviews = review_claims(&state, &node.live_nodes());
-        let mut steps = JoinSet::new();
+        let mut executions = JoinSet::new();
         for vm in state.vms().iter() {
             let Some(claim) = &vm.claim else {
                 continue;
             };
             if claim.holder == node.settings().identity.node {
                 let release = release_reason(&reviews, &vm.name);
-                let step = ClaimStep::new(&node, &platform, vm, claim).with_release(release);
-                steps.spawn(step.take());
+                let execution =
+                    ClaimExecution::new(&node, &platform, vm, claim).with_release(release);
+                executions.spawn(execution.run());
             }
         }
-        let rest = CPU_SHARE.pause_after(began.elapsed());
-        steps.join_all().await;
-        tokio::time::sleep(rest).await;
+        let pause = CPU_SHARE.pause_after(started_at.elapsed());
+        executions.join_all().await;
+        tokio::time::sleep(pause).await;
         drop(tokio::time::timeout(tick, offsets.changed()).await);
     }
 }
 
-/// Returns why the claim on a VM is to be given back; reviews are few.
+/// Returns the reason to release the claim on a VM, if there is one.
 fn release_reason(reviews: &[ClaimReview], vm: &VmName) -> Option<ReleaseReason> {
     let review = reviews.iter().find(|review| review.vm == *vm)?;
     match review.step {
-        Step::Release(reason) => Some(reason),
-        Step::TakeOver => None,
+        ClaimStep::Release(reason) => Some(reason),
+        ClaimStep::TakeOver => None,
     }
 }
 
-/// Endpoint's own word on its load.
+/// Load in the response of an endpoint's health check.
 #[derive(Clone, Debug, Deserialize)]
 struct Load {
     in_progress: u32,
 }
 
-/// Next step of one claim.
-struct ClaimStep {
+/// Execution of the next step of a claim.
+struct ClaimExecution {
     node: Node,
     platform: Client,
     vm: VmState,
@@ -82,7 +83,7 @@
     release: Option<ReleaseReason>,
 }
 
-impl ClaimStep {
+impl ClaimExecution {
     fn new(node: &Node, platform: &Client, vm: &VmState, claim: &Claim) -> Self {
         Self {
             node: node.clone(),
@@ -93,42 +94,42 @@
         }
     }
 
-    /// Gives the claim back for `release` in place of its next step.
+    /// Sets a reason to release the claim instead of executing its next step.
     fn with_release(mut self, release: Option<ReleaseReason>) -> Self {
         self.release = release;
         self
     }
 
-    async fn take(self) {
+    async fn run(self) {
         if let Some(reason) = self.release {
             self.release(reason.as_str()).await;
             return;
         }
         match (&self.claim.purpose, self.claim.stage) {
             (ClaimPurpose::Move(_), _) => {
-                if self.drain().await && self.is_idle().await {
+                if self.request_drain().await && self.is_drained().await {
                     self.hand_over().await;
                 }
             }
             (ClaimPurpose::Maintain(_), ClaimStage::Draining) => {
-                if self.drain().await && self.is_idle().await {
+                if self.request_drain().await && self.is_drained().await {
                     self.begin().await;
                 }
             }
-            (ClaimPurpose::Maintain(_), ClaimStage::Acting) => self.finish().await,
+            (ClaimPurpose::Maintain(_), ClaimStage::Acting) => self.continue_action().await,
         }
     }
 
-    async fn drain(&self) -> bool {
-        self.call(
+    async fn request_drain(&self) -> bool {
+        self.request_action(
             VmAction::Drain,
             self.node.clock().now_ms() + ACTION_WINDOW_MS,
         )
         .await
     }
 
-    /// Tells whether nothing runs on the VM any more.
-    async fn is_idle(&self) -> bool {
+    /// Returns whether no request or attempt is running on the VM.
+    async fn is_drained(&self) -> bool {
         if self.vm.phase == VmPhase::Failed {
             return true;
         }
@@ -141,12 +142,12 @@
         let Ok(address) = self.vm.address.parse::<SocketAddr>() else {
             return true;
         };
-        let limit = Duration::from_millis(CALL_TIMEOUT_MS);
+        let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
         match self
             .node
             .endpoint_clients()
             .get(address)
-            .get("/healthz", limit)
+            .get("/healthz", timeout)
             .await
         {
             Ok(answer) => {
@@ -156,24 +157,26 @@
         }
     }
 
-    /// Rechecks the budget in the log, then acts at once; without room the claim is given back.
+    /// Begins the action, or releases the claim if the budget no longer allows it.
     async fn begin(&self) {
         if self.try_begin().await == Some(false) {
             self.release("budget_lost").await;
         }
     }
 
-    /// Opens a new window for an action that was not started in the last one.
-    async fn begin_again(&self) {
+    /// Begins the action again if it was not started within its time window.
+    async fn restart_action(&self) {
         if self.try_begin().await == Some(true) {
             self.log_step("begun_again");
         }
     }
 
-    /// Returns whether the recheck was accepted, if that is known.
+    /// Proposes to begin the action and requests it if accepted.
+    ///
+    /// Returns whether the proposal was accepted, or `None` if that is unknown.
     async fn try_begin(&self) -> Option<bool> {
-        if !confirm_pool(&self.node, &self.vm.pool).await {
-            // The fold knows of the loss by now and says whether the budget still has room.
+        if !verify_pool(&self.node, &self.vm.pool).await {
+            // The change has been reported; the fold rejects the proposal if it exceeds the budget.
             self.log_step("pool_changed");
         }
         let not_after_ms = self.node.clock().now_ms() + ACTION_WINDOW_MS;
@@ -182,30 +185,31 @@
             fence: self.claim.fence,
             not_after_ms,
         };
-        let decision = self.node.proposer().propose(body).await.ok()?;
-        let is_accepted = decision.verdict.is_accepted();
+        let outcome = self.node.proposer().propose(body).await.ok()?;
+        let is_accepted = outcome.verdict.is_accepted();
         if is_accepted {
-            self.call(VmAction::Reboot, not_after_ms).await;
+            self.request_action(VmAction::Reboot, not_after_ms).await;
         }
         Some(is_accepted)
     }
 
-    /// Sees an action that has begun through to its end.
-    async fn finish(&self) {
+    /// Advances an action that has begun.
+    async fn continue_action(&self) {
         let now_ms = self.node.clock().now_ms();
         let timeout_ms = self.node.settings().action_timeout_ms;
         match action_step(&self.vm, &self.claim, now_ms, timeout_ms) {
-            ActionStep::Complete => self.done(true).await,
+            ActionStep::Complete => self.propose_done(true).await,
             ActionStep::Tell => {
-                self.call(VmAction::Reboot, self.claim.not_after_ms).await;
+                self.request_action(VmAction::Reboot, self.claim.not_after_ms)
+                    .await;
             }
-            ActionStep::BeginAgain => self.begin_again().await,
+            ActionStep::BeginAgain => self.restart_action().await,
             ActionStep::Wait => {}
-            ActionStep::GiveUp => self.done(false).await,
+            ActionStep::GiveUp => self.propose_done(false).await,
         }
     }
 
-    async fn done(&self, succeeded: bool) {
+    async fn propose_done(&self, succeeded: bool) {
         self.log_step(if succeeded { "done" } else { "action_overdue" });
         let body = RecordBody::Done {
             vm: self.vm.name.clone(),
@@ -215,13 +219,12 @@
         self.node.proposer().propose_and_confirm(body).await;
     }
 
-    /// Gives the VM to its new pool.
+    /// Hands the VM over to its new pool.
     ///
-    /// The drain is undone first: nothing is sent to a claimed VM, and a node that dies between
-    /// the two steps leaves a claim that another one takes over, not a VM that counts as
-    /// available and takes no work.
+    /// The drain is undone first. If the node crashes between the two steps, it leaves a claimed
+    /// VM that another node takes over, rather than an available VM that rejects all work.
     async fn hand_over(&self) {
-        if !self.undrain().await {
+        if !self.request_undrain().await {
             return;
         }
         let body = RecordBody::HandOver {
@@ -233,9 +236,9 @@
         }
     }
 
-    /// Gives the claim back; the drain is undone first for the same reason as at a hand-over.
+    /// Releases the claim; the drain is undone first, as in [`Self::hand_over`].
     async fn release(&self, reason: &str) {
-        if !self.undrain().await {
+        if !self.request_undrain().await {
             return;
         }
         let body = RecordBody::Release {
@@ -247,26 +250,26 @@
         }
     }
 
-    async fn undrain(&self) -> bool {
-        self.call(
+    async fn request_undrain(&self) -> bool {
+        self.request_action(
             VmAction::Undrain,
             self.node.clock().now_ms() + ACTION_WINDOW_MS,
         )
         .await
     }
 
-    async fn call(&self, action: VmAction, not_after_ms: u64) -> bool {
+    async fn request_action(&self, action: VmAction, not_after_ms: u64) -> bool {
         let request = ActionRequest {
             action,
             fence: self.claim.fence,
             not_after_ms,
             vm_incarnation: self.claim.incarnation,
         };
-        let limit = Duration::from_millis(CALL_TIMEOUT_MS);
+        let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
         let path = action_path(&self.vm.name);
         match self
             .platform
-            .exchange::<_, bool>(&path, &request, limit)
+            .exchange::<_, bool>(&path, &request, timeout)
             .await
         {
             Ok(_) => true,
@@ -280,7 +283,8 @@
 
     fn log_step(&self, reason: &str) {
         info!(event = "placement", decision = "claim_step", vm = self.vm.name.as_str(),
-            fence = self.claim.fence, reason = reason, offset = self.node.state().offset(); "");
+            fence = self.claim.fence, reason = reason, offset = self.node.state().offset();
+            "step of a claim");
     }
 }
 
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -129,8 +129,8 @@
         threads.run("reader", reader::read_log(node.clone(), log, fold.clone()));
         threads.run("observer", observer::observe(node.clone()));
         threads.run("planner", planner::plan(node.clone()));
-        threads.run("actions", actions::act(node.clone()));
-        threads.run("tasks", tasks::run(node.clone()));
+        threads.run("actions", actions::execute_claims(node.clone()));
+        threads.run("tasks", tasks::run_attempts(node.clone()));
         threads.run("membership", exchange_hellos(node.clone()));
         threads.run("catch_up", catch_up(node.clone(), fold));
         threads.run("snapshots", write_snapshots(node.clone()));
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -1,8 +1,8 @@
-//! Finding out about VMs: the platform's list and probes of endpoints.
+//! Observes VMs through the platform's list and health checks of endpoints.
 //!
-//! Each VM is probed by one node. VMs in transition are probed at every tick and the others at a
-//! rate that grows no further with the fleet, and the list is fetched by one node in turn, so
-//! that what a node spends on it is bounded.
+//! Each VM is probed by one node. VMs in transition are probed in every tick, the others at a total
+//! rate that does not grow with the fleet. The list is fetched by one node at a time. This bounds
+//! the load on a node.
 
 use {
     crate::node::Node,
@@ -18,26 +18,26 @@
     tokio::task::JoinSet,
 };
 
-/// Time that a probe may take, in milliseconds.
+/// Timeout of a probe, in milliseconds.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 
-/// Time that the VM list may take, in milliseconds.
+/// Timeout of a request for the VM list, in milliseconds.
 const LIST_TIMEOUT_MS: u64 = 2_000;
 
-/// Shortest time between two fetches of the list by all nodes together, in milliseconds.
-const LIST_MS: u64 = 500;
+/// Minimum interval between two fetches of the list by all nodes together, in milliseconds.
+const MIN_LIST_INTERVAL_MS: u64 = 500;
 
-/// Time added to it for each VM, in milliseconds: the list grows with the fleet.
-const LIST_MS_PER_VM: u64 = 10;
+/// Addition to the interval per VM of the fleet, in milliseconds.
+const LIST_INTERVAL_MS_PER_VM: u64 = 10;
 
-/// Shortest time between two probes of a VM that is not in transition, in milliseconds.
-const QUIET_MS: u64 = 500;
+/// Minimum interval between two probes of a VM that is not in transition, in milliseconds.
+const MIN_STABLE_PROBE_INTERVAL_MS: u64 = 500;
 
-/// Time added to it for each VM that the node probes, in milliseconds: 16 probes a second at
-/// most.
-const QUIET_MS_PER_VM: u64 = 100;
+/// Addition to the interval per VM that the node probes, in milliseconds; limits the node to 10
+/// such probes a second.
+const STABLE_PROBE_INTERVAL_MS_PER_VM: u64 = 100;
 
-/// Endpoint's own word on its health.
+/// Response of an endpoint's health check.
 #[derive(Clone, Debug, Deserialize)]
 struct Health {
     vm: String,
@@ -45,16 +45,16 @@
     leaving: bool,
 }
 
-/// When a VM was probed last.
+/// Time of the last probe of a VM.
 #[derive(Clone, Debug)]
-struct Probed {
+struct LastProbe {
     vm: VmName,
-    at_ms: u64,
+    probed_ms: u64,
 }
 
-/// Answer to a probe, or its absence.
+/// Result of a probe; `health` is `None` if the endpoint did not answer.
 #[derive(Debug)]
-struct Finding {
+struct ProbeResult {
     vm: VmName,
     probe_ms: u64,
     health: Option<Health>,
@@ -63,28 +63,33 @@
 /// Observes VMs for as long as it is polled.
 pub(crate) async fn observe(node: Node) {
     let platform = Client::new(node.settings().platform, 2);
-    let mut probed = Vec::new();
-    let mut list_turn = 0;
+    let mut last_probes = Vec::new();
+    let mut last_list_period = 0;
     loop {
-        if let Some(list) = fetch_in_turn(&node, &platform, &mut list_turn).await {
+        if let Some(list) = fetch_list_if_due(&node, &platform, &mut last_list_period).await {
             report_list(&node, list).await;
         }
-        let due = due_probes(&node, &mut probed);
+        let due = due_probes(&node, &mut last_probes);
         report_probes(&node, due).await;
         tokio::time::sleep(Duration::from_millis(node.settings().poll_interval_ms)).await;
     }
 }
 
-/// Fetches the list when it is this node's turn.
-async fn fetch_in_turn(node: &Node, platform: &Client, last_turn: &mut u64) -> Option<VmList> {
-    let interval_ms = LIST_MS + LIST_MS_PER_VM * node.state().vms().len() as u64;
-    let turn = node.clock().now_ms() / interval_ms;
-    if turn == *last_turn || !is_first(node, &format!("vm-list/{turn}")) {
+/// Fetches the list once per period if this node ranks first for the period.
+async fn fetch_list_if_due(
+    node: &Node,
+    platform: &Client,
+    last_period: &mut u64,
+) -> Option<VmList> {
+    let interval_ms =
+        MIN_LIST_INTERVAL_MS + LIST_INTERVAL_MS_PER_VM * node.state().vms().len() as u64;
+    let period = node.clock().now_ms() / interval_ms;
+    if period == *last_period || !has_first_rank(node, &format!("vm-list/{period}")) {
         return None;
     }
-    *last_turn = turn;
-    let limit = Duration::from_millis(LIST_TIMEOUT_MS);
-    match platform.fetch::<VmList>("/vms", limit).await {
+    *last_period = period;
+    let timeout = Duration::from_millis(LIST_TIMEOUT_MS);
+    match platform.fetch::<VmList>("/vms", timeout).await {
         Ok(list) => Some(list),
         Err(error) => {
             debug!(event = "vm_list_failed"; "{error}");
@@ -93,15 +98,15 @@
     }
 }
 
-fn is_first(node: &Node, subject: &str) -> bool {
+fn has_first_rank(node: &Node, subject: &str) -> bool {
     rendezvous_rank(subject, &node.settings().identity.node, &node.live_nodes()) == 0
 }
 
-/// Reports what the list says of VMs that go, and probes those in another life or place.
+/// Reports VMs that are leaving according to the list, and probes those whose entry has changed.
 ///
-/// The list lags, and so may this node's state after a pause: a report by the list alone would
-/// take a VM out of service that another node has found live in its new life. So a new life counts
-/// only when the VM itself shows it.
+/// The list may be stale, and so may this node's state after a pause. Reporting a new incarnation
+/// from the list alone could take a VM out of service that another node has found live, so it is
+/// reported only after the VM itself has confirmed it.
 async fn report_list(node: &Node, list: VmList) {
     let state = node.state();
     let mut probes = JoinSet::new();
@@ -112,24 +117,24 @@
         };
         if entry.incarnation == vm.incarnation && entry.state == VmListState::Leaving {
             let seen_ms = list.made_ms.max(vm.evidence_ms);
-            reports.push(entry_report(entry, VmPhase::Leaving, seen_ms));
-        } else if is_elsewhere(vm, &entry) {
-            probes.spawn(probe_entry(node.clone(), entry));
+            reports.push(report_from_entry(entry, VmPhase::Leaving, seen_ms));
+        } else if has_changed(vm, &entry) {
+            probes.spawn(probe_list_entry(node.clone(), entry));
         }
     }
-    while let Some(found) = probes.join_next().await {
-        if let Ok(Some(report)) = found {
+    while let Some(result) = probes.join_next().await {
+        if let Ok(Some(report)) = result {
             reports.push(report);
         }
     }
     reports.retain(|report| {
         let vm = state.vms().get(report.vm.as_str());
-        vm.is_some_and(|vm| is_news(vm, report))
+        vm.is_some_and(|vm| is_change(vm, report))
     });
-    propose(node, &mut reports).await;
+    propose_reports(node, &mut reports).await;
 }
 
-fn is_elsewhere(vm: &VmState, entry: &VmEntry) -> bool {
+fn has_changed(vm: &VmState, entry: &VmEntry) -> bool {
     let is_same = vm.address == entry.address
         && vm.zone == entry.zone
         && vm.rack == entry.rack
@@ -138,7 +143,7 @@
     !is_same && entry.incarnation >= vm.incarnation
 }
 
-async fn probe_entry(node: Node, entry: VmEntry) -> Option<VmReport> {
+async fn probe_list_entry(node: Node, entry: VmEntry) -> Option<VmReport> {
     let address = entry.address.parse::<SocketAddr>().ok()?;
     let client = node.endpoint_clients().get(address);
     let probe_ms = node.clock().now_ms();
@@ -148,12 +153,12 @@
     } else {
         VmPhase::Live
     };
-    let mut report = entry_report(entry, phase, probe_ms);
+    let mut report = report_from_entry(entry, phase, probe_ms);
     report.incarnation = health.incarnation;
     Some(report)
 }
 
-fn entry_report(entry: VmEntry, phase: VmPhase, evidence_ms: u64) -> VmReport {
+fn report_from_entry(entry: VmEntry, phase: VmPhase, evidence_ms: u64) -> VmReport {
     VmReport {
         vm: entry.name,
         incarnation: entry.incarnation,
@@ -166,30 +171,37 @@
     }
 }
 
-/// Returns the VMs of this node whose next probe is due, and notes that they are probed.
-fn due_probes(node: &Node, probed: &mut Vec<Probed>) -> Vec<VmState> {
+/// Returns the VMs assigned to this node whose next probe is due, and records the probes.
+fn due_probes(node: &Node, last_probes: &mut Vec<LastProbe>) -> Vec<VmState> {
     let state = node.state();
     let now_ms = node.clock().now_ms();
-    let own: Vec<&VmState> = state
+    let own_vms: Vec<&VmState> = state
         .vms()
         .iter()
-        .filter(|vm| !vm.address.is_empty() && is_first(node, vm.name.as_str()))
+        .filter(|vm| !vm.address.is_empty() && has_first_rank(node, vm.name.as_str()))
         .collect();
-    let quiet_ms = QUIET_MS + QUIET_MS_PER_VM * own.len() as u64;
-    probed.retain(|row| state.vms().get(row.vm.as_str()).is_some());
+    let stable_interval_ms =
+        MIN_STABLE_PROBE_INTERVAL_MS + STABLE_PROBE_INTERVAL_MS_PER_VM * own_vms.len() as u64;
+    last_probes.retain(|last| state.vms().get(last.vm.as_str()).is_some());
     let mut due = Vec::new();
-    for vm in own {
-        let is_quiet = vm.phase == VmPhase::Live && vm.claim.is_none();
-        let wait_ms = if is_quiet { quiet_ms } else { 0 };
-        let row = probed.binary_search_by(|row| row.vm.cmp(&vm.name));
-        if row.is_ok_and(|row| now_ms < probed[row].at_ms + wait_ms) {
+    for vm in own_vms {
+        let is_stable = vm.phase == VmPhase::Live && vm.claim.is_none();
+        let wait_ms = if is_stable { stable_interval_ms } else { 0 };
+        let index = last_probes.binary_search_by(|last| last.vm.cmp(&vm.name));
+        if index.is_ok_and(|index| now_ms < last_probes[index].probed_ms + wait_ms) {
             continue;
         }
-        match row {
-            Ok(row) => probed[row].at_ms = now_ms,
-            Err(row) => {
+        match index {
+            Ok(index) => last_probes[index].probed_ms = now_ms,
+            Err(index) => {
                 let vm = vm.name.clone();
-                probed.insert(row, Probed { vm, at_ms: now_ms });
+                last_probes.insert(
+                    index,
+                    LastProbe {
+                        vm,
+                        probed_ms: now_ms,
+                    },
+                );
             }
         }
         due.push(vm.clone());
@@ -197,7 +209,7 @@
     due
 }
 
-/// Probes VMs and reports what is news; tells whether anything was.
+/// Probes VMs and reports changes; returns whether there were any.
 async fn report_probes(node: &Node, vms: Vec<VmState>) -> bool {
     let mut probes = JoinSet::new();
     for vm in vms {
@@ -209,12 +221,12 @@
             let mut probe_ms = clock.now_ms();
             let mut health = probe(client.as_ref(), &vm.name).await;
             if health.is_none() {
-                // A node that was paused finds its probes timed out when it wakes, though the
-                // endpoints answered. Without a second look it would report sound VMs as failed.
+                // When a paused node resumes, its probes have timed out although the endpoints
+                // answered. The second probe keeps it from reporting healthy VMs as failed.
                 probe_ms = clock.now_ms();
                 health = probe(client.as_ref(), &vm.name).await;
             }
-            Finding {
+            ProbeResult {
                 vm: vm.name,
                 probe_ms,
                 health,
@@ -222,22 +234,22 @@
         });
     }
     let mut reports = Vec::new();
-    while let Some(found) = probes.join_next().await {
-        if let Ok(finding) = found {
-            reports.extend(probe_report(&node.state(), &finding));
+    while let Some(result) = probes.join_next().await {
+        if let Ok(result) = result {
+            reports.extend(report_from_probe(&node.state(), &result));
         }
     }
-    let is_news = !reports.is_empty();
-    propose(node, &mut reports).await;
-    is_news
+    let has_changes = !reports.is_empty();
+    propose_reports(node, &mut reports).await;
+    has_changes
 }
 
-/// Asks the available VMs of a pool right before a planned step; tells whether all of them are
-/// there.
+/// Probes the available VMs of a pool before a planned disruption; returns whether all of them are
+/// unchanged.
 ///
-/// A VM may have failed since its last probe. Without a fresh look a planned step would take the
-/// pool below its floor for as long as the failure is not noticed.
-pub(crate) async fn confirm_pool(node: &Node, pool: &PoolName) -> bool {
+/// A VM may have failed since its last probe, and the disruption would then take the pool below
+/// its availability floor.
+pub(crate) async fn verify_pool(node: &Node, pool: &PoolName) -> bool {
     let state = node.state();
     let available: Vec<VmState> = state
         .vms()
@@ -248,12 +260,13 @@
     !report_probes(node, available).await
 }
 
-async fn propose(node: &Node, reports: &mut [VmReport]) {
+async fn propose_reports(node: &Node, reports: &mut [VmReport]) {
     reports.sort();
-    // After a zone's failure the reports of a whole fleet would exceed a record's bound and be
-    // refused again and again.
+    // After the failure of an availability zone all reports in one record would exceed its size
+    // limit.
     for reports in reports.chunks(MAX_REPORTS) {
-        info!(event = "vm_reports", count = reports.len(), offset = node.state().offset(); "");
+        info!(event = "vm_reports", count = reports.len(), offset = node.state().offset();
+            "reporting changes of VMs");
         let reports = reports.to_vec();
         node.proposer()
             .propose_and_confirm(RecordBody::Report { reports })
@@ -262,41 +275,41 @@
 }
 
 async fn probe(client: Option<&Client>, vm: &VmName) -> Option<Health> {
-    let limit = Duration::from_millis(PROBE_TIMEOUT_MS);
-    let answer = client?.get("/healthz", limit).await.ok()?;
-    let health: Health = serde_json::from_slice(&answer.body).ok()?;
+    let timeout = Duration::from_millis(PROBE_TIMEOUT_MS);
+    let response = client?.get("/healthz", timeout).await.ok()?;
+    let health: Health = serde_json::from_slice(&response.body).ok()?;
     (health.vm == vm.as_str()).then_some(health)
 }
 
-/// Returns what to report of a probed VM, if it is news.
-fn probe_report(state: &FleetState, finding: &Finding) -> Option<VmReport> {
-    let vm = state.vms().get(finding.vm.as_str())?;
-    // A VM that announced that it goes may still answer well; only its next life is live again.
+/// Returns the report on a probed VM, if it changes anything.
+fn report_from_probe(state: &FleetState, result: &ProbeResult) -> Option<VmReport> {
+    let vm = state.vms().get(result.vm.as_str())?;
+    // A leaving VM may still answer as healthy; only its next incarnation is live again.
     let is_leaving = |health: &Health| {
         health.leaving || vm.phase == VmPhase::Leaving && health.incarnation == vm.incarnation
     };
-    let phase = match &finding.health {
+    let phase = match &result.health {
         None => VmPhase::Failed,
         Some(health) if is_leaving(health) => VmPhase::Leaving,
         Some(_) => VmPhase::Live,
     };
     let report = VmReport {
         vm: vm.name.clone(),
-        incarnation: finding
+        incarnation: result
             .health
             .as_ref()
             .map_or(vm.incarnation, |health| health.incarnation),
         phase,
-        evidence_ms: finding.probe_ms,
+        evidence_ms: result.probe_ms,
         zone: vm.zone.clone(),
         rack: vm.rack.clone(),
         address: vm.address.clone(),
         capacity: vm.capacity,
     };
-    is_news(vm, &report).then_some(report)
+    is_change(vm, &report).then_some(report)
 }
 
-fn is_news(vm: &VmState, report: &VmReport) -> bool {
+fn is_change(vm: &VmState, report: &VmReport) -> bool {
     let is_same = vm.incarnation == report.incarnation
         && vm.phase == report.phase
         && vm.zone == report.zone
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Starting and watching the attempts that this node holds.
+//! Starts and monitors the attempts that this node is responsible for.
 
 use {
     crate::{cpu_share::CpuShare, node::Node, poll_schedule::PollSchedule},
@@ -13,28 +13,28 @@
     tokio::{task::JoinSet, time::Instant},
 };
 
-/// Time that a call to a worker may take, in milliseconds.
+/// Timeout of a call to a worker, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 2_000;
 
-/// Connections to the platform for tasks.
-const CONNECTIONS: usize = 16;
+/// Maximum number of connections to the platform for tasks.
+const MAX_CONNECTIONS: usize = 16;
 
-/// Status by which a worker says that it did not start an attempt.
-const NOT_STARTED: &str = "status 409";
+/// Prefix of the error reason with which a worker refuses to start an attempt.
+const NOT_STARTED_REASON: &str = "status 409";
 
-/// Share of a core that looking for attempts may take.
+/// CPU share for finding the attempts to poll.
 const CPU_SHARE: CpuShare = CpuShare::new(5);
 
 /// Runs attempts for as long as it is polled.
-pub(crate) async fn run(node: Node) {
-    let platform = Client::new(node.settings().platform, CONNECTIONS);
+pub(crate) async fn run_attempts(node: Node) {
+    let platform = Client::new(node.settings().platform, MAX_CONNECTIONS);
     let tick = Duration::from_millis(node.settings().poll_interval_ms);
     let mut offsets = node.published_state().subscribe();
     let mut schedule = PollSchedule::default();
     loop {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let state = node.state();
-        let nodes = node.live_nodes();
+        let live_nodes = node.live_nodes();
         let now_ms = node.clock().now_ms();
         let mut steps = JoinSet::new();
         schedule.retain_running(&state);
@@ -42,75 +42,76 @@
             let Some(attempt) = &job.attempt else {
                 continue;
             };
-            if !is_own(&node, &nodes, job, attempt) {
+            if !is_responsible(&node, &live_nodes, job, attempt) {
                 continue;
             }
             let age_ms = now_ms.saturating_sub(attempt.since_ms);
             let is_due = schedule.is_due(job, age_ms, now_ms);
-            if is_due || needs_step(&state, attempt) {
-                let step = TaskStep {
+            if is_due || needs_immediate_poll(&state, attempt) {
+                let step = AttemptStep {
                     node: node.clone(),
                     platform: platform.clone(),
                     job: job.clone(),
                     attempt: attempt.clone(),
                 };
-                steps.spawn(step.take());
+                steps.spawn(step.run());
             }
         }
-        let rest = CPU_SHARE.pause_after(began.elapsed());
+        let pause = CPU_SHARE.pause_after(started_at.elapsed());
         steps.join_all().await;
-        tokio::time::sleep(rest).await;
+        tokio::time::sleep(pause).await;
         drop(tokio::time::timeout(tick, offsets.changed()).await);
     }
 }
 
-/// Tells whether an attempt is to stop, or its VM is gone or claimed, which cannot wait.
-fn needs_step(state: &FleetState, attempt: &Attempt) -> bool {
+/// Returns whether an attempt is stopping, or its VM is lost or claimed.
+fn needs_immediate_poll(state: &FleetState, attempt: &Attempt) -> bool {
     let vm = state.vms().get(attempt.vm.as_str());
     let is_claimed = vm.is_some_and(|vm| vm.claim.is_some());
-    attempt.stopping || is_claimed || is_vm_gone(vm, attempt)
+    attempt.stopping || is_claimed || is_vm_lost(vm, attempt)
 }
 
-/// Tells whether the VM that an attempt was placed on cannot be asked about it any more.
-fn is_vm_gone(vm: Option<&VmState>, attempt: &Attempt) -> bool {
+/// Returns whether the VM of an attempt has failed, was deleted or has a newer incarnation.
+fn is_vm_lost(vm: Option<&VmState>, attempt: &Attempt) -> bool {
     vm.is_none_or(|vm| vm.phase == VmPhase::Failed || vm.incarnation > attempt.vm_incarnation)
 }
 
-/// Tells whether this node watches an attempt: as its holder, or in place of one that is gone.
+/// Returns whether this node is responsible for an attempt: as its holder, or in place of a holder
+/// that is gone.
 ///
-/// Without a successor the lease of a running job would lapse and its run be lost.
-fn is_own(node: &Node, nodes: &[NodeName], job: &JobState, attempt: &Attempt) -> bool {
+/// Without a successor the lease of a running attempt would expire.
+fn is_responsible(node: &Node, live_nodes: &[NodeName], job: &JobState, attempt: &Attempt) -> bool {
     let own = &node.settings().identity.node;
     if attempt.holder == *own {
         return true;
     }
-    let is_gone = nodes.binary_search(&attempt.holder).is_err();
-    is_gone && rendezvous_rank(job.spec.pool.as_str(), own, nodes) == 0
+    let is_holder_gone = live_nodes.binary_search(&attempt.holder).is_err();
+    is_holder_gone && rendezvous_rank(job.spec.pool.as_str(), own, live_nodes) == 0
 }
 
-/// Next step of one attempt.
-struct TaskStep {
+/// Next step of an attempt.
+struct AttemptStep {
     node: Node,
     platform: Client,
     job: JobState,
     attempt: Attempt,
 }
 
-impl TaskStep {
-    async fn take(self) {
+impl AttemptStep {
+    async fn run(self) {
         let state = self.node.state();
         let vm = state.vms().get(self.attempt.vm.as_str());
-        if is_vm_gone(vm, &self.attempt) {
-            // Asked before, the fold would reject it: a lost rack's attempts would fill the log
-            // with rejected records, some in each tick, until their leases have lapsed.
+        if is_vm_lost(vm, &self.attempt) {
+            // The fold rejects the end before the lease has expired. Proposing it earlier would
+            // fill the log with rejected records in every tick after the loss of a rack.
             if state.is_over(&self.attempt) {
-                self.end(JobOutcome::Lost).await;
+                self.propose_end(JobOutcome::Lost).await;
             }
             return;
         }
         match self.start().await {
-            Err(error) if error.reason.starts_with(NOT_STARTED) => {
-                self.end(JobOutcome::NotStarted).await;
+            Err(error) if error.reason.starts_with(NOT_STARTED_REASON) => {
+                self.propose_end(JobOutcome::NotStarted).await;
                 return;
             }
             Err(error) => {
@@ -124,16 +125,16 @@
         if self.attempt.stopping || is_drained && self.job.spec.checkpoint {
             self.stop().await;
         }
-        if let Some(report) = self.report().await {
-            self.note(&report).await;
+        if let Some(report) = self.fetch_report().await {
+            self.handle_report(&report).await;
         }
     }
 
-    /// Starts the attempt; a worker that knows it already renews its lease instead.
+    /// Starts the attempt; a worker that already runs it renews its lease instead.
     ///
-    /// The worker refuses a start for an earlier life of its VM, which ran the attempt once and
-    /// forgot it, and one that comes too late: a holder that was paused for longer than the
-    /// attempt took to count as lost would start it beside its successor.
+    /// The worker refuses a start for an earlier incarnation of its VM, which may have run the
+    /// attempt already, and one after `not_after_ms`, when a holder that was paused could start it
+    /// in parallel with its successor.
     async fn start(&self) -> Result<bool, TransportError> {
         let start = TaskStart {
             job: self.job.spec.name.clone(),
@@ -155,37 +156,38 @@
             "/vms/{}/tasks/{}/stop?attempt={}",
             self.attempt.vm, self.job.spec.name, self.job.attempts
         );
-        let limit = Duration::from_millis(CALL_TIMEOUT_MS);
-        if let Err(error) = self.platform.exchange::<_, bool>(&path, &(), limit).await {
+        let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
+        if let Err(error) = self.platform.exchange::<_, bool>(&path, &(), timeout).await {
             warn!(event = "task_stop_failed", job = self.job.spec.name.as_str(); "{error}");
         }
     }
 
-    async fn report(&self) -> Option<TaskReport> {
+    async fn fetch_report(&self) -> Option<TaskReport> {
         let path = format!("/vms/{}/tasks", self.attempt.vm);
-        let limit = Duration::from_millis(CALL_TIMEOUT_MS);
-        let reports: Vec<TaskReport> = self.platform.fetch(&path, limit).await.ok()?;
+        let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
+        let reports: Vec<TaskReport> = self.platform.fetch(&path, timeout).await.ok()?;
         reports
             .into_iter()
             .find(|report| report.job == self.job.spec.name && report.attempt == self.job.attempts)
     }
 
-    async fn note(&self, report: &TaskReport) {
+    async fn handle_report(&self, report: &TaskReport) {
         match report.state {
-            TaskState::Running => self.note_usage(report).await,
-            TaskState::Succeeded => self.end(JobOutcome::Succeeded).await,
-            TaskState::Failed => self.end(JobOutcome::Failed).await,
-            TaskState::Checkpointed => self.end(JobOutcome::Checkpointed).await,
+            TaskState::Running => self.record_usage(report).await,
+            TaskState::Succeeded => self.propose_end(JobOutcome::Succeeded).await,
+            TaskState::Failed => self.propose_end(JobOutcome::Failed).await,
+            TaskState::Checkpointed => self.propose_end(JobOutcome::Checkpointed).await,
         }
     }
 
-    /// Records the use when it is well above what is known; most jobs take one record or none.
-    async fn note_usage(&self, report: &TaskReport) {
-        let known = &self.job.estimate.used;
-        let is_news = report.used.cores_milli > known.cores_milli + known.cores_milli / 4
-            || report.used.memory_mib > known.memory_mib + known.memory_mib / 4
-            || report.used.accelerators > known.accelerators;
-        if !is_news || report.used == self.attempt.reserved {
+    /// Records the usage if it is well above the known estimate; limits the records per job.
+    async fn record_usage(&self, report: &TaskReport) {
+        let known_usage = &self.job.estimate.used;
+        let is_significant = report.used.cores_milli
+            > known_usage.cores_milli + known_usage.cores_milli / 4
+            || report.used.memory_mib > known_usage.memory_mib + known_usage.memory_mib / 4
+            || report.used.accelerators > known_usage.accelerators;
+        if !is_significant || report.used == self.attempt.reserved {
             return;
         }
         let body = RecordBody::Usage {
@@ -196,7 +198,7 @@
         self.node.proposer().propose_and_confirm(body).await;
     }
 
-    async fn end(&self, outcome: JobOutcome) {
+    async fn propose_end(&self, outcome: JobOutcome) {
         let body = RecordBody::End {
             job: self.job.spec.name.clone(),
             attempt: self.job.attempts,
@@ -205,7 +207,7 @@
         if self.node.proposer().propose_and_confirm(body).await {
             info!(event = "placement", decision = "end", job = self.job.spec.name.as_str(),
                 vm = self.attempt.vm.as_str(), outcome = format!("{outcome:?}").as_str();
-                "");
+                "recorded the end of an attempt");
         }
     }
 }
