--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -5,8 +5,8 @@
 use {
     common::{Fleet, POOL, job_id, step},
     lynxwheel_engine::{
-        EndKind, Endpoint, EndpointKey, Endpoints, Engine, Job, JobSpec, Phase, Room, StepSpec,
-        TaskRef,
+        EndKind, Endpoint, EndpointKey, Endpoints, Engine, Job, JobSpec, Phase, Resources,
+        StepSpec, TaskRef,
     },
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
@@ -27,7 +27,7 @@
 /// Room of an endpoint and its tasks of one step, as they change while tasks are placed.
 struct Slot<'a> {
     endpoint: &'a Endpoint,
-    free: Room,
+    free: Resources,
     placed: Vec<TaskRef>,
 }
 
@@ -65,7 +65,7 @@
             let Some(slot) = best(&mut slots, &task, &spec, avoid) else {
                 break;
             };
-            slot.free = slot.free.less(&spec.charged());
+            slot.free = slot.free.saturating_sub(&spec.charged());
             slot.placed.push(task);
             starts.push((task, slot.endpoint.key));
         }
@@ -115,7 +115,7 @@
 /// Returns how urgent a step is, and the time that its job may wait; the objective is 1.6 times its
 /// chain and 600 ms.
 fn urgency(job: &Job, spec: &StepSpec, left_ms: u64, now_ms: u64) -> (u8, i64) {
-    let objective_ms = job.spec.chain_ms() * 8 / 5 + job.queue.target_latency_ms;
+    let objective_ms = job.spec.critical_path_ms() * 8 / 5 + job.queue.target_latency_ms;
     let passed_ms = now_ms - job.accepted_ms;
     let signed = |ms: u64| i64::try_from(ms).expect("a short time");
     let slack_ms = signed(objective_ms) - signed(passed_ms) - signed(left_ms);
@@ -139,7 +139,7 @@
 ) -> Option<&'a mut Slot<'b>> {
     slots
         .iter_mut()
-        .filter(|slot| slot.free.holds(&spec.charged()))
+        .filter(|slot| slot.free.can_fit(&spec.charged()))
         .filter(|slot| {
             spec.required_label.is_empty() || slot.endpoint.has_label(&spec.required_label)
         })
@@ -232,7 +232,7 @@
         }
         let mut expected = expected(&fleet.engine, fleet.now.steady_ms);
         expected.sort_unstable();
-        let batch = fleet.engine.cut_batch(fleet.now);
+        let batch = fleet.engine.take_batch(fleet.now);
         assert_eq!(placed(&fleet.engine), expected);
         fleet.put_in_flight(batch);
         let ms = random.random_range(1..6) * 100;
