--- a/crates/coordination/tests/readiness.rs
+++ b/crates/coordination/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! Which nodes a balancer gets.
+//! Readiness of nodes for load balancers.
 
 use lynxwheel_coordination::Readiness;
 
@@ -25,21 +25,20 @@
 
 cases! {
     current: CURRENT => true;
-    /// Crews get no maps while the platform's log is down, though nothing that a map needs is
-    /// missing. Every node had turned its readiness off, and the balancer had nobody left.
-    log_down_for_everybody: Readiness { log_reading_peers: 0, ..BEHIND } => true;
-    log_down_for_a_single_node: Readiness {
+    /// Guards against all nodes becoming unready during an outage of the log, although idempotent
+    /// requests do not need it.
+    log_down_for_all_nodes: Readiness { log_reading_peers: 0, ..BEHIND } => true;
+    log_down_without_peers: Readiness {
         configured_peers: 0,
         live_peers: 0,
         log_reading_peers: 0,
         ..BEHIND
     } => true;
-    /// A node is cut from the log and the others read it. It misses declarations and leaving
-    /// endpoints, and the balancer has other nodes.
-    cut_from_the_log_alone: Readiness { log_reading_peers: 5, ..BEHIND } => false;
-    cut_from_everything: Readiness { live_peers: 0, log_reading_peers: 0, ..BEHIND } => false;
-    /// A node that starts during the outage knows nothing to serve by.
-    started_in_the_outage: Readiness {
+    /// A node that alone cannot read the log misses declarations, while others can serve.
+    isolated_from_the_log: Readiness { log_reading_peers: 5, ..BEHIND } => false;
+    isolated_from_all: Readiness { live_peers: 0, log_reading_peers: 0, ..BEHIND } => false;
+    /// A node that starts during an outage has no state to serve from.
+    started_during_an_outage: Readiness {
         has_been_current: false,
         log_reading_peers: 0,
         ..BEHIND
