--- a/crates/coordination/tests/attempts.rs
+++ b/crates/coordination/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What a node writes about the attempts that it watches.
+//! Records that a node proposes for its attempts.
 
 use {
     lynxwheel_coordination::{Node, NodeIdentity, NodeSettings, ProposeError},
@@ -15,8 +15,8 @@
     },
 };
 
-const LIMIT: Duration = Duration::from_mins(1);
-const LOOK: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const TICK_MS: u64 = 20;
 
 const DEMAND: Resources = Resources {
@@ -65,23 +65,22 @@
     loop {
         match node.proposer().propose(body.clone()).await {
             Ok(decision) => return assert!(decision.verdict.is_accepted(), "{decision:?}"),
-            Err(ProposeError::NotAppended { .. }) => tokio::time::sleep(LOOK).await,
+            Err(ProposeError::NotAppended { .. }) => tokio::time::sleep(POLL_INTERVAL).await,
             Err(error) => panic!("{error}"),
         }
     }
 }
 
-async fn wait_until(node: &Node, what: &str, holds: impl Fn(&FleetState) -> bool) {
-    let until = Instant::now() + LIMIT;
-    while !holds(&node.state()) {
-        assert!(Instant::now() < until, "not within {LIMIT:?}: {what}");
-        tokio::time::sleep(LOOK).await;
+async fn wait_until(node: &Node, what: &str, condition: impl Fn(&FleetState) -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition(&node.state()) {
+        assert!(Instant::now() < deadline, "not within {TIMEOUT:?}: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A rack fails, and declarations take seconds to be accepted. For each attempt on its VMs the
-/// watching node wrote in every tick that it was lost, and the fold rejected each record until
-/// the attempt's lease had lapsed. Nothing must be written before that.
+/// Guards against proposing the end of an attempt on a failed VM in every tick, although the fold
+/// rejects it until the attempt's lease has expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn attempt_on_a_failed_vm_is_not_reported_in_every_tick() {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -119,7 +118,7 @@
     assert_eq!(
         ends.count(),
         0,
-        "records of an end that cannot be known yet"
+        "ends proposed before the lease has expired"
     );
     shutdown.begin();
     tokio::task::spawn_blocking(move || threads.join())
--- a/crates/coordination/tests/joining.rs
+++ b/crates/coordination/tests/joining.rs
@@ -1,4 +1,4 @@
-//! What a node does before the log knows its run.
+//! Proposals before the node has joined.
 
 use {
     lynxwheel_coordination::{Node, NodeIdentity, NodeSettings, ProposeError},
@@ -9,11 +9,10 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// An operator declares something right after a node's start and sees a valid declaration
-/// refused for good. It had entered the log before the node's join, so the fold did not know the
-/// writer. A proposal must be put off until the join is folded, and then be accepted.
+/// Guards against a proposal that enters the log before the node's join and is rejected
+/// permanently because the fold does not know its writer.
 #[tokio::test(flavor = "multi_thread")]
-async fn proposal_right_after_the_start() {
+async fn proposal_before_the_join_is_deferred() {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::start(any_port, &[], 100)
         .await
@@ -22,7 +21,7 @@
     let settings = NodeSettings::new(NodeIdentity::new("node-1", "zone-1"), platform.address());
     let shutdown = Shutdown::new();
     let (node, threads) = Node::start(settings, &shutdown);
-    let mut is_put_off = false;
+    let mut is_deferred = false;
     let verdict = loop {
         match node
             .proposer()
@@ -34,13 +33,16 @@
             Ok(decision) => break decision.verdict,
             Err(ProposeError::NotAppended { retry_after_ms }) => {
                 assert!(retry_after_ms > 0);
-                is_put_off = true;
+                is_deferred = true;
             }
             Err(ProposeError::OutcomeUnknown { id }) => panic!("unknown outcome of {id:?}"),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
-    assert!(is_put_off, "nothing was put off, so the test shows nothing");
+    assert!(
+        is_deferred,
+        "no proposal was deferred, so the test proves nothing"
+    );
     assert_eq!(verdict, Verdict::Accepted);
     shutdown.begin();
     tokio::task::spawn_blocking(move || threads.join())
