--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A platform and nodes with their peer listeners in one process.
+//! Test harness: a platform stand-in and nodes with peer listeners in one process.
 
-// Each test file uses a part of this.
+// Each test file uses only a part of the harness.
 #![allow(dead_code)]
 
 use {
@@ -24,26 +24,26 @@
     },
 };
 
-/// Time within which anything awaited must come.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of any wait.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running node.
+/// A running node and its shutdown signal.
 pub struct RunningNode {
-    /// Node.
+    /// Handle to the node.
     pub node: Node,
-    /// Ends the node.
+    /// Signal that stops the node.
     pub shutdown: Shutdown,
     _threads: BackgroundThreads,
 }
 
-/// A platform and the addresses of its nodes.
+/// A platform stand-in and the addresses of its nodes.
 pub struct Fleet {
-    /// Platform.
+    /// Platform stand-in.
     pub platform: PlatformServer,
-    /// Every node's peer listener, sorted by name.
+    /// Peer listener address of every node, sorted by name.
     pub addresses: Vec<PeerAddress>,
     /// Time source of all nodes.
     pub clock: Clock,
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Returns the settings of the node in `row`.
-    pub fn settings(&self, row: usize) -> NodeSettings {
-        let own = &self.addresses[row];
+    /// Returns the settings of the node at `index`.
+    pub fn settings(&self, index: usize) -> NodeSettings {
+        let own = &self.addresses[index];
         let others = self
             .addresses
             .iter()
@@ -77,32 +77,32 @@
             .with_clock(self.clock.clone())
     }
 
-    /// Starts the node in `row`.
-    pub async fn run(&self, row: usize) -> RunningNode {
-        self.run_with(row, self.settings(row)).await
+    /// Starts the node at `index`.
+    pub async fn start_node(&self, index: usize) -> RunningNode {
+        self.start_node_with(index, self.settings(index)).await
     }
 
-    /// Starts the node in `row` so that it can be cut from the platform.
-    pub async fn run_behind_relay(&self, row: usize) -> (RunningNode, Relay) {
+    /// Starts the node at `index` behind a relay that can disconnect it from the platform.
+    pub async fn start_node_behind_relay(&self, index: usize) -> (RunningNode, Relay) {
         let (relay, address) = Relay::start(self.platform.address()).await;
-        let mut settings = self.settings(row);
+        let mut settings = self.settings(index);
         settings.platform = address;
-        (self.run_with(row, settings).await, relay)
+        (self.start_node_with(index, settings).await, relay)
     }
 
-    /// Sends a message to the node in `row` as a peer would.
-    pub async fn tell(&self, row: usize, hello: &PeerHello) {
-        let client = Client::new(self.addresses[row].address, 1);
+    /// Sends a hello to the node at `index` as a peer would.
+    pub async fn send_hello(&self, index: usize, hello: &PeerHello) {
+        let client = Client::new(self.addresses[index].address, 1);
         client
-            .exchange::<_, PeerHello>("/peer/hello", hello, LIMIT)
+            .exchange::<_, PeerHello>("/peer/hello", hello, TIMEOUT)
             .await
             .expect("the node answers");
     }
 
-    /// Starts the node in `row` with other settings.
-    pub async fn run_with(&self, row: usize, settings: NodeSettings) -> RunningNode {
+    /// Starts the node at `index` with the given settings.
+    pub async fn start_node_with(&self, index: usize, settings: NodeSettings) -> RunningNode {
         let shutdown = Shutdown::new();
-        let server = bind(self.addresses[row].address).await;
+        let server = bind(self.addresses[index].address).await;
         let (node, threads) = Node::start(settings, &shutdown);
         let peer = node.clone();
         tokio::spawn(server.serve(shutdown.clone(), move |request| {
@@ -117,40 +117,40 @@
     }
 }
 
-/// Binds an address, which the node before may not have left yet.
+/// Binds an address, retrying while a previous node still holds it.
 async fn bind(address: SocketAddr) -> Server {
-    let until = Instant::now() + LIMIT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match Server::bind(address).await {
             Ok(server) => return server,
-            Err(error) => assert!(Instant::now() < until, "{address}: {error}"),
+            Err(error) => assert!(Instant::now() < deadline, "{address}: {error}"),
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until `holds`, and fails the test when it takes too long.
-pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
+/// Waits until the condition holds; panics after [`TIMEOUT`].
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     wait_for(what, || {
-        let holds = holds();
-        async move { holds }
+        let condition = condition();
+        async move { condition }
     })
     .await;
 }
 
-/// Waits until the future of `look` tells so, and fails the test when it takes too long.
-pub async fn wait_for<F: Future<Output = bool>>(what: &str, look: impl Fn() -> F) {
-    let until = Instant::now() + LIMIT;
-    while !look().await {
-        assert!(Instant::now() < until, "did not come: {what}");
-        tokio::time::sleep(LOOK).await;
+/// Waits until the future returned by `check` resolves to `true`; panics after [`TIMEOUT`].
+pub async fn wait_for<F: Future<Output = bool>>(what: &str, check: impl Fn() -> F) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !check().await {
+        assert!(Instant::now() < deadline, "timed out: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Finds a free address for each node.
+/// Returns a free address for each node.
 pub fn free_addresses(count: u32) -> Vec<PeerAddress> {
     let listeners: Vec<std::net::TcpListener> = (0..count)
-        .map(|_| std::net::TcpListener::bind(own_address()).expect("a free port"))
+        .map(|_| std::net::TcpListener::bind(unique_loopback_address()).expect("a free port"))
         .collect();
     (1..)
         .zip(&listeners)
@@ -161,52 +161,52 @@
         .collect()
 }
 
-/// Passes connections on to an address until it is cut.
+/// Relays connections to an address until it is disconnected.
 pub struct Relay {
-    is_cut: watch::Sender<bool>,
+    is_disconnected: watch::Sender<bool>,
 }
 
 impl Relay {
-    /// Breaks all connections and refuses new ones.
-    pub fn cut(&self) {
-        self.is_cut.send_replace(true);
+    /// Closes all connections and refuses new ones.
+    pub fn disconnect(&self) {
+        self.is_disconnected.send_replace(true);
     }
 
-    /// Passes connections on again.
-    pub fn mend(&self) {
-        self.is_cut.send_replace(false);
+    /// Accepts connections again.
+    pub fn reconnect(&self) {
+        self.is_disconnected.send_replace(false);
     }
 
     async fn start(target: SocketAddr) -> (Self, SocketAddr) {
         let listener = TcpListener::bind(any_port()).await.expect("a free port");
         let address = listener.local_addr().expect("a bound port");
-        let is_cut = watch::Sender::new(false);
-        let cut = is_cut.clone();
+        let is_disconnected = watch::Sender::new(false);
+        let sender = is_disconnected.clone();
         tokio::spawn(async move {
             while let Ok((from, _)) = listener.accept().await {
-                if !*cut.borrow() {
-                    tokio::spawn(pass(from, target, cut.subscribe()));
+                if !*sender.borrow() {
+                    tokio::spawn(forward(from, target, sender.subscribe()));
                 }
             }
         });
-        (Self { is_cut }, address)
+        (Self { is_disconnected }, address)
     }
 }
 
-async fn pass(mut from: TcpStream, target: SocketAddr, mut cut: watch::Receiver<bool>) {
+async fn forward(mut from: TcpStream, target: SocketAddr, mut state: watch::Receiver<bool>) {
     let Ok(mut to) = TcpStream::connect(target).await else {
         return;
     };
     tokio::select! {
         copied = tokio::io::copy_bidirectional(&mut from, &mut to) => drop(copied),
-        waited = cut.wait_for(|is_cut| *is_cut) => drop(waited),
+        waited = state.wait_for(|is_disconnected| *is_disconnected) => drop(waited),
     }
 }
 
-/// Returns a loopback address that no other test of this process uses, with any port.
+/// Returns a loopback address with port 0 that no other test uses.
 ///
-/// A port that was free a moment ago on a shared address is soon taken by another test.
-fn own_address() -> SocketAddr {
+/// On a shared address, another test could take a port between its choice and its use.
+fn unique_loopback_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let [high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     let process = u8::try_from(process::id() % 250).unwrap_or(0) + 1;
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is taken to be live, and what peers tell each other.
+//! Liveness of peers and the hellos between them.
 
 mod common;
 
@@ -8,18 +8,18 @@
     lynxwheel_protocol::EndpointLoad,
 };
 
-/// Waves stand still for minutes. A node was killed and the others went on waiting for it to
-/// speak first for the pools that it ranks first for. The others must drop it after its silence.
+/// Guards against planning that stalls because a killed node still counts as live and keeps the
+/// first rank for its pools.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_node_is_dropped() {
     let fleet = Fleet::start(3).await;
-    let first = fleet.run(0).await;
-    let second = fleet.run(1).await;
-    let third = fleet.run(2).await;
-    wait_until("all hear each other", || {
+    let first = fleet.start_node(0).await;
+    let second = fleet.start_node(1).await;
+    let third = fleet.start_node(2).await;
+    wait_until("all nodes know each other", || {
         [&first, &second, &third]
             .iter()
-            .all(|run| run.node.peers().live_peers(fleet.clock.now_ms()).len() == 2)
+            .all(|running| running.node.peers().live_peers(fleet.clock.now_ms()).len() == 2)
     })
     .await;
     third.shutdown.begin();
@@ -30,14 +30,13 @@
     assert_eq!(first.node.live_nodes(), second.node.live_nodes());
 }
 
-/// New work is planned for a node that is about to go. A stopping node was live to its peers
-/// until its silence was noticed. It must be dropped as soon as it says that it stops.
+/// Guards against a stopping node that counts as live until its peers notice its silence.
 #[tokio::test(flavor = "multi_thread")]
 async fn stopping_node_is_dropped_while_it_answers() {
     let fleet = Fleet::start(2).await;
-    let first = fleet.run(0).await;
-    let second = fleet.run(1).await;
-    wait_until("they hear each other", || {
+    let first = fleet.start_node(0).await;
+    let second = fleet.start_node(1).await;
+    wait_until("the nodes know each other", || {
         !first
             .node
             .peers()
@@ -52,23 +51,23 @@
     .await;
 }
 
-/// A leaving endpoint gets new requests from the other nodes until they probe it themselves. Its
-/// sign of leaving was seen by one node only. That node must tell the others.
+/// Guards against nodes that route requests to a leaving endpoint until they have probed it
+/// themselves, although another node has seen it leaving.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_endpoint_is_told_to_peers() {
+async fn leaving_endpoint_is_announced_to_peers() {
     let fleet = Fleet::start(2).await;
-    let first = fleet.run(0).await;
-    let second = fleet.run(1).await;
+    let first = fleet.start_node(0).await;
+    let second = fleet.start_node(1).await;
     let leaving = EndpointLoad {
         vm: "vm-1".into(),
         incarnation: 3,
         in_progress: 2,
     };
-    let told = vec![leaving.clone()];
-    let local = LocalEndpoints::new(Vec::new, move || told.clone());
+    let announced = vec![leaving.clone()];
+    let local = LocalEndpoints::new(Vec::new, move || announced.clone());
     second.node.peers().set_local_endpoints(local);
     second.node.peers().announce();
-    wait_until("the other node knows", || {
+    wait_until("the other node knows the leaving endpoint", || {
         let views = first.node.peers().live_peers(fleet.clock.now_ms());
         views
             .iter()
