--- a/crates/controller/src/access.rs
+++ b/crates/controller/src/access.rs
@@ -1,75 +1,75 @@
-//! Who may call what: the queue and the client account of a caller's request.
+//! Authorization of callers' requests by queue and API key.
 
 use {
     compact_str::CompactString,
     lynxwheel_engine::{FleetConfig, JobId, KeyDigest, KeyError, Queue},
 };
 
-/// The part of a caller's request that decides whether it may call.
+/// Parts of a request that determine its authorization.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// Host that the caller names.
+    /// Host named in the request.
     pub host: String,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// Key, or why there is none.
+    /// Digest of the API key, or why there is none.
     pub key: Result<KeyDigest, KeyError>,
 }
 
-/// A request that may be made, by one version of the configuration.
+/// Authorized request, by one version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Access {
     /// Version of the configuration.
-    pub version: u64,
-    /// Queue.
+    pub config_version: u64,
+    /// Requested queue.
     pub queue: Queue,
-    /// Client account; empty for a queue that needs no key.
+    /// Client account; empty for a public queue.
     pub account: CompactString,
-    /// Job that the path names; nothing for the queue itself.
+    /// Job named in the path; `None` for the queue itself.
     pub job: Option<JobId>,
 }
 
-/// Why a request may not be made.
+/// Reason for denying a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// No configuration is known yet.
+    /// No configuration is active yet.
     NoConfig,
-    /// No queue has this host and path.
-    NoQueue,
-    /// The request carries no key of the right form.
-    BadKey(KeyError),
-    /// The key stands for no account.
+    /// No queue matches the host and path.
+    UnknownQueue,
+    /// The key is missing or malformed.
+    InvalidKey(KeyError),
+    /// No account has the key.
     UnknownKey,
-    /// What follows the queue's path is no id of a job.
-    NoJobId,
+    /// The path does not end in a job id.
+    InvalidJobId,
 }
 
-/// Decides whether a request may be made.
+/// Authorizes a request.
 ///
 /// # Errors
 ///
-/// Says why not.
-pub fn judge(config: &FleetConfig, credentials: &Credentials) -> Result<Access, Denial> {
+/// Returns the reason for denying it.
+pub fn authorize(config: &FleetConfig, credentials: &Credentials) -> Result<Access, Denial> {
     if config.version == 0 {
         return Err(Denial::NoConfig);
     }
     let queue = config
         .queue_for(&credentials.host, &credentials.path)
-        .ok_or(Denial::NoQueue)?;
+        .ok_or(Denial::UnknownQueue)?;
     let account = if queue.is_public {
         CompactString::default()
     } else {
-        let key = credentials.key.map_err(Denial::BadKey)?;
+        let key = credentials.key.map_err(Denial::InvalidKey)?;
         let holder = config.accounts.holder_of(&key);
         holder.ok_or(Denial::UnknownKey)?.name.clone()
     };
     let rest = &credentials.path[queue.path_prefix.len()..];
     let job = match rest {
         "" => None,
-        id => Some(id.parse().map_err(|_| Denial::NoJobId)?),
+        id => Some(id.parse().map_err(|_| Denial::InvalidJobId)?),
     };
     Ok(Access {
-        version: config.version,
+        config_version: config.version,
         queue: queue.clone(),
         account,
         job,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,7 +1,8 @@
-//! Node of a fleet on the users' platform.
+//! Node of the fleet controller on the users' platform.
 //!
-//! Every node takes callers' requests; one of them owns the fleet for a while, decides and gives
-//! orders. Which one is agreed through the platform's log:
+//! Every node serves callers. One of them owns the fleet at a time: it makes the decisions and
+//! calls endpoints and platform services. The owner is elected through a log in the platform's
+//! store:
 //!
 //! ```
 //! use lynxwheel_controller::{OwnershipKind, OwnershipRecord, OwnershipView};
@@ -20,21 +21,22 @@
 //! ```
 
 mod access;
+mod assignments;
 mod calls;
-mod carried;
-mod carrier;
-mod carriers;
 mod clock;
 mod commit;
 mod config_sync;
+mod delegate_messages;
+mod delegate_pool;
+mod delegate_worker;
 mod dispatch;
 mod feeds;
 mod in_flight;
 mod ingress;
 mod load;
+mod log_events;
 mod members;
 mod node;
-mod notes;
 mod owner;
 mod ownership;
 mod payloads;
@@ -42,23 +44,30 @@
 mod peer_server;
 mod pending;
 mod ready;
-mod shares;
 mod speed;
-mod take_over;
+mod takeover;
 mod watcher;
 
 pub use {
-    access::{Access, Credentials, Denial, judge},
+    access::{Access, Credentials, Denial, authorize},
+    assignments::EndpointAssignments,
     calls::{CallResult, CallSubject, EndpointCall},
-    in_flight::{FOLLOW_MS, InFlight, MOST_UNDER_WAY, STORE_AWAY_MS},
-    members::{HEARD_MS, Member, Members},
-    node::{MetricsPage, run},
+    delegate_messages::{
+        CallNumber, DelegateReply, DelegateRequest, DelegateResults, DelegatedCall,
+    },
+    in_flight::{InFlightBatches, MAX_IN_FLIGHT_BATCHES, PIPELINE_DELAY_MS, STORE_UNAVAILABLE_MS},
+    members::{MEMBER_TIMEOUT_MS, Member, Members},
+    node::{MetricsHandle, run},
     ownership::{
-        FRESH_MS, OwnerId, OwnershipKind, OwnershipRecord, OwnershipView, REFUSING_MS,
-        RENEW_EVERY_MS, SILENCE_MS, SMALL_NODE_DELAY_MS, SUSPECT_MS,
+        FRESH_RENEWAL_MS, OWNER_TIMEOUT_MS, OwnerInfo, OwnershipKind, OwnershipRecord,
+        OwnershipView, REFUSED_CONNECTIONS_MS, RENEWAL_INTERVAL_MS, SMALL_NODE_CLAIM_DELAY_MS,
+        SUSPICION_TIMEOUT_MS,
+    },
+    payloads::PayloadCache,
+    peer::{
+        CallerRequest, ConfigRequest, OwnerRequest, OwnerResponse, OwnershipAction,
+        OwnershipRequest, OwnershipResponse,
     },
-    payloads::Payloads,
     pending::PendingCalls,
-    shares::Shares,
-    speed::Speed,
+    speed::CpuSpeed,
 };
--- a/crates/controller/src/payloads.rs
+++ b/crates/controller/src/payloads.rs
@@ -1,8 +1,7 @@
-//! Payloads of jobs, kept for a while by the nodes that took them from their callers.
+//! Cache of job payloads.
 //!
-//! Every start of a task carries its job's payload to the endpoint. Sent by the owner to each node that
-//! calls endpoints for it, the payloads filled a narrow link by themselves; so these nodes fetch them,
-//! once a job, from where the job came in.
+//! The owner strips payloads from starts that it sends to delegates, as they would saturate a
+//! narrow link. Each delegate fetches a payload once per job from the node that received the job.
 
 use {
     compact_str::CompactString,
@@ -14,94 +13,94 @@
     tokio::sync::OnceCell,
 };
 
-/// Payloads kept at most, in bytes: some seconds of a busy node's share, and little of a small node's
-/// memory.
-const MOST_BYTES: usize = 2 * 1024 * 1024;
+/// Maximum total size, in bytes.
+const MAX_BYTES: usize = 2 * 1024 * 1024;
 
-/// Payloads kept at most.
-const MOST_PAYLOADS: usize = 4_096;
+/// Maximum number of payloads.
+const MAX_PAYLOADS: usize = 4_096;
 
-/// A payload that is here, or on its way.
+/// Payload that is cached or being fetched.
 pub type PayloadCell = Arc<OnceCell<CompactString>>;
 
 #[derive(Debug, Default)]
-struct Rows {
+struct Entries {
     /// Sorted by job.
     cells: Vec<(JobId, PayloadCell)>,
-    /// Jobs in the order in which they came.
-    order: VecDeque<JobId>,
+    /// Jobs in order of insertion.
+    insertion_order: VecDeque<JobId>,
     bytes: usize,
 }
 
-impl Rows {
+impl Entries {
     fn cell(&mut self, job: JobId) -> PayloadCell {
-        match self.cells.binary_search_by_key(&job, |(known, _)| *known) {
-            Ok(place) => Arc::clone(&self.cells[place].1),
-            Err(place) => {
+        match self.cells.binary_search_by_key(&job, |(cached, _)| *cached) {
+            Ok(index) => Arc::clone(&self.cells[index].1),
+            Err(index) => {
                 let cell = PayloadCell::default();
-                self.cells.insert(place, (job, Arc::clone(&cell)));
-                self.order.push_back(job);
+                self.cells.insert(index, (job, Arc::clone(&cell)));
+                self.insertion_order.push_back(job);
                 cell
             }
         }
     }
 
-    fn forget_oldest(&mut self) {
-        while self.bytes > MOST_BYTES || self.order.len() > MOST_PAYLOADS {
-            let Some(oldest) = self.order.pop_front() else {
+    fn evict_oldest(&mut self) {
+        while self.bytes > MAX_BYTES || self.insertion_order.len() > MAX_PAYLOADS {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
-            if let Ok(place) = self
+            if let Ok(index) = self
                 .cells
-                .binary_search_by_key(&oldest, |(known, _)| *known)
+                .binary_search_by_key(&oldest, |(cached, _)| *cached)
             {
-                let (_, cell) = self.cells.remove(place);
+                let (_, cell) = self.cells.remove(index);
                 self.bytes -= cell.get().map_or(0, CompactString::len);
             }
         }
     }
 }
 
-/// Payloads by job, the oldest of which are forgotten first.
+/// Payloads by job, evicted in order of insertion.
 #[derive(Debug, Default)]
-pub struct Payloads {
-    rows: Mutex<Rows>,
+pub struct PayloadCache {
+    entries: Mutex<Entries>,
 }
 
-impl Payloads {
-    /// Keeps a payload.
-    pub fn keep(&self, job: JobId, payload: &CompactString) {
-        let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        let cell = rows.cell(job);
+impl PayloadCache {
+    /// Caches a payload.
+    pub fn insert(&self, job: JobId, payload: &CompactString) {
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let cell = entries.cell(job);
         if cell.set(payload.clone()).is_ok() {
-            rows.bytes += payload.len();
-            rows.forget_oldest();
+            entries.bytes += payload.len();
+            entries.evict_oldest();
         }
     }
 
-    /// Returns a payload that is here.
+    /// Returns a payload if it is cached.
     #[must_use]
     pub fn get(&self, job: JobId) -> Option<CompactString> {
-        let rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = rows.cells.binary_search_by_key(&job, |(known, _)| *known);
-        place
+        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let index = entries
+            .cells
+            .binary_search_by_key(&job, |(cached, _)| *cached);
+        index
             .ok()
-            .and_then(|place| rows.cells[place].1.get().cloned())
+            .and_then(|index| entries.cells[index].1.get().cloned())
     }
 
-    /// Returns the place of a payload that may have to be fetched: whoever comes first does, and the
-    /// others wait for it.
+    /// Returns the cell of a payload, to be filled by the first caller while others wait.
     pub fn cell(&self, job: JobId) -> PayloadCell {
-        let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        let cell = rows.cell(job);
-        rows.forget_oldest();
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let cell = entries.cell(job);
+        entries.evict_oldest();
         cell
     }
 
-    /// Counts a payload that was fetched.
-    pub fn note_fetched(&self, payload: &CompactString) {
-        let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        rows.bytes += payload.len();
-        rows.forget_oldest();
+    /// Accounts for the size of a fetched payload.
+    pub fn record_fetched(&self, payload: &CompactString) {
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        entries.bytes += payload.len();
+        entries.evict_oldest();
     }
 }
--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -4,7 +4,7 @@
     crate::{cpu_share::CpuShare, node::Node, observer::verify_pool},
     log::{info, warn},
     lynxwheel_decisions::{
-        ActionStep, ClaimReview, ClaimStep, ReleaseReason, action_step, review_claims,
+        ActionStep, ClaimReview, ReleaseReason, ReviewStep, next_action_step, review_claims,
     },
     lynxwheel_protocol::{ActionRequest, ClaimPurpose, RecordBody, VmAction, VmName, VmPhase},
     lynxwheel_state::{Claim, ClaimStage, VmState},
@@ -63,8 +63,8 @@
 fn release_reason(reviews: &[ClaimReview], vm: &VmName) -> Option<ReleaseReason> {
     let review = reviews.iter().find(|review| review.vm == *vm)?;
     match review.step {
-        ClaimStep::Release(reason) => Some(reason),
-        ClaimStep::TakeOver => None,
+        ReviewStep::Release(reason) => Some(reason),
+        ReviewStep::TakeOver => None,
     }
 }
 
@@ -197,13 +197,13 @@
     async fn continue_action(&self) {
         let now_ms = self.node.clock().now_ms();
         let timeout_ms = self.node.settings().action_timeout_ms;
-        match action_step(&self.vm, &self.claim, now_ms, timeout_ms) {
+        match next_action_step(&self.vm, &self.claim, now_ms, timeout_ms) {
             ActionStep::Complete => self.propose_done(true).await,
-            ActionStep::Tell => {
+            ActionStep::Send => {
                 self.request_action(VmAction::Reboot, self.claim.not_after_ms)
                     .await;
             }
-            ActionStep::BeginAgain => self.restart_action().await,
+            ActionStep::Recheck => self.restart_action().await,
             ActionStep::Wait => {}
             ActionStep::GiveUp => self.propose_done(false).await,
         }
--- a/crates/coordination/src/divergence.rs
+++ b/crates/coordination/src/divergence.rs
@@ -3,7 +3,7 @@
 use {
     log::error,
     lynxwheel_protocol::{FOLD_VERSION, NodeName, PeerHello},
-    lynxwheel_state::{FleetState, save},
+    lynxwheel_state::{FleetState, encode_snapshot},
     std::{
         collections::VecDeque,
         sync::{
@@ -94,7 +94,7 @@
         };
         let digest = checkpoint
             .digest
-            .get_or_init(|| save(&checkpoint.state).map_or(0, |bytes| xxh3_64(&bytes)));
+            .get_or_init(|| encode_snapshot(&checkpoint.state).map_or(0, |bytes| xxh3_64(&bytes)));
         OffsetDigest {
             offset: checkpoint.state.offset(),
             digest: *digest,
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -4,7 +4,7 @@
     crate::{cpu_share::CpuShare, node::Node, observer::verify_pool},
     log::info,
     lynxwheel_decisions::{
-        ClaimStep, Tuning, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
+        ReviewStep, Tuning, plan_claims, plan_give_ups, plan_placements, plan_quarantines,
         rendezvous_rank, review_claims,
     },
     lynxwheel_protocol::{NodeName, PoolName, RecordBody},
@@ -105,7 +105,8 @@
     /// Takes over claims whose holder is gone, which would otherwise be charged forever.
     fn propose_takeovers(&mut self) {
         for review in review_claims(&self.state, &self.nodes) {
-            if review.step != ClaimStep::TakeOver || !self.has_first_rank_for_vm(review.vm.as_str())
+            if review.step != ReviewStep::TakeOver
+                || !self.has_first_rank_for_vm(review.vm.as_str())
             {
                 continue;
             }
@@ -127,7 +128,7 @@
             }
             info!(event = "placement", decision = "claim", vm = plan.vm.as_str(),
                 reason = plan.reason.as_str(), wait_ms = plan.drain.wait_ms,
-                job_moves = plan.drain.moves, offset = self.state.offset(); "proposing a claim");
+                job_moves = plan.drain.job_moves, offset = self.state.offset(); "proposing a claim");
             let body = RecordBody::Claim {
                 vm: plan.vm,
                 purpose: plan.purpose,
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -104,7 +104,7 @@
         if is_vm_lost(vm, &self.attempt) {
             // The fold rejects the end before the lease has expired. Proposing it earlier would
             // fill the log with rejected records in every tick after the loss of a rack.
-            if state.is_over(&self.attempt) {
+            if state.is_attempt_over(&self.attempt) {
                 self.propose_end(JobOutcome::Lost).await;
             }
             return;
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -10,8 +10,9 @@
         run::SoakPlan,
     },
     lynxwheel_platform_standin::{
-        AccountSpec, EndpointSpec, EndpointStandIn, EndpointTrouble, NodeSettings, Observer,
-        QueueSpec, StoreStandIn, StoreTrouble, VmsStandIn, forget_written, put_config, put_wave,
+        AccountSpec, EndpointFault, EndpointSpec, EndpointStandIn, NodeSettings, Observer,
+        QueueSpec, StoreFault, StoreStandIn, VmServiceStandIn, put_config, put_wave,
+        trim_operator_topics,
     },
     nix::sys::signal::Signal,
     std::{
@@ -123,11 +124,11 @@
                 EndpointStandIn::start(spec, store.clone(), Arc::clone(&observer)).await?;
             let link = Proxy::start(endpoint.address()).await?;
             endpoint.advertise(link.address());
-            endpoint.begin_life();
+            endpoint.start_incarnation();
             endpoints.push(endpoint);
             endpoint_links.push(link);
         }
-        let vms = VmsStandIn::start(&endpoints, observer).await?;
+        let vms = VmServiceStandIn::start(&endpoints, observer).await?;
         let mut world = Self {
             store,
             endpoints,
@@ -221,13 +222,13 @@
             Fault::PauseNode(node) => self.nodes[node].signal(Signal::SIGSTOP),
             Fault::StopNode(node) => self.nodes[node].signal(Signal::SIGTERM),
             Fault::HangUp(node) => self.nodes[node].signal(Signal::SIGHUP),
-            Fault::Store(trouble) => self.store.set_trouble(trouble),
+            Fault::Store(trouble) => self.store.set_fault(trouble),
             Fault::ForgetHistory => {
-                forget_written(&self.store);
+                trim_operator_topics(&self.store);
             }
             Fault::Link(place, trouble) => self.link(place).set_trouble(trouble),
-            Fault::Endpoint(endpoint, trouble) => self.endpoints[endpoint].set_trouble(trouble),
-            Fault::EndLife(endpoint) => self.endpoints[endpoint].end_life(),
+            Fault::Endpoint(endpoint, trouble) => self.endpoints[endpoint].set_fault(trouble),
+            Fault::EndLife(endpoint) => self.endpoints[endpoint].end_incarnation(),
             Fault::Drain(endpoint) => self.endpoints[endpoint].drain(),
             Fault::Configure => self.configure(&self.accounts.next_round()),
             Fault::Maintain => self.maintain(),
@@ -244,15 +245,15 @@
                 sleep(Duration::from_millis(GRACE_MS)).await;
                 self.restart(node);
             }
-            Fault::Store(_) => self.store.set_trouble(StoreTrouble::None),
+            Fault::Store(_) => self.store.set_fault(StoreFault::None),
             Fault::Link(place, _) => self.link(place).set_trouble(LinkTrouble::None),
             Fault::Endpoint(endpoint, _) => {
-                self.endpoints[endpoint].set_trouble(EndpointTrouble::None);
+                self.endpoints[endpoint].set_fault(EndpointFault::None);
             }
-            Fault::EndLife(endpoint) => self.endpoints[endpoint].begin_life(),
+            Fault::EndLife(endpoint) => self.endpoints[endpoint].start_incarnation(),
             Fault::Drain(endpoint) => {
-                self.endpoints[endpoint].end_life();
-                self.endpoints[endpoint].begin_life();
+                self.endpoints[endpoint].end_incarnation();
+                self.endpoints[endpoint].start_incarnation();
             }
             Fault::HangUp(_) | Fault::ForgetHistory | Fault::Configure | Fault::Maintain => {}
         }
@@ -267,14 +268,14 @@
 
     /// Ends every trouble and starts what is down.
     pub fn heal(&self) {
-        self.store.set_trouble(StoreTrouble::None);
+        self.store.set_fault(StoreFault::None);
         let links = [&self.store_links, &self.caller_links, &self.endpoint_links];
         for link in links.into_iter().flatten() {
             link.set_trouble(LinkTrouble::None);
         }
         for endpoint in &self.endpoints {
-            endpoint.set_trouble(EndpointTrouble::None);
-            endpoint.begin_life();
+            endpoint.set_fault(EndpointFault::None);
+            endpoint.start_incarnation();
         }
         for number in 0..self.nodes.len() {
             self.nodes[number].signal(Signal::SIGCONT);
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -1,4 +1,4 @@
-//! Attempts of jobs: start, stop, end.
+//! Attempts of jobs: start, stop, end and usage, and quarantine of VMs.
 
 use {
     crate::{
@@ -11,21 +11,21 @@
     lynxwheel_protocol::{JobName, JobOutcome, NodeName, Resources, VmName, VmPhase},
 };
 
-/// Longest time that a worker runs an attempt without hearing from the system, in milliseconds.
+/// Lease of an attempt, in milliseconds; a worker stops an attempt whose lease is not renewed.
 pub const TASK_LEASE_MS: u64 = 30_000;
 
-/// Time after which an attempt on a failed VM is known to be over, in milliseconds: its lease
-/// and as much again for clocks that differ.
-const LOST_AFTER_MS: u64 = 2 * TASK_LEASE_MS;
+/// Time after which an attempt on a failed VM has ended, in milliseconds: its lease, doubled to
+/// allow for clock skew.
+const ATTEMPT_LOST_AFTER_MS: u64 = 2 * TASK_LEASE_MS;
 
-/// Share of a pool's VMs that may be quarantined at once, in percent; one is always allowed.
+/// Maximum share of a pool's VMs in quarantine, in percent; one VM is always allowed.
 const QUARANTINE_PERCENT: u32 = 10;
 
-/// Longest quarantine, in milliseconds; a node whose clock is ahead must not ban a VM for years.
+/// Maximum duration of a quarantine, in milliseconds; bounds the effect of a wrong clock.
 const MAX_QUARANTINE_MS: u64 = 24 * 60 * 60 * 1_000;
 
 impl FleetState {
-    /// Places an attempt; at most one of a job runs, or may run, at any offset.
+    /// Places an attempt of a pending job on a VM.
     pub(crate) fn start(
         &mut self,
         offset: u64,
@@ -67,11 +67,11 @@
         Verdict::Accepted
     }
 
-    /// Tells whether a start would be accepted now, and returns its VM.
+    /// Checks whether a start would be accepted by the current state, and returns its VM.
     ///
     /// # Errors
     ///
-    /// Returns the rejection that the start would meet.
+    /// Returns the reason for which it would be rejected.
     pub fn check_start(
         &self,
         name: &JobName,
@@ -90,11 +90,11 @@
             .ok_or_else(|| Rejection::UnknownVm {
                 vm: vm_name.clone(),
             })?;
-        let is_fit = vm.pool == job.spec.pool
+        let can_take = vm.pool == job.spec.pool
             && vm.is_available()
             && vm.quarantined_until_ms <= self.time_ms
             && reserved.fits(&vm.free());
-        if !is_fit {
+        if !can_take {
             return Err(Rejection::VmNotFit {
                 vm: vm_name.clone(),
             });
@@ -111,9 +111,9 @@
         Ok(vm)
     }
 
-    /// Asks a running attempt to stop.
+    /// Marks a running attempt as stopping.
     pub(crate) fn stop(&mut self, name: &JobName, attempt: u32) -> Verdict {
-        match self.running(name, attempt) {
+        match self.running_job(name, attempt) {
             Some(job) => {
                 if let Some(attempt) = &mut job.attempt {
                     attempt.stopping = true;
@@ -124,13 +124,13 @@
         }
     }
 
-    /// Ends an attempt and frees what it reserved.
+    /// Ends an attempt and frees its resources.
     pub(crate) fn end(&mut self, name: &JobName, attempt: u32, outcome: JobOutcome) -> Verdict {
         let time_ms = self.time_ms;
         let ended = self
-            .running(name, attempt)
+            .running_job(name, attempt)
             .and_then(|job| job.attempt.clone())
-            .filter(|attempt| outcome != JobOutcome::Lost || self.is_over(attempt));
+            .filter(|attempt| outcome != JobOutcome::Lost || self.is_attempt_over(attempt));
         let Some(ended) = ended else {
             return Verdict::Rejected(Rejection::WrongAttempt { job: name.clone() });
         };
@@ -156,25 +156,24 @@
         Verdict::Accepted
     }
 
-    /// Tells whether an attempt that cannot be asked any more is known to be over.
+    /// Tells whether an attempt on an unreachable VM has certainly ended.
     ///
-    /// A VM that does not answer may still run the attempt; a second start would run the job
-    /// twice. It is over when the machine has a new life, or when it has been failed for so long
-    /// that the attempt's lease has lapsed.
+    /// An unreachable VM may still run the attempt. The attempt has ended if the VM has a new
+    /// incarnation, is no longer declared, or has failed for longer than the attempt's lease.
     #[must_use]
-    pub fn is_over(&self, attempt: &Attempt) -> bool {
+    pub fn is_attempt_over(&self, attempt: &Attempt) -> bool {
         self.vms.get(attempt.vm.as_str()).is_none_or(|vm| {
             vm.incarnation > attempt.vm_incarnation
-                || vm.phase == VmPhase::Failed && self.time_ms >= vm.evidence_ms + LOST_AFTER_MS
+                || vm.phase == VmPhase::Failed
+                    && self.time_ms >= vm.evidence_ms + ATTEMPT_LOST_AFTER_MS
         })
     }
 
-    /// Raises the estimate of a job's real size, and what its attempt reserves with it.
+    /// Raises the usage estimate of a job and the reservation of its running attempt.
     ///
-    /// An attempt that takes more than was declared takes it from its neighbours; jobs placed
-    /// beside it by the declared size would fail for want of memory, one after the other.
+    /// Otherwise jobs placed on the VM by the declared demand could run out of memory.
     pub(crate) fn usage(&mut self, name: &JobName, attempt: u32, used: &Resources) -> Verdict {
-        let Some(job) = self.running(name, attempt) else {
+        let Some(job) = self.running_job(name, attempt) else {
             return Verdict::Rejected(Rejection::WrongAttempt { job: name.clone() });
         };
         job.estimate.used = job.estimate.used.highest(used);
@@ -183,17 +182,17 @@
             return Verdict::Accepted;
         };
         let reserved = run.reserved.highest(used);
-        let more = reserved.minus(&run.reserved);
+        let added = reserved.minus(&run.reserved);
         run.reserved = reserved;
         let vm = run.vm.clone();
         if let Some(team) = self.teams.get_mut(team.as_str()) {
-            team.used = team.used.plus(&more);
+            team.used = team.used.plus(&added);
         }
-        self.change_vm(vm.as_str(), |vm| vm.reserved = vm.reserved.plus(&more));
+        self.change_vm(vm.as_str(), |vm| vm.reserved = vm.reserved.plus(&added));
         Verdict::Accepted
     }
 
-    /// Gives a waiting job its final answer.
+    /// Gives up a pending job.
     pub(crate) fn give_up(&mut self, name: &JobName, reason: &CompactString) -> Verdict {
         let job = self
             .jobs
@@ -207,7 +206,7 @@
         Verdict::Accepted
     }
 
-    /// Keeps new attempts off a VM, within the share of its pool that may be quarantined.
+    /// Quarantines a VM, unless too many VMs of its pool are in quarantine.
     pub(crate) fn quarantine(&mut self, name: &VmName, until_ms: u64) -> Verdict {
         let Some(vm) = self.vms.get(name.as_str()) else {
             return Verdict::Rejected(Rejection::UnknownVm { vm: name.clone() });
@@ -234,7 +233,7 @@
         Verdict::Accepted
     }
 
-    fn running(&mut self, name: &JobName, attempt: u32) -> Option<&mut JobState> {
+    fn running_job(&mut self, name: &JobName, attempt: u32) -> Option<&mut JobState> {
         self.jobs
             .get_mut(name.as_str())
             .filter(|job| job.phase == JobPhase::Running && job.attempts == attempt)
