--- a/crates/coordination/src/catch_up.rs
+++ b/crates/coordination/src/catch_up.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        fold::{Fold, FoldEntries, Reload},
+        fold::{Fold, FoldEntries, ReplaceState},
         node::Node,
         peer_server::ENTRIES_PATH,
         recovery::fetch_state,
@@ -70,7 +70,7 @@
         let entries = response.entries;
         drop(fold.tell(FoldEntries { entries }).send().await);
     } else if let Some(state) = fetch_state(&client).await {
-        drop(fold.tell(Reload::new(state)).send().await);
+        drop(fold.tell(ReplaceState::new(state)).send().await);
     }
     Ok(())
 }
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -28,11 +28,11 @@
 
 /// Message that replaces the state by a later one when the records in between are unavailable.
 #[derive(Debug)]
-pub(crate) struct Reload {
+pub(crate) struct ReplaceState {
     state: Box<FleetState>,
 }
 
-impl Reload {
+impl ReplaceState {
     pub(crate) fn new(state: FleetState) -> Self {
         Self {
             state: Box::new(state),
@@ -48,7 +48,7 @@
     /// Proposers waiting for the outcomes of their records.
     pub(crate) waiters: Arc<Waiters>,
     /// Latest entries, served to peers that cannot read the log.
-    pub(crate) recent: Arc<RecentEntries>,
+    pub(crate) recent_entries: Arc<RecentEntries>,
     /// Outcomes of recent declarations.
     pub(crate) operations: Arc<OperationHistory>,
     /// Digests to compare with those of peers.
@@ -60,7 +60,7 @@
         Self {
             published: Arc::new(PublishedState::new(state)),
             waiters: Arc::default(),
-            recent: Arc::default(),
+            recent_entries: Arc::default(),
             operations: Arc::default(),
             divergence: Arc::default(),
         }
@@ -125,7 +125,7 @@
             }
         }
         self.outputs.divergence.add_digests(&digests);
-        self.outputs.recent.extend(&message.entries);
+        self.outputs.recent_entries.extend(&message.entries);
         self.outputs.published.store(self.state.clone());
         // Publish before waking proposers, so that they read a state with their own record.
         for outcome in outcomes {
@@ -137,10 +137,10 @@
     }
 }
 
-impl Message<Reload> for Fold {
+impl Message<ReplaceState> for Fold {
     type Reply = ();
 
-    async fn handle(&mut self, message: Reload, _context: &mut Context<Self, Self::Reply>) {
+    async fn handle(&mut self, message: ReplaceState, _context: &mut Context<Self, Self::Reply>) {
         if message.state.offset() <= self.state.offset() {
             return;
         }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -204,7 +204,7 @@
     }
 
     pub(crate) fn recent_entries(&self) -> &RecentEntries {
-        &self.shared.outputs.recent
+        &self.shared.outputs.recent_entries
     }
 
     /// Returns the names of all live nodes including this one, sorted.
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -30,9 +30,9 @@
 }
 
 impl LocalEndpoints {
-    /// Creates it from two functions that list endpoint loads and leaving endpoints.
+    /// Creates the lists from two functions that return endpoint loads and leaving endpoints.
     ///
-    /// They are called for every hello and must not block.
+    /// The functions are called for every hello and must not block.
     #[must_use]
     pub fn new(
         loads: impl Fn() -> Vec<EndpointLoad> + Send + Sync + 'static,
--- a/crates/coordination/src/planner.rs
+++ b/crates/coordination/src/planner.rs
@@ -102,7 +102,7 @@
             .spawn(async move { proposer.propose_and_confirm(body).await });
     }
 
-    /// Takes over claims whose holder is gone, which would otherwise be charged forever.
+    /// Takes over claims whose holder is gone; otherwise they would stay charged to the budget.
     fn propose_takeovers(&mut self) {
         for review in review_claims(&self.state, &self.nodes) {
             if review.step != ReviewStep::TakeOver
--- a/crates/coordination/src/published_state.rs
+++ b/crates/coordination/src/published_state.rs
@@ -21,7 +21,7 @@
 }
 
 impl PublishedState {
-    /// Creates it with an initial state.
+    /// Creates a published state with an initial value.
     #[must_use]
     pub fn new(state: FleetState) -> Self {
         let offset = state.offset();
--- a/crates/coordination/src/reader.rs
+++ b/crates/coordination/src/reader.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        fold::{Fold, FoldEntries, Reload},
+        fold::{Fold, FoldEntries, ReplaceState},
         log_client::LogClient,
         node::Node,
         recovery::recover,
@@ -35,7 +35,7 @@
     loop {
         let state = recover(&node, &log).await;
         let next_offset = state.offset() + 1;
-        if fold.tell(Reload::new(state)).send().await.is_err() {
+        if fold.tell(ReplaceState::new(state)).send().await.is_err() {
             return;
         }
         match read_from(next_offset, &node, &log, &fold).await {
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -54,9 +54,9 @@
     pub join_retry_ms: u64,
     /// Timeout of an action on a VM, in milliseconds.
     pub action_timeout_ms: u64,
-    /// Number of records after which a snapshot is due; must be well below the log's retention.
+    /// Number of records after which a snapshot is due; well below the log's retention.
     pub snapshot_interval_records: u64,
-    /// Time after which a snapshot is due, in milliseconds; must be well below the log's retention.
+    /// Time after which a snapshot is due, in milliseconds; well below the log's retention.
     pub snapshot_interval_ms: u64,
     /// Maximum number of appends a second of all nodes together.
     pub max_appends_per_s: u32,
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Records the usage if it is well above the known estimate; limits the records per job.
+    /// Records the usage if it is well above the estimate, which limits the records per job.
     async fn record_usage(&self, report: &TaskReport) {
         let known_usage = &self.job.estimate.used;
         let is_significant = report.used.cores_milli
