--- a/crates/state/benches/fold.rs
+++ b/crates/state/benches/fold.rs
@@ -1,4 +1,4 @@
-//! Cost of folding, publishing, saving and restoring at several sizes.
+//! Cost of folding, publishing, encoding and decoding the state at several fleet sizes.
 
 mod full_size;
 
@@ -9,10 +9,10 @@
     lynxwheel_state::{FleetState, decode_snapshot, encode_snapshot},
 };
 
-/// Quarters of the full size that are measured.
-const QUARTERS: [u64; 4] = [1, 2, 4, 8];
+/// Fleet sizes to measure, in quarters of the full size.
+const FLEET_QUARTERS: [u64; 4] = [1, 2, 4, 8];
 
-/// Records of one run.
+/// Number of records in one iteration.
 const RECORDS: u64 = 8_000;
 
 fn main() {
@@ -27,7 +27,7 @@
 }
 
 /// Folds decoded records.
-#[divan::bench(args = QUARTERS, sample_count = 20)]
+#[divan::bench(args = FLEET_QUARTERS, sample_count = 20)]
 fn fold(bencher: Bencher, quarters: u64) {
     let state = fleet(quarters);
     let records = maintenance(&state, RECORDS);
@@ -67,7 +67,7 @@
         });
 }
 
-/// Folds records in batches and publishes a copy after each, as readers keep the last one.
+/// Folds records in batches and publishes a copy of the state after each batch.
 #[divan::bench(args = [1, 16, 256], sample_count = 20)]
 fn fold_and_publish(bencher: Bencher, batch: usize) {
     let state = fleet(4);
@@ -86,14 +86,14 @@
 }
 
 /// Encodes the state.
-#[divan::bench(args = QUARTERS, sample_count = 10)]
+#[divan::bench(args = FLEET_QUARTERS, sample_count = 10)]
 fn save_state(bencher: Bencher, quarters: u64) {
     let state = fleet(quarters);
     bencher.bench_local(|| encode_snapshot(black_box(&state)));
 }
 
 /// Decodes the state.
-#[divan::bench(args = QUARTERS, sample_count = 10)]
+#[divan::bench(args = FLEET_QUARTERS, sample_count = 10)]
 fn restore_state(bencher: Bencher, quarters: u64) {
     let bytes = encode_snapshot(&fleet(quarters)).expect("a state");
     bencher.bench_local(|| decode_snapshot(black_box(&bytes)));
--- a/crates/state/benches/full_size/mod.rs
+++ b/crates/state/benches/full_size/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of the size that the design is made for, and records for it.
+//! A fleet of the size that the system is designed for, and records for it.
 
 use {
     lynxwheel_protocol::{
@@ -9,17 +9,17 @@
     lynxwheel_state::FleetState,
 };
 
-/// VMs at full size.
-const VMS: u64 = 1_400;
+/// Number of VMs at full size.
+const FULL_SIZE_VMS: u64 = 1_400;
 
-/// Pools at full size.
-const POOLS: u64 = 290;
+/// Number of pools at full size.
+const FULL_SIZE_POOLS: u64 = 290;
 
-/// Teams at full size.
-const TEAMS: u64 = 270;
+/// Number of teams at full size.
+const FULL_SIZE_TEAMS: u64 = 270;
 
-/// Jobs at full size.
-const JOBS: u64 = 20_000;
+/// Number of jobs at full size.
+const FULL_SIZE_JOBS: u64 = 20_000;
 
 /// Time of all records, in milliseconds since the epoch.
 const TIME_MS: u64 = 1_700_000_000_000;
@@ -27,12 +27,12 @@
 /// Builds a fleet of `quarters` quarters of the full size, with every VM live.
 pub fn fleet(quarters: u64) -> FleetState {
     let scaled = |count: u64| count * quarters / 4;
-    let pools = scaled(POOLS);
-    let teams = scaled(TEAMS);
+    let pools = scaled(FULL_SIZE_POOLS);
+    let teams = scaled(FULL_SIZE_TEAMS);
     let wave = WaveSpec {
         name: "wave".into(),
         pools: (0..pools)
-            .map(|pool| named("pool", pool).as_str().into())
+            .map(|pool| numbered("pool", pool).as_str().into())
             .collect(),
         action: WaveAction::Reboot,
         goal: WaveGoal::Run,
@@ -42,8 +42,8 @@
     let resources = (0..teams)
         .map(team)
         .chain((0..pools).map(pool))
-        .chain((0..scaled(VMS)).map(|number| vm(number, pools)))
-        .chain((0..scaled(JOBS)).map(|number| job(number, pools, teams)))
+        .chain((0..scaled(FULL_SIZE_VMS)).map(|number| vm(number, pools)))
+        .chain((0..scaled(FULL_SIZE_JOBS)).map(|number| job(number, pools, teams)))
         .chain([Resource::Wave(wave)]);
     let puts = resources.map(|resource| RecordBody::Put {
         resource: Box::new(resource),
@@ -53,7 +53,7 @@
         node: "node-1".into(),
         fold_version: 1,
     };
-    let reports = (0..scaled(VMS)).map(|number| RecordBody::Report {
+    let reports = (0..scaled(FULL_SIZE_VMS)).map(|number| RecordBody::Report {
         reports: vec![report(number, TIME_MS)],
     });
     let mut state = FleetState::new();
@@ -63,15 +63,15 @@
     state
 }
 
-/// Uses `count` idempotency keys.
+/// Adds `count` idempotency keys to `state`.
 #[allow(
     dead_code,
-    reason = "one of the programs that share this measures keys"
+    reason = "only one of the programs that share this module measures keys"
 )]
-pub fn use_keys(state: &mut FleetState, count: u64) {
+pub fn add_keys(state: &mut FleetState, count: u64) {
     for key in 0..count {
         let offset = state.offset() + 1;
-        // Keys are digests, so they come in no order.
+        // Keys are digests, so their order is random.
         let digest = u128::from(key).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
         let intent = RecordBody::Intent {
             key: RequestKey(digest),
@@ -82,14 +82,14 @@
     }
 }
 
-/// Builds the records of the maintenance of VMs one after another, following on `state`.
+/// Builds `count` records that maintain one VM after another, to be applied to `state`.
 pub fn maintenance(state: &FleetState, count: u64) -> Vec<Record> {
     let vms = state.vms().len() as u64;
     let first = state.offset() + 1;
     (0..count)
         .map(|index| {
             let number = index / 4 % vms;
-            let vm = || named("vm", number).as_str().into();
+            let vm = || numbered("vm", number).as_str().into();
             let fence = first + index - index % 4;
             let body = match index % 4 {
                 0 => RecordBody::Claim {
@@ -129,13 +129,13 @@
     }
 }
 
-fn named(kind: &str, number: u64) -> String {
+fn numbered(kind: &str, number: u64) -> String {
     format!("{kind}-{number:05}")
 }
 
 fn team(number: u64) -> Resource {
     Resource::Team(TeamSpec {
-        name: named("team", number).as_str().into(),
+        name: numbered("team", number).as_str().into(),
         quota: Resources {
             cores_milli: u32::MAX,
             memory_mib: u32::MAX,
@@ -146,7 +146,7 @@
 
 fn pool(number: u64) -> Resource {
     Resource::Pool(PoolSpec {
-        name: named("pool", number).as_str().into(),
+        name: numbered("pool", number).as_str().into(),
         size: 5,
         budget: Budget {
             min_available: Amount::Count(1),
@@ -157,16 +157,16 @@
 
 fn vm(number: u64, pools: u64) -> Resource {
     Resource::Vm(VmSpec {
-        name: named("vm", number).as_str().into(),
-        pool: named("pool", number % pools).as_str().into(),
+        name: numbered("vm", number).as_str().into(),
+        pool: numbered("pool", number % pools).as_str().into(),
     })
 }
 
 fn job(number: u64, pools: u64, teams: u64) -> Resource {
     Resource::Job(JobSpec {
-        name: named("job", number).as_str().into(),
-        pool: named("pool", number % pools).as_str().into(),
-        team: named("team", number % teams).as_str().into(),
+        name: numbered("job", number).as_str().into(),
+        pool: numbered("pool", number % pools).as_str().into(),
+        team: numbered("team", number % teams).as_str().into(),
         class: Class::default(),
         demand: Resources {
             cores_milli: 500,
@@ -182,12 +182,12 @@
 
 fn report(number: u64, evidence_ms: u64) -> VmReport {
     VmReport {
-        vm: named("vm", number).as_str().into(),
+        vm: numbered("vm", number).as_str().into(),
         incarnation: 1,
         phase: VmPhase::Live,
         evidence_ms,
-        zone: named("zone", number % 12).as_str().into(),
-        rack: named("rack", number / 4).as_str().into(),
+        zone: numbered("zone", number % 12).as_str().into(),
+        rack: numbered("rack", number / 4).as_str().into(),
         address: "10.0.0.1:8080".into(),
         capacity: Resources {
             cores_milli: 16_000,
--- a/crates/state/examples/fold_soak.rs
+++ b/crates/state/examples/fold_soak.rs
@@ -1,6 +1,6 @@
-//! Checks random histories for as long as asked: `fold_soak [FIRST_SEED] [SEEDS]`.
+//! Checks the properties of the fold on random histories: `fold_soak [FIRST_SEED] [SEEDS]`.
 //!
-//! A seed that fails is printed with its smallest history; it is kept as a case of
+//! Prints the first seed that fails with its minimal history, to be added to
 //! `tests/properties.rs`.
 
 #[path = "../tests/fold_model/mod.rs"]
@@ -12,13 +12,13 @@
     std::{env, process::ExitCode, time::SystemTime},
 };
 
-/// Histories for each seed.
+/// Number of histories for each seed.
 const CASES: u32 = 128;
 
-/// Steps of one history at most.
+/// Maximum number of steps in a history.
 const MAX_STEPS: usize = 120;
 
-/// Seeds when their number is not given.
+/// Default number of seeds.
 const SEEDS: u64 = 100;
 
 fn main() -> ExitCode {
--- a/crates/state/examples/state_size.rs
+++ b/crates/state/examples/state_size.rs
@@ -1,6 +1,6 @@
-//! Prints what a state takes in memory and as a snapshot: `state_size QUARTERS [KEYS]`.
+//! Prints the size of a state in memory and as a snapshot: `state_size QUARTERS [KEYS]`.
 //!
-//! One size a process, since freed memory of an earlier one would be counted as free.
+//! Each process measures one size, since memory freed by an earlier state would be reused.
 
 #[path = "../benches/full_size/mod.rs"]
 mod full_size;
@@ -10,7 +10,7 @@
     std::{env, fs, time::Instant},
 };
 
-/// Bytes of a page.
+/// Size of a memory page in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
 fn main() {
@@ -18,7 +18,7 @@
     let keys = argument(2).unwrap_or(0);
     let empty_bytes = resident_bytes();
     let mut built = full_size::fleet(quarters);
-    full_size::use_keys(&mut built, keys);
+    full_size::add_keys(&mut built, keys);
     println!(
         "built_bytes {}",
         resident_bytes().saturating_sub(empty_bytes)
@@ -34,7 +34,7 @@
         "restore_ms {:.1}",
         started.elapsed().as_secs_f64() * 1_000.0
     );
-    // What the first state left free is reused, so the growth is that of two states at most.
+    // Memory freed by the first state is reused, so the growth is at most that of two states.
     let records = full_size::maintenance(&state, 1).len();
     println!(
         "quarters {quarters} keys {keys} records {records} snapshot_bytes {}",
@@ -51,7 +51,7 @@
     env::args().nth(position)?.parse().ok()
 }
 
-/// Returns the process's resident memory in bytes.
+/// Returns the resident memory of the process in bytes.
 fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = text
--- a/crates/state/src/verdict.rs
+++ b/crates/state/src/verdict.rs
@@ -39,7 +39,7 @@
     },
     /// A resource that the proposal refers to does not exist.
     Missing {
-        /// Resource that is declared or deleted.
+        /// Resource that does not exist.
         reference: ResourceRef,
     },
     /// Another resource depends on the resource to delete.
--- a/crates/state/tests/fold_model/mod.rs
+++ b/crates/state/tests/fold_model/mod.rs
@@ -1,4 +1,4 @@
-//! Random histories of a small fleet and what must hold of every one of them.
+//! Random histories of a small fleet, and the properties that hold for each of them.
 
 use {
     lynxwheel_protocol::{
@@ -10,28 +10,28 @@
     std::fmt::Debug,
 };
 
-/// VMs of the fleet.
+/// Number of VMs in the fleet.
 const VMS: u8 = 6;
 
-/// Pools of the fleet.
+/// Number of pools in the fleet.
 const POOLS: u8 = 2;
 
-/// Nodes that write.
+/// Number of nodes that write records.
 const NODES: u8 = 3;
 
 /// Time of the first record, in milliseconds since the epoch.
 const START_MS: u64 = 1_000_000;
 
-/// One step of a history; numbers are taken modulo what there is.
+/// One step of a history.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Reports a VM's phase, with evidence older or newer than the step by this many milliseconds.
+    /// Reports the phase of a VM, with evidence `skew_ms` newer than the step, or older if negative.
     Report { vm: u8, phase: u8, skew_ms: i16 },
-    /// Claims a VM for the wave or for the move that is declared.
+    /// Claims a VM for the wave or for its declared move.
     Claim { vm: u8, is_move: bool },
     /// Begins the action of a claim.
     Begin { vm: u8, is_stale: bool },
-    /// Takes a claim over.
+    /// Takes over a claim.
     TakeOver { vm: u8, is_stale: bool },
     /// Releases a claim.
     Release { vm: u8, is_stale: bool },
@@ -39,19 +39,19 @@
     Done { vm: u8, succeeded: bool },
     /// Completes a move.
     HandOver { vm: u8 },
-    /// Declares a VM's pool.
+    /// Declares a VM in a pool.
     Declare { vm: u8, pool: u8 },
-    /// Changes a pool's budget.
+    /// Changes the budget of a pool.
     Budget { pool: u8, min_available: u8 },
-    /// Uses an idempotency key.
+    /// Announces a request with an idempotency key.
     Intend { key: u8 },
-    /// Appends an earlier record once more.
+    /// Appends an earlier record again.
     Repeat { back: u8 },
 }
 
-/// Step with the node that writes it.
+/// A step and the node that writes it.
 #[derive(Clone, Debug)]
-pub struct Written {
+pub struct WrittenStep {
     /// Node.
     pub node: u8,
     /// Step.
@@ -59,8 +59,8 @@
 }
 
 /// Generates histories of up to `max` steps.
-pub fn histories(max: usize) -> impl Strategy<Value = Vec<Written>> {
-    let written = (0..NODES, steps()).prop_map(|(node, step)| Written { node, step });
+pub fn histories(max: usize) -> impl Strategy<Value = Vec<WrittenStep>> {
+    let written = (0..NODES, steps()).prop_map(|(node, step)| WrittenStep { node, step });
     prop::collection::vec(written, 1..max)
 }
 
@@ -83,24 +83,24 @@
     ]
 }
 
-/// Runs a history and checks everything after each record.
+/// Applies a history and checks the properties after each record.
 ///
 /// # Errors
 ///
-/// Returns what does not hold.
-pub fn check(history: &[Written]) -> Result<(), TestCaseError> {
-    let mut run = Run::new();
+/// Returns the property that does not hold.
+pub fn check(history: &[WrittenStep]) -> Result<(), TestCaseError> {
+    let mut run = HistoryRun::new();
     for body in set_up() {
         run.append(0, body)?;
     }
     let first = run.records.len();
     for written in history {
-        run.take(written)?;
+        run.apply_step(written)?;
     }
-    // A node that starts from a snapshot at any point must come to the same state.
+    // A node that starts from a snapshot at any offset must reach the same state.
     let step = (run.records.len() - first).div_ceil(5).max(1);
     for from in (first..run.records.len()).step_by(step) {
-        run.check_from(from)?;
+        run.check_snapshot_at(from)?;
     }
     Ok(())
 }
@@ -157,14 +157,14 @@
     format!("vm-{vm}")
 }
 
-/// A history under way.
-struct Run {
+/// A history that is being applied.
+struct HistoryRun {
     state: FleetState,
     records: Vec<Record>,
     sequences: [u64; NODES as usize],
 }
 
-impl Run {
+impl HistoryRun {
     fn new() -> Self {
         let mut run = Self {
             state: FleetState::new(),
@@ -208,7 +208,7 @@
         Ok(())
     }
 
-    fn take(&mut self, written: &Written) -> Result<(), TestCaseError> {
+    fn apply_step(&mut self, written: &WrittenStep) -> Result<(), TestCaseError> {
         if let Step::Repeat { back } = &written.step {
             let row = self.records.len() - 1 - usize::from(*back) % self.records.len();
             let record = self.records[row].clone();
@@ -220,7 +220,7 @@
         self.append(written.node, body)
     }
 
-    /// Applies a record and checks what must hold between the states before and after it.
+    /// Applies a record and compares the states before and after it.
     fn check_apply(&mut self, record: &Record) -> Result<Verdict, TestCaseError> {
         let before = self.state.clone();
         let verdict = self.apply(record.clone());
@@ -241,13 +241,13 @@
         for pool in self.state.pools().iter() {
             let name = pool.spec.name.as_str();
             let available = before.pools().get(name).map_or(0, |pool| pool.available);
-            let is_kept = pool.available >= available || pool.available >= pool.floor();
-            prop_assert!(is_kept, "{record:?} took {name} below its floor");
+            let is_within_budget = pool.available >= available || pool.available >= pool.floor();
+            prop_assert!(is_within_budget, "{record:?} took {name} below its floor");
         }
         Ok(verdict)
     }
 
-    fn check_from(&self, from: usize) -> Result<(), TestCaseError> {
+    fn check_snapshot_at(&self, from: usize) -> Result<(), TestCaseError> {
         let mut state = FleetState::new();
         for (offset, record) in (1..).zip(&self.records) {
             state.apply(offset, record);
@@ -353,7 +353,7 @@
     }
 }
 
-/// Checks that each VM is in one pool and that the pools' counts equal a recount.
+/// Checks that each VM belongs to one pool and that the counts of the pools are correct.
 fn check_counts(state: &FleetState) -> Result<(), TestCaseError> {
     let members: u32 = state.pools().iter().map(|pool| pool.members).sum();
     prop_assert_eq!(members as usize, state.vms().len());
@@ -364,11 +364,11 @@
 }
 
 fn check_pool(state: &FleetState, pool: &PoolState) -> Result<(), TestCaseError> {
-    let own = || state.vms().iter().filter(|vm| vm.pool == pool.spec.name);
-    prop_assert_eq!(own().count(), pool.members as usize);
-    let available = own().filter(|vm| vm.is_available()).count();
+    let members_of_pool = || state.vms().iter().filter(|vm| vm.pool == pool.spec.name);
+    prop_assert_eq!(members_of_pool().count(), pool.members as usize);
+    let available = members_of_pool().filter(|vm| vm.is_available()).count();
     prop_assert_eq!(available, pool.available as usize);
-    let mut zones: Vec<ZoneName> = own()
+    let mut zones: Vec<ZoneName> = members_of_pool()
         .filter(|vm| vm.claim.is_some())
         .map(|vm| vm.zone.clone())
         .collect();
--- a/crates/state/tests/keys.rs
+++ b/crates/state/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys as the fold keeps them.
+//! Idempotency keys in the state.
 
 use {
     lynxwheel_protocol::{KeyOutcome, Record, RecordBody, RequestKey, WriterId},
@@ -48,10 +48,10 @@
     record(incarnation, sequence, body)
 }
 
-/// A node withdraws its intent, another node takes the key and runs the renewal, and then a late
-/// outcome of the first node comes. It must not free the key: a third attempt would charge twice.
+/// A late outcome of the node that held a key before must not release it while the request of
+/// another node is running.
 #[test]
-fn outcome_of_another_run_frees_no_key() {
+fn outcome_of_another_incarnation_releases_no_key() {
     let records = [
         join(1),
         join(2),
--- a/crates/state/tests/properties.rs
+++ b/crates/state/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What must hold of every history of records.
+//! Properties of the fold, checked on random histories of records.
 
 mod fold_model;
 
@@ -7,10 +7,10 @@
     proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 
-/// Histories for each seed.
+/// Number of histories for each seed.
 const CASES: u32 = 128;
 
-/// Steps of one history at most.
+/// Maximum number of steps in a history.
 const MAX_STEPS: usize = 120;
 
 macro_rules! seeds {
--- a/crates/state/tests/time.rs
+++ b/crates/state/tests/time.rs
@@ -1,4 +1,4 @@
-//! Time of the fold when one node's clock is wrong.
+//! Time of the fold when the clock of a node is wrong.
 
 use {
     lynxwheel_protocol::{
@@ -7,10 +7,10 @@
     lynxwheel_state::{FleetState, Rejection, Verdict},
 };
 
-/// Time of the right clocks, in milliseconds since the epoch.
+/// Time of the correct clocks, in milliseconds since the epoch.
 const NOW_MS: u64 = 1_700_000_000_000;
 
-/// Time of the wrong clock: thirty years ahead.
+/// Time of the wrong clock, thirty years ahead, in milliseconds since the epoch.
 const AHEAD_MS: u64 = NOW_MS + 30 * 365 * 24 * 60 * 60 * 1_000;
 
 /// Writes records of several nodes into one state.
@@ -21,7 +21,7 @@
 }
 
 impl Log {
-    /// Joins two nodes with right clocks.
+    /// Creates a log that two nodes with correct clocks have joined.
     fn new() -> Self {
         let mut log = Self::default();
         log.join(1, "node-1", NOW_MS);
@@ -72,9 +72,7 @@
     }
 }
 
-/// A subscription renewal is charged twice. One node's clock jumped thirty years ahead; its next
-/// record expired every idempotency key, and a caller's retry of the renewal was taken for new.
-/// The key must still be known.
+/// One clock that is ahead must not expire idempotency keys, or a retried request would run twice.
 #[test]
 fn clock_ahead_does_not_expire_keys() {
     let mut log = Log::new();
@@ -85,7 +83,7 @@
     assert_eq!(retried, Verdict::Rejected(Rejection::KeyTaken));
 }
 
-/// The same when the node with the wrong clock is restarted and confirms itself.
+/// A node with a wrong clock must not confirm its own time after a restart.
 #[test]
 fn restarted_node_does_not_confirm_its_own_time() {
     let mut log = Log::new();
@@ -96,8 +94,7 @@
     assert_eq!(log.state.time_ms(), NOW_MS);
 }
 
-/// Keys are kept forever and the table fills up. The time stands still although two nodes go on
-/// writing. It must follow the second of them.
+/// The time must advance with the second highest clock, or keys would never expire.
 #[test]
 fn time_follows_two_nodes() {
     let mut log = Log::new();
@@ -108,10 +105,9 @@
     assert_eq!(log.state.time_ms(), NOW_MS + 5_000);
 }
 
-/// A VM stays out of service for good. A node whose clock is ahead reported it as failed; every
-/// later finding looked older than that one. Findings must count again after a short while.
+/// A report of a node whose clock is ahead must not make all later reports of the VM look old.
 #[test]
-fn clock_ahead_does_not_bury_findings() {
+fn clock_ahead_does_not_block_reports() {
     let mut log = Log::new();
     let vm = Resource::Vm(VmSpec {
         name: "vm-1".into(),
--- a/crates/state/tests/writers.rs
+++ b/crates/state/tests/writers.rs
@@ -1,4 +1,4 @@
-//! Removal of duplicates and the numbering of runs.
+//! Deduplication of records, incarnations of writers and fold versions.
 
 use {
     lynxwheel_protocol::{Record, RecordBody, WriterId},
@@ -30,16 +30,16 @@
     }
 }
 
-fn join_knowing(node: &str, incarnation: u64, known: u32) -> Record {
+fn join_with_version(node: &str, incarnation: u64, fold_version: u32) -> Record {
     let mut record = join(node, incarnation);
     record.body = RecordBody::Join {
         node: node.into(),
-        fold_version: known,
+        fold_version,
     };
     record
 }
 
-fn raise(incarnation: u64, sequence: u64, fold_version: u32) -> Record {
+fn raise_version(incarnation: u64, sequence: u64, fold_version: u32) -> Record {
     let mut record = report(incarnation, sequence);
     record.body = RecordBody::RaiseVersion { fold_version };
     record
@@ -58,28 +58,27 @@
     }
 }
 
-const NOT_KNOWN: Verdict = Verdict::Rejected(Rejection::VersionNotKnown { fold_version: 2 });
+const VERSION_NOT_KNOWN: Verdict =
+    Verdict::Rejected(Rejection::VersionNotKnown { fold_version: 2 });
 
-const UNKNOWN: Verdict = Verdict::Rejected(Rejection::UnknownWriter);
+const UNKNOWN_WRITER: Verdict = Verdict::Rejected(Rejection::UnknownWriter);
 
 cases! {
-    /// An operator's declaration seems lost. A node lost the answer to its append and sent the
-    /// record again; the log holds it twice. The second one must change nothing.
+    /// A record that a node appended again, since the response was lost, must not be applied twice.
     record_appended_twice: [join("a", 5), report(5, 2), report(5, 2)]
         => [Verdict::Accepted, Verdict::Accepted, Verdict::Duplicate];
-    /// Declarations at one node never get an answer. Two nodes started in the same millisecond
-    /// under the same number, and the second one's records were taken for duplicates. Its join
-    /// must be rejected, so that it knows.
-    two_nodes_with_one_number: [join("a", 5), join("b", 5)] => [Verdict::Accepted, UNKNOWN];
-    /// A record of a run that never joined must not be applied.
-    run_that_never_joined: [report(5, 1)] => [UNKNOWN];
+    /// Records of a second node with the same incarnation would be dropped as duplicates, so its
+    /// join must be rejected.
+    two_nodes_with_one_incarnation: [join("a", 5), join("b", 5)] => [Verdict::Accepted, UNKNOWN_WRITER];
+    /// A record of a writer that never joined must not be applied.
+    writer_that_never_joined: [report(5, 1)] => [UNKNOWN_WRITER];
     join_appended_twice: [join("a", 5), join("a", 5)] => [Verdict::Accepted, Verdict::Duplicate];
-    /// Nodes come to different states during an upgrade. One of them raised the version of the
-    /// fold while another one still ran the build before. It must wait for that one's new run.
-    version_raised_too_early: [join_knowing("a", 5, 2), join("b", 6), raise(5, 2, 2),
-        join_knowing("b", 7, 2), raise(5, 3, 2)]
-        => [Verdict::Accepted, Verdict::Accepted, NOT_KNOWN, Verdict::Accepted, Verdict::Accepted];
-    /// A build that is two versions ahead must not skip one.
-    version_skipped: [join_knowing("a", 5, 3), raise(5, 2, 3)]
+    /// The fold version must not be raised while a node still runs a build without it, since that
+    /// node would diverge.
+    version_raised_too_early: [join_with_version("a", 5, 2), join("b", 6), raise_version(5, 2, 2),
+        join_with_version("b", 7, 2), raise_version(5, 3, 2)]
+        => [Verdict::Accepted, Verdict::Accepted, VERSION_NOT_KNOWN, Verdict::Accepted, Verdict::Accepted];
+    /// A build that supports two further versions must not skip one.
+    version_skipped: [join_with_version("a", 5, 3), raise_version(5, 2, 3)]
         => [Verdict::Accepted, Verdict::Rejected(Rejection::VersionNotKnown { fold_version: 3 })];
 }
