--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -1,4 +1,4 @@
-//! Storing batches, one after the other, under the owner's epoch.
+//! Ordered and fenced appends of the engine's records.
 
 use {
     log::warn,
@@ -17,18 +17,18 @@
     tokio::time::sleep,
 };
 
-/// Topic of the engine's records; it keeps the newest of each key for good.
+/// Topic of the engine's records, compacted by key.
 pub const STATE_TOPIC: &str = "keyed.lynxwheel";
 
-/// Name under which owners write.
-const PRODUCER: &str = "owner";
+/// Producer name shared by all owners.
+const PRODUCER_NAME: &str = "owner";
 
-/// Shortest and longest pause before an append is repeated, in milliseconds.
-const MIN_RETRY_MS: u64 = 40;
-const MAX_RETRY_MS: u64 = 400;
+/// Bounds of the exponential backoff between attempts, in milliseconds.
+const MIN_RETRY_DELAY_MS: u64 = 40;
+const MAX_RETRY_DELAY_MS: u64 = 400;
 
-/// Bytes that a record's frame adds.
-const FRAME_BYTES: usize = 8;
+/// Framing overhead of a record, in bytes.
+const FRAME_OVERHEAD_BYTES: usize = 8;
 
 fn outcome_label(outcome: AppendOutcome) -> &'static str {
     match outcome {
@@ -40,13 +40,13 @@
     }
 }
 
-/// Numbers the appends of one owner.
+/// Assigns sequence numbers to the appends of one epoch.
 #[derive(Clone, Debug)]
 pub struct Writer {
     epoch: u64,
     sequence: u64,
-    request_bytes: usize,
-    /// Offset up to which the records are known to be stored.
+    max_request_bytes: usize,
+    /// Offset below which records are known to be stored.
     stored_end: Arc<AtomicU64>,
 }
 
@@ -65,23 +65,23 @@
         Self {
             epoch,
             sequence: 0,
-            request_bytes: settings.max_append_bytes / 2,
+            max_request_bytes: settings.max_append_bytes / 2,
             stored_end: Arc::default(),
         }
     }
 
-    /// Returns the offset up to which the records are known to be stored, as it moves on.
+    /// Returns the shared offset below which records are known to be stored.
     #[must_use]
     pub fn stored_end(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.stored_end)
     }
 
-    /// Shuts lower epochs out: an append without records sets the epoch.
+    /// Fences lower epochs with an empty append.
     ///
-    /// Returns whether it is set, or nothing while that is not known.
+    /// Returns whether the epoch is in force; `None` if the outcome is unknown.
     pub async fn fence(&mut self, store: &StoreClient) -> Option<bool> {
         let producer = Producer {
-            name: PRODUCER,
+            name: PRODUCER_NAME,
             epoch: self.epoch,
             sequence: self.sequence,
         };
@@ -97,14 +97,14 @@
         }
     }
 
-    /// Numbers the appends that store these records.
+    /// Encodes records into numbered appends of limited size.
     pub fn commit(&mut self, records: &[Record]) -> Commit {
         let mut appends: Vec<(u64, Vec<Vec<u8>>)> = Vec::new();
         let mut bytes = usize::MAX;
         for record in records {
             let encoded = encode_keyed_record(&record.key, &record.value);
-            let size = encoded.len() + FRAME_BYTES;
-            if bytes.saturating_add(size) > self.request_bytes {
+            let size = encoded.len() + FRAME_OVERHEAD_BYTES;
+            if bytes.saturating_add(size) > self.max_request_bytes {
                 appends.push((self.sequence, Vec::new()));
                 self.sequence += 1;
                 bytes = 0;
@@ -123,14 +123,14 @@
 }
 
 impl Commit {
-    /// Returns the bytes of the records.
+    /// Returns the total size of the records, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let records = self.appends.iter().flat_map(|(_, records)| records);
         records.map(Vec::len).sum()
     }
 
-    /// Stores the batch, however long the store is away; tells whether this owner may go on.
+    /// Stores the batch, retrying until it succeeds. Returns `false` if a newer epoch is in force.
     pub async fn store(&self, store: &StoreClient) -> bool {
         for (sequence, records) in &self.appends {
             if !self.append(store, *sequence, records).await {
@@ -142,11 +142,11 @@
 
     async fn append(&self, store: &StoreClient, sequence: u64, records: &[Vec<u8>]) -> bool {
         let producer = Producer {
-            name: PRODUCER,
+            name: PRODUCER_NAME,
             epoch: self.epoch,
             sequence,
         };
-        let mut pause_ms = MIN_RETRY_MS;
+        let mut pause_ms = MIN_RETRY_DELAY_MS;
         loop {
             let outcome = store
                 .append_in_sequence(STATE_TOPIC, records, producer)
@@ -157,17 +157,20 @@
                     self.stored_end.fetch_max(end, Ordering::Relaxed);
                     return true;
                 }
-                // The epoch is ours alone, so a store that is ahead has this append, and perhaps some
-                // that were sent after it.
+                // Only this writer uses the epoch, so the store already has this append and perhaps
+                // later ones.
                 AppendOutcome::OutOfSequence { expected } if expected > sequence => {
                     return true;
                 }
-                // One that was sent before this one is still under way.
+                // An earlier append is still in flight.
                 AppendOutcome::OutOfSequence { expected } if expected < sequence => {
-                    sleep(Duration::from_millis(MIN_RETRY_MS)).await;
+                    sleep(Duration::from_millis(MIN_RETRY_DELAY_MS)).await;
                 }
                 AppendOutcome::Fenced | AppendOutcome::OutOfSequence { .. } => {
-                    warn!(event = "append_refused", epoch = self.epoch, outcome:? = outcome; "");
+                    warn!(
+                        event = "append_refused", epoch = self.epoch, outcome:? = outcome;
+                        "append rejected, stopping the owner"
+                    );
                     return false;
                 }
                 AppendOutcome::Moved { .. }
@@ -176,12 +179,12 @@
                     warn!(
                         event = "append_repeated", epoch = self.epoch, sequence = sequence,
                         outcome:? = outcome, pause_ms = pause_ms;
-                        ""
+                        "append failed, retrying"
                     );
                     sleep(Duration::from_millis(pause_ms)).await;
-                    // Silence was waited for already; refusals call for fewer tries.
+                    // An unknown outcome has already waited for the timeout.
                     if outcome != AppendOutcome::Unknown {
-                        pause_ms = (pause_ms * 2).min(MAX_RETRY_MS);
+                        pause_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
                     }
                 }
             }
--- a/crates/controller/src/feeds.rs
+++ b/crates/controller/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Feeds from the platform: what operators write, who is in the registry, which VMs there are.
+//! Feeds from the platform: operator records, the endpoint registry and the list of VMs.
 
 use {
     crate::{
@@ -15,31 +15,31 @@
     tokio::time::sleep,
 };
 
-/// Longest wait of a poll for what operators write, in milliseconds. A channel may fall silent
-/// without an error; a poll that ends is the only sign of life.
-const OPERATOR_WAIT_MS: u64 = 700;
+/// Maximum wait of a poll of the operator topic, in milliseconds. Kept short to detect connections
+/// that hang without an error.
+const OPERATOR_POLL_WAIT_MS: u64 = 700;
 
-/// Longest wait of a poll for the registry, in milliseconds.
-const REGISTRY_WAIT_MS: u64 = 700;
+/// Maximum wait of a poll of the registry, in milliseconds.
+const REGISTRY_POLL_WAIT_MS: u64 = 700;
 
-/// Pause between polls of the registry, in milliseconds: endpoints write all the time, and one
-/// answer brings what several wrote.
+/// Pause between polls of the registry, in milliseconds. Endpoints write constantly; pausing
+/// batches their records.
 const REGISTRY_PAUSE_MS: u64 = 120;
 
-/// Time between lists of the VMs, in milliseconds.
-const VMS_EVERY_MS: u64 = 700;
+/// Interval between requests for the list of VMs, in milliseconds.
+const VM_LIST_INTERVAL_MS: u64 = 700;
 
-/// Pause after a failed call, in milliseconds.
-const RETRY_MS: u64 = 150;
+/// Delay after a failed call, in milliseconds.
+const RETRY_DELAY_MS: u64 = 150;
 
-/// A topic that is followed record by record.
-struct Follower {
+/// Reader of a keyed topic.
+struct TopicReader {
     topic: &'static str,
     from: Option<u64>,
     is_lost: bool,
 }
 
-impl Follower {
+impl TopicReader {
     fn new(topic: &'static str) -> Self {
         Self {
             topic,
@@ -48,8 +48,9 @@
         }
     }
 
-    /// Returns the next records: the newest of each key at first, or when some have expired, with
-    /// `true`; later what was written since, with `false`.
+    /// Returns the next records, and whether they are a snapshot. The first call, and any call
+    /// after a trim, returns a snapshot with the latest record of each key; other calls return new
+    /// records.
     async fn next(&mut self, node: &Node, wait_ms: u64) -> (Vec<KeyedRecord>, bool) {
         let outcome = match self.from {
             None => self.load(node).await,
@@ -59,16 +60,22 @@
             Ok(records) => {
                 if self.is_lost {
                     self.is_lost = false;
-                    info!(event = "feed_regained", topic = self.topic; "");
+                    info!(
+                        event = "feed_regained", topic = self.topic;
+                        "reading the topic succeeded again"
+                    );
                 }
                 records
             }
             Err(reason) => {
                 if !self.is_lost {
                     self.is_lost = true;
-                    warn!(event = "feed_lost", topic = self.topic, reason = reason.as_str(); "");
+                    warn!(
+                        event = "feed_lost", topic = self.topic, reason = reason.as_str();
+                        "reading the topic failed"
+                    );
                 }
-                sleep(Duration::from_millis(RETRY_MS)).await;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 (Vec::new(), false)
             }
         }
@@ -97,73 +104,76 @@
                     .filter_map(|record| KeyedRecord::decode(record));
                 Ok((decoded.collect(), false))
             }
-            // What was missed is among the newest records.
+            // The snapshot includes the latest of the trimmed records.
             ReadOutcome::Trimmed { .. } => self.load(node).await,
             ReadOutcome::Missing => {
-                sleep(Duration::from_millis(RETRY_MS)).await;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 Ok((Vec::new(), false))
             }
         }
     }
 }
 
-/// Follows what operators write, for as long as the process lives.
-pub async fn follow_operator(node: Arc<Node>) {
-    let mut follower = Follower::new(OPERATOR_TOPIC);
+/// Follows the operator topic until the process exits.
+pub async fn follow_operator_topic(node: Arc<Node>) {
+    let mut reader = TopicReader::new(OPERATOR_TOPIC);
     loop {
-        let (records, _) = follower.next(&node, OPERATOR_WAIT_MS).await;
+        let (records, _) = reader.next(&node, OPERATOR_POLL_WAIT_MS).await;
         for record in records {
             match decode_operator_record(&record) {
-                Some(OperatorRecord::Config(config, mistakes)) => {
-                    for AccountError { account, field } in mistakes {
+                Some(OperatorRecord::Config(config, errors)) => {
+                    for AccountError { account, field } in errors {
                         warn!(
                             event = "account_left_out", version = config.version,
                             account = account.as_str(), field = field.as_str();
-                            ""
+                            "account skipped: invalid field"
                         );
                     }
-                    node.put_config(config);
+                    node.activate_config(config);
                 }
-                Some(OperatorRecord::Wave(order)) => node.put_wave(order),
-                None => warn!(event = "operator_record_unread", key = record.key.as_str(); ""),
+                Some(OperatorRecord::Wave(order)) => node.record_wave_order(order),
+                None => warn!(
+                    event = "operator_record_unread", key = record.key.as_str();
+                    "operator record cannot be decoded"
+                ),
             }
         }
-        if !follower.is_lost {
+        if !reader.is_lost {
             node.record_config_read();
         }
     }
 }
 
-/// Follows the registry for an owner.
+/// Passes changes of the endpoint registry to the owner actor.
 pub async fn follow_registry(node: Arc<Node>, owner: Arc<OwnerHandle>) {
-    let mut follower = Follower::new(REGISTRY_TOPIC);
+    let mut reader = TopicReader::new(REGISTRY_TOPIC);
     let mut listed: Vec<String> = Vec::new();
     loop {
-        let (records, is_whole) = follower.next(&node, REGISTRY_WAIT_MS).await;
-        if is_whole {
+        let (records, is_snapshot) = reader.next(&node, REGISTRY_POLL_WAIT_MS).await;
+        if is_snapshot {
             listed.retain(|id| {
-                let is_kept = records.iter().any(|record| record.key == *id);
-                if !is_kept {
-                    owner.offer(OwnerMessage::event(Event::Deregistered(id.as_str().into())));
+                let is_listed = records.iter().any(|record| record.key == *id);
+                if !is_listed {
+                    owner.try_send(OwnerMessage::event(Event::Deregistered(id.as_str().into())));
                 }
-                is_kept
+                is_listed
             });
         }
         for record in records {
             let entry = decode_endpoint(&record.key, &record.value);
-            let place = listed.binary_search(&record.key);
+            let index = listed.binary_search(&record.key);
             if let Some(entry) = entry {
-                if let Err(place) = place {
-                    listed.insert(place, record.key);
+                if let Err(index) = index {
+                    listed.insert(index, record.key);
                 }
                 let event = Event::Registered {
                     entry: Box::new(entry),
-                    is_fresh: !is_whole,
+                    is_fresh: !is_snapshot,
                 };
                 owner.send(OwnerMessage::event(event)).await;
-            } else if let Ok(place) = place {
-                // Removed, or overwritten by something that cannot be read.
-                let id = listed.remove(place);
+            } else if let Ok(index) = index {
+                // Deleted, or replaced by a record that cannot be decoded.
+                let id = listed.remove(index);
                 owner
                     .send(OwnerMessage::event(Event::Deregistered(id.as_str().into())))
                     .await;
@@ -173,25 +183,28 @@
     }
 }
 
-/// Follows the list of VMs for an owner.
-pub async fn follow_vms(calls: VmClient, owner: Arc<OwnerHandle>) {
+/// Passes the list of VMs to the owner actor.
+pub async fn follow_vms(client: VmClient, owner: Arc<OwnerHandle>) {
     let mut is_lost = false;
     loop {
-        match calls.list().await {
+        match client.list().await {
             Ok(vms) => {
                 if is_lost {
-                    info!(event = "vm_list_regained"; "");
+                    info!(event = "vm_list_regained"; "reading the list of VMs succeeded again");
                 }
                 is_lost = false;
                 owner.send(OwnerMessage::event(Event::VmsListed(vms))).await;
             }
             Err(error) => {
                 if !is_lost {
-                    warn!(event = "vm_list_lost", reason = error.to_string().as_str(); "");
+                    warn!(
+                        event = "vm_list_lost", reason = error.to_string().as_str();
+                        "reading the list of VMs failed"
+                    );
                 }
                 is_lost = true;
             }
         }
-        sleep(Duration::from_millis(VMS_EVERY_MS)).await;
+        sleep(Duration::from_millis(VM_LIST_INTERVAL_MS)).await;
     }
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,15 +1,16 @@
-//! A node: what its duties share, its start and its stop.
+//! Node state shared by all tasks, startup and graceful shutdown.
 
 use {
     crate::{
-        carrier::CarrierDuty,
-        clock, feeds, ingress,
+        clock,
+        delegate_worker::DelegateWorker,
+        feeds, ingress,
         members::{Member, Members},
         owner::{OwnerHandle, OwnerMessage},
-        ownership::{OwnerId, OwnershipKind, OwnershipRecord, OwnershipView},
-        payloads::Payloads,
+        ownership::{OwnerInfo, OwnershipKind, OwnershipRecord, OwnershipView},
+        payloads::PayloadCache,
         peer_server, ready,
-        speed::{self, Speed},
+        speed::{self, CpuSpeed},
         watcher,
     },
     arc_swap::{ArcSwap, ArcSwapOption},
@@ -32,44 +33,44 @@
     },
 };
 
-/// Longest lease granted to endpoints, in milliseconds: it outlives an owner's loss and its
-/// successor's start by some seconds, and bounds how long the runs of a dead endpoint are missing.
-const LEASE_MS: u64 = 6_000;
+/// Maximum endpoint lease, in milliseconds. Outlasts an owner failure and the following takeover by
+/// several seconds, and bounds how long runs on a dead endpoint go unnoticed.
+const MAX_LEASE_MS: u64 = 6_000;
 
-/// Time for which an ended job is remembered beyond what callers are promised, in milliseconds.
+/// Retention of ended jobs beyond the promised period, in milliseconds.
 const RETENTION_SLACK_MS: u64 = 30_000;
 
-/// Time for which a stopping node goes on taking connections, in milliseconds: the balancer asks
-/// each second and believes the second miss.
-const LEAVE_MS: u64 = 2_600;
+/// Time for which a stopping node keeps accepting connections, in milliseconds. The load balancer
+/// checks readiness every second and removes a node after two failed checks.
+const CONNECTION_DRAIN_MS: u64 = 2_600;
 
-/// Time that is kept of the grace period for the last answers, in milliseconds.
-const LAST_ANSWERS_MS: u64 = 1_200;
+/// Part of the shutdown grace period reserved for final responses, in milliseconds.
+const FINAL_RESPONSES_MS: u64 = 1_200;
 
-/// Time without contact to the store after which a node is not ready, in milliseconds: one poll
-/// and its slack.
-const OUT_OF_TOUCH_MS: u64 = 1_800;
+/// Time without store contact after which a node reports that it is not ready, in milliseconds: one
+/// poll plus slack.
+const READY_CONTACT_MS: u64 = 1_800;
 
-/// Time without contact to the store after which an owner counts as cut off from it, in
-/// milliseconds: the longest wait of a poll, and a little.
-const CONTACT_MS: u64 = 750;
+/// Time without store contact after which an owner counts as disconnected from the store, in
+/// milliseconds: the maximum poll wait plus slack.
+const OWNER_CONTACT_MS: u64 = 750;
 
-/// Time between summing up the samples of the metrics, in milliseconds: the recorder's own default.
-const METRICS_UPKEEP_MS: u64 = 5_000;
+/// Interval of the metrics upkeep, in milliseconds; the same as the exporter's default.
+const METRICS_UPKEEP_INTERVAL_MS: u64 = 5_000;
 
-/// Connections to another node at most.
-const PEER_CONNECTIONS: usize = 32;
+/// Maximum number of connections to each peer.
+const MAX_PEER_CONNECTIONS: usize = 32;
 
-/// Renders the metrics as text; what renders them is the program's choice.
+/// Handle to the process's metrics exporter.
 #[derive(Clone)]
-pub struct MetricsPage {
+pub struct MetricsHandle {
     render: Arc<dyn Fn() -> String + Send + Sync>,
     upkeep: Arc<dyn Fn() + Send + Sync>,
 }
 
-impl MetricsPage {
-    /// Wraps what renders the metrics, and what sums up their samples now and then, so that they
-    /// take no more and more memory while nobody asks.
+impl MetricsHandle {
+    /// Creates a handle from a function that renders the metrics and one that drains histogram
+    /// samples, which would otherwise accumulate while nobody scrapes.
     #[must_use]
     pub fn new(
         render: impl Fn() -> String + Send + Sync + 'static,
@@ -81,169 +82,177 @@
         }
     }
 
-    /// Renders the metrics.
+    /// Renders the metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         (self.render)()
     }
 }
 
-impl fmt::Debug for MetricsPage {
+impl fmt::Debug for MetricsHandle {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("MetricsPage")
+        formatter.write_str("MetricsHandle")
     }
 }
 
-/// What the duties of a node share.
+/// State shared by the tasks of a node.
 #[derive(Debug)]
 pub struct Node {
-    /// Settings.
+    /// Settings of the process.
     pub settings: PlatformSettings,
-    /// Life of this process; no two share it.
+    /// Random identifier of this process's lifetime.
     pub incarnation: u64,
-    /// When this process began, on the steady clock in milliseconds.
-    pub begun_ms: u64,
-    /// Address at which it takes other nodes' requests.
+    /// Monotonic start time of the process, in milliseconds.
+    pub started_ms: u64,
+    /// Address at which peers reach this node.
     pub peer_address: SocketAddr,
-    /// Speed of its processor.
-    pub speed: Mutex<Speed>,
-    /// Store.
+    /// Measured CPU speed.
+    pub cpu_speed: Mutex<CpuSpeed>,
+    /// Client of the platform's store.
     pub store: StoreClient,
-    /// Connections to other nodes.
+    /// HTTP clients for peers.
     pub peers: Arc<Clients>,
     /// Active configuration.
     pub config: ArcSwap<FleetConfig>,
-    /// When what operators write was read last, on the steady clock in milliseconds.
+    /// Monotonic time of the last read of the operator topic, in milliseconds.
     pub config_read_ms: AtomicU64,
-    /// When others were asked last for a newer configuration, on the steady clock in milliseconds.
-    pub config_asked_ms: AtomicU64,
-    /// Held while another node's configuration is fetched.
+    /// Monotonic time of the last request for a newer configuration, in milliseconds.
+    pub config_requested_ms: AtomicU64,
+    /// Serializes configuration fetches from peers.
     pub config_fetch: tokio::sync::Mutex<()>,
-    /// Orders of maintenance that were read.
-    pub waves: Mutex<Vec<WaveOrder>>,
-    /// What is known of ownership.
-    pub view: tokio::sync::watch::Sender<OwnershipView>,
-    /// Nodes that passed requests on to this one lately.
+    /// Maintenance orders read from the operator topic, sorted by wave.
+    pub wave_orders: Mutex<Vec<WaveOrder>>,
+    /// State replayed from the ownership log.
+    pub ownership: tokio::sync::watch::Sender<OwnershipView>,
+    /// Nodes that recently forwarded requests to this one.
     pub members: Mutex<Members>,
-    /// Payloads of jobs that came in here, or that were fetched for calls.
-    pub payloads: Payloads,
-    /// Calls made here for owners on other nodes.
-    pub carrier: CarrierDuty,
-    /// Given when nothing listens at the owner's address.
+    /// Payloads of jobs submitted here or fetched for delegated calls.
+    pub payloads: PayloadCache,
+    /// Executes endpoint calls for owners on other nodes.
+    pub delegate_worker: DelegateWorker,
+    /// Notified when the owner's address refuses a connection.
     pub owner_refused: Notify,
-    /// Given when the owner did not answer a request as its owner would.
-    pub owner_doubted: Notify,
-    /// The owner's duties while this node is the owner.
+    /// Notified when a forwarded request fails or reaches a node that is not the owner.
+    pub owner_suspected: Notify,
+    /// Handle of the owner actor while this node is the owner.
     pub owner: ArcSwapOption<OwnerHandle>,
-    /// Epoch that this node is taking over at the moment; 0 for none.
-    pub taking_over: AtomicU64,
-    /// Epoch under which this process has written; it is never taken up twice.
-    pub taken_epoch: AtomicU64,
-    /// When the owner answered a request of this node last, on the steady clock in milliseconds.
-    pub owner_answered_ms: AtomicU64,
-    /// When the store was reached last, on the steady clock in milliseconds.
-    pub contact_ms: AtomicU64,
-    /// Renders the metrics as text.
-    pub metrics: MetricsPage,
-    /// Given when the node has to stop.
+    /// Epoch of the takeover in progress; 0 for none.
+    pub takeover_epoch: AtomicU64,
+    /// Last epoch for which this process ran an owner actor; it never runs a second one for the
+    /// same epoch.
+    pub last_owned_epoch: AtomicU64,
+    /// Monotonic time of the owner's last response to this node, in milliseconds.
+    pub last_owner_response_ms: AtomicU64,
+    /// Monotonic time of the last successful store access, in milliseconds.
+    pub last_store_contact_ms: AtomicU64,
+    /// Handle to the metrics exporter.
+    pub metrics: MetricsHandle,
+    /// Triggered when graceful shutdown begins.
     pub stopping: Shutdown,
-    /// Given when the node takes no connections any more.
+    /// Triggered when the node stops accepting connections.
     pub closing: Shutdown,
 }
 
 impl Node {
-    /// Creates a node.
+    /// Creates a node that has not contacted the store yet.
     #[must_use]
-    pub fn new(settings: PlatformSettings, metrics: MetricsPage) -> Self {
+    pub fn new(settings: PlatformSettings, metrics: MetricsHandle) -> Self {
         let ip: IpAddr = settings
             .ip
             .parse()
             .unwrap_or_else(|_| settings.caller_address.ip());
         Self {
             incarnation: rand::random(),
-            begun_ms: clock::steady_ms(),
-            speed: Mutex::default(),
+            started_ms: clock::steady_ms(),
+            cpu_speed: Mutex::default(),
             peer_address: SocketAddr::new(ip, settings.peer_ports.0),
             store: StoreClient::new(settings.store_address),
-            peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
+            peers: Arc::new(Clients::new(MAX_PEER_CONNECTIONS)),
             config: ArcSwap::default(),
             config_read_ms: AtomicU64::new(0),
-            config_asked_ms: AtomicU64::new(0),
+            config_requested_ms: AtomicU64::new(0),
             config_fetch: tokio::sync::Mutex::default(),
-            waves: Mutex::default(),
-            view: tokio::sync::watch::Sender::default(),
+            wave_orders: Mutex::default(),
+            ownership: tokio::sync::watch::Sender::default(),
             owner: ArcSwapOption::empty(),
             members: Mutex::default(),
-            payloads: Payloads::default(),
-            carrier: CarrierDuty::default(),
+            payloads: PayloadCache::default(),
+            delegate_worker: DelegateWorker::default(),
             owner_refused: Notify::new(),
-            owner_doubted: Notify::new(),
+            owner_suspected: Notify::new(),
             metrics,
-            taking_over: AtomicU64::new(0),
-            taken_epoch: AtomicU64::new(0),
-            owner_answered_ms: AtomicU64::new(0),
-            contact_ms: AtomicU64::new(0),
+            takeover_epoch: AtomicU64::new(0),
+            last_owned_epoch: AtomicU64::new(0),
+            last_owner_response_ms: AtomicU64::new(0),
+            last_store_contact_ms: AtomicU64::new(0),
             stopping: Shutdown::new(),
             closing: Shutdown::new(),
             settings,
         }
     }
 
-    /// Records that the store was reached.
-    pub fn record_contact(&self) {
-        self.contact_ms.store(clock::steady_ms(), Ordering::Relaxed);
+    /// Records a successful store access.
+    pub fn record_store_contact(&self) {
+        self.last_store_contact_ms
+            .store(clock::steady_ms(), Ordering::Relaxed);
     }
 
-    /// Records that what operators write was read.
+    /// Records a successful read of the operator topic.
     pub fn record_config_read(&self) {
         let now_ms = clock::steady_ms();
         self.config_read_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    fn has_contact_within(&self, now_ms: u64, age_ms: u64) -> bool {
-        now_ms < self.contact_ms.load(Ordering::Relaxed) + age_ms
+    fn was_store_reached_within(&self, now_ms: u64, age_ms: u64) -> bool {
+        now_ms < self.last_store_contact_ms.load(Ordering::Relaxed) + age_ms
     }
 
-    /// Records that the owner answered a request of this node.
-    pub fn record_owner_answer(&self) {
-        self.owner_answered_ms
+    /// Records that the owner responded to a request of this node.
+    pub fn record_owner_response(&self) {
+        self.last_owner_response_ms
             .store(clock::steady_ms(), Ordering::Relaxed);
     }
 
-    /// Tells whether the owner answered within the last `age_ms`.
+    /// Returns whether the owner responded within the last `age_ms`.
     #[must_use]
-    pub fn has_owner_answered_within(&self, now_ms: u64, age_ms: u64) -> bool {
-        now_ms < self.owner_answered_ms.load(Ordering::Relaxed) + age_ms
+    pub fn has_owner_responded_within(&self, now_ms: u64, age_ms: u64) -> bool {
+        now_ms < self.last_owner_response_ms.load(Ordering::Relaxed) + age_ms
     }
 
-    /// Tells whether the store was reached within one poll.
+    /// Returns whether the store was reached within the last poll.
     #[must_use]
-    pub fn is_in_contact(&self, now_ms: u64) -> bool {
-        self.has_contact_within(now_ms, CONTACT_MS)
+    pub fn is_store_reachable(&self, now_ms: u64) -> bool {
+        self.was_store_reached_within(now_ms, OWNER_CONTACT_MS)
     }
 
-    /// Returns the highest epoch heard of, and the owner if there is one.
+    /// Returns the highest known epoch and the owner, if any.
     #[must_use]
-    pub fn known_owner(&self) -> (u64, Option<OwnerId>) {
-        let view = self.view.borrow();
+    pub fn known_owner(&self) -> (u64, Option<OwnerInfo>) {
+        let view = self.ownership.borrow();
         (view.epoch, view.owner)
     }
 
-    fn note_speed(&self, took: Duration) {
-        let mut speed = self.speed.lock().unwrap_or_else(PoisonError::into_inner);
-        speed.note(took);
+    fn record_benchmark(&self, elapsed: Duration) {
+        let mut speed = self
+            .cpu_speed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        speed.record(elapsed);
     }
 
-    /// Returns the processor that the node has at the moment, in thousandths of a core.
+    /// Returns the effective CPU capacity, in thousandths of a core.
     #[must_use]
     pub fn cpu_millis(&self) -> u32 {
-        let speed = self.speed.lock().unwrap_or_else(PoisonError::into_inner);
-        speed.left_of(self.settings.cpu_millis)
+        let speed = self
+            .cpu_speed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        speed.effective_cpu_millis(self.settings.cpu_millis)
     }
 
-    /// Returns what this node says of itself to others.
+    /// Describes this node to peers.
     #[must_use]
-    pub fn member(&self) -> Member {
+    pub fn as_member(&self) -> Member {
         Member {
             address: self.peer_address,
             zone: self.settings.zone.clone(),
@@ -252,20 +261,20 @@
         }
     }
 
-    /// Records a node that passed a request on to this one.
+    /// Records a node that forwarded a request to this one.
     pub fn record_member(&self, member: Member) {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
-        members.note(member, clock::steady_ms());
+        members.record(member, clock::steady_ms());
     }
 
-    /// Returns the other nodes that count as there.
+    /// Returns the other nodes that count as live.
     #[must_use]
-    pub fn present_members(&self, now_ms: u64) -> Vec<Member> {
+    pub fn live_members(&self, now_ms: u64) -> Vec<Member> {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
-        members.present(now_ms)
+        members.live(now_ms)
     }
 
-    /// Returns a record of this node for the ownership log.
+    /// Creates an ownership log record written by this node.
     #[must_use]
     pub fn ownership_record(&self, kind: OwnershipKind, epoch: u64) -> OwnershipRecord {
         OwnershipRecord {
@@ -278,25 +287,25 @@
         }
     }
 
-    /// Tells whether callers are served here: with a configuration, not stopping, and in touch with
-    /// the store.
+    /// Returns whether callers can be served: a configuration is active, the node is not stopping,
+    /// and the store was reached recently.
     ///
-    /// A node that is cut off alone can neither follow the owner nor learn of another, and every
-    /// caller it takes is lost. When the store is away for everybody no node is ready, and the
-    /// balancer then uses all of them.
+    /// A node that is cut off from the store can neither follow the owner nor discover a new one.
+    /// When the store is down for all nodes, none is ready and the balancer falls back to using all
+    /// of them.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.config.load().version > 0
             && !self.stopping.has_begun()
-            && self.has_contact_within(clock::steady_ms(), OUT_OF_TOUCH_MS)
+            && self.was_store_reached_within(clock::steady_ms(), READY_CONTACT_MS)
     }
 
-    /// Returns the bounds for the engine.
+    /// Derives the engine's settings from the platform's limits.
     #[must_use]
     pub fn engine_settings(&self) -> EngineSettings {
         let bounds = &self.settings.bounds;
         EngineSettings {
-            lease_ms: bounds.max_lease_ms.min(LEASE_MS),
+            lease_ms: bounds.max_lease_ms.min(MAX_LEASE_MS),
             retention_ms: bounds.retention_ms + RETENTION_SLACK_MS,
             maintenance_ms: bounds.maintenance_ms,
             vm_holder_ms: bounds.vm_lease_ms,
@@ -304,122 +313,128 @@
         }
     }
 
-    /// Records that nothing listens at the address of the owner of an epoch.
+    /// Records that the address of the owner of `epoch` refused a connection.
     pub fn record_owner_refused(&self, epoch: u64) {
         let now_ms = clock::steady_ms();
-        self.view
-            .send_modify(|view| view.note_refused(epoch, now_ms));
+        self.ownership
+            .send_modify(|view| view.record_refused_connection(epoch, now_ms));
         self.owner_refused.notify_one();
     }
 
-    /// Activates a configuration, unless it is older than the active one.
-    pub fn put_config(&self, config: FleetConfig) {
+    /// Activates a configuration if it is newer than the active one.
+    pub fn activate_config(&self, config: FleetConfig) {
         if config.version <= self.config.load().version {
             return;
         }
         info!(
             event = "config", version = config.version, queues = config.queues.len(),
             pools = config.pools.len(), accounts = config.accounts.len();
-            ""
+            "configuration activated"
         );
         for shared in config.accounts.shared_keys() {
             warn!(
                 event = "key_shared", version = config.version, key:% = shared.key,
                 account = shared.holder.as_str(), passed_over = shared.passed_over.as_str();
-                ""
+                "API key belongs to several accounts"
             );
         }
         let config = Arc::new(config);
         self.config.store(Arc::clone(&config));
         if let Some(owner) = self.owner.load_full() {
-            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::ConfigChanged(
+            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::ConfigChanged(
                 config,
             )));
         }
     }
 
-    /// Records an order of maintenance.
-    pub fn put_wave(&self, order: WaveOrder) {
+    /// Stores a maintenance order and passes it to the owner actor, if there is one.
+    pub fn record_wave_order(&self, order: WaveOrder) {
         info!(
             event = "wave_order", wave = order.wave, vms = order.vms.len(),
             duration_s = order.duration_s, max_count = order.max_count;
-            ""
+            "maintenance order received"
         );
-        let mut waves = self.waves.lock().unwrap_or_else(PoisonError::into_inner);
-        match waves.binary_search_by_key(&order.wave, |known| known.wave) {
-            Ok(place) => waves[place] = order.clone(),
-            Err(place) => waves.insert(place, order.clone()),
+        let mut waves = self
+            .wave_orders
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        match waves.binary_search_by_key(&order.wave, |other| other.wave) {
+            Ok(index) => waves[index] = order.clone(),
+            Err(index) => waves.insert(index, order.clone()),
         }
         drop(waves);
         if let Some(owner) = self.owner.load_full() {
-            owner.offer(OwnerMessage::event(lynxwheel_engine::Event::WaveOrdered(
+            owner.try_send(OwnerMessage::event(lynxwheel_engine::Event::WaveOrdered(
                 order,
             )));
         }
     }
 }
 
-/// Runs a node until SIGTERM or SIGINT, then stops gracefully.
+/// Runs a node until SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound or signals cannot be received.
-pub async fn run(settings: PlatformSettings, metrics: MetricsPage) -> io::Result<()> {
-    // First, so that a signal that comes while the node starts stops it gracefully, too.
+/// Fails when an address cannot be bound or a signal handler cannot be installed.
+pub async fn run(settings: PlatformSettings, metrics: MetricsHandle) -> io::Result<()> {
+    // Installed first, so that a signal during startup shuts the node down gracefully, too.
     let signals = Signals::new()?;
     let node = Arc::new(Node::new(settings, metrics));
     info!(
-        event = "start", node = node.settings.node_name.as_str(), zone = node.settings.zone.as_str(),
-        incarnation = node.incarnation;
-        ""
+        event = "start", node = node.settings.node_name.as_str(),
+        zone = node.settings.zone.as_str(), incarnation = node.incarnation;
+        "node started"
     );
     let callers = ingress::bind(&node).await?;
     let peers = peer_server::bind(&node).await?;
     let ready = ready::bind(&node).await?;
-    tokio::spawn(feeds::follow_operator(Arc::clone(&node)));
+    tokio::spawn(feeds::follow_operator_topic(Arc::clone(&node)));
     tokio::spawn(watcher::watch(Arc::clone(&node)));
-    tokio::spawn(sum_up_metrics(node.metrics.clone()));
-    tokio::spawn(measure_speed(Arc::clone(&node)));
+    tokio::spawn(run_metrics_upkeep(node.metrics.clone()));
+    tokio::spawn(monitor_cpu_speed(Arc::clone(&node)));
     let callers = tokio::spawn(ingress::serve(Arc::clone(&node), callers));
     tokio::spawn(peer_server::serve(Arc::clone(&node), peers));
     tokio::spawn(ready::serve(Arc::clone(&node), ready));
     signals.wait_for_stop().await;
-    stop(&node).await;
-    let rest_ms = node
+    begin_shutdown(&node).await;
+    let remaining_ms = node
         .settings
         .bounds
         .grace_ms
-        .saturating_sub(LEAVE_MS + LAST_ANSWERS_MS);
-    let ended = tokio::time::timeout(Duration::from_millis(rest_ms), callers).await;
-    info!(event = "stop", is_complete = ended.is_ok(), at_ms = clock::wall_ms(); "");
+        .saturating_sub(CONNECTION_DRAIN_MS + FINAL_RESPONSES_MS);
+    let drained = tokio::time::timeout(Duration::from_millis(remaining_ms), callers).await;
+    info!(event = "stop", is_complete = drained.is_ok(), at_ms = clock::wall_ms(); "node stopped");
     Ok(())
 }
 
-/// Measures the processor's speed, and tells when the node turns slow or recovers.
-async fn measure_speed(node: Arc<Node>) {
+/// Measures the CPU speed periodically and logs when the node slows down or recovers.
+async fn monitor_cpu_speed(node: Arc<Node>) {
     let nominal_millis = node.settings.cpu_millis;
     let mut was_slowed = false;
     loop {
-        let took = speed::measure();
-        node.note_speed(took);
+        let elapsed = speed::run_benchmark();
+        node.record_benchmark(elapsed);
         let cpu_millis = node.cpu_millis();
         let is_slowed = cpu_millis < nominal_millis;
         if is_slowed != was_slowed {
             was_slowed = is_slowed;
-            info!(event = "speed", cpu_millis = cpu_millis, nominal_millis = nominal_millis; "");
+            info!(
+                event = "speed", cpu_millis = cpu_millis, nominal_millis = nominal_millis;
+                "CPU speed changed"
+            );
         }
-        tokio::time::sleep(Duration::from_millis(speed::MEASURE_EVERY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(speed::MEASUREMENT_INTERVAL_MS)).await;
     }
 }
 
-async fn sum_up_metrics(metrics: MetricsPage) {
+async fn run_metrics_upkeep(metrics: MetricsHandle) {
     loop {
-        tokio::time::sleep(Duration::from_millis(METRICS_UPKEEP_MS)).await;
+        tokio::time::sleep(Duration::from_millis(METRICS_UPKEEP_INTERVAL_MS)).await;
         (metrics.upkeep)();
     }
 }
 
-/// Signals that concern a node.
+/// Signals handled by a node.
 struct Signals {
     term: Signal,
     interrupt: Signal,
@@ -440,21 +455,24 @@
             tokio::select! {
                 _ = self.term.recv() => return,
                 _ = self.interrupt.recv() => return,
-                // The settings of a process are fixed for its life: addresses and bounds.
+                // Settings are fixed for the lifetime of the process.
                 _ = self.hangup.recv() => {
-                    info!(event = "reload", outcome = "nothing to take over"; "");
+                    info!(
+                        event = "reload", outcome = "nothing to take over";
+                        "SIGHUP ignored: settings cannot be reloaded"
+                    );
                 }
             }
         }
     }
 }
 
-async fn stop(node: &Node) {
-    info!(event = "stopping"; "");
+async fn begin_shutdown(node: &Node) {
+    info!(event = "stopping"; "graceful shutdown started");
     node.stopping.begin();
     if let Some(owner) = node.owner.load_full() {
-        owner.offer(OwnerMessage::Release);
+        owner.try_send(OwnerMessage::Release);
     }
-    tokio::time::sleep(Duration::from_millis(LEAVE_MS)).await;
+    tokio::time::sleep(Duration::from_millis(CONNECTION_DRAIN_MS)).await;
     node.closing.begin();
 }
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -1,21 +1,22 @@
-//! The owner's duties: one actor with the engine.
+//! Owner actor: runs the engine while this node is the owner.
 //!
-//! Every outcome, also silence, comes to the actor as an event. A batch is stored at a time, and what
-//! happens meanwhile joins the next one; while the store is slow, a few are under way at once.
+//! All inputs, including timeouts, reach the actor as messages. Changes are stored in batches, one
+//! at a time; changes made meanwhile go into the next batch. While the store is slow, a few batches
+//! are in flight.
 
 use {
     crate::{
         calls::{CallResult, EndpointCall},
-        carried::{CallNumber, CarriedCall},
         clock,
         commit::{Commit, Writer},
+        delegate_messages::{CallNumber, DelegatedCall},
         dispatch::Dispatcher,
-        in_flight::InFlight,
+        in_flight::InFlightBatches,
         load::OwnerLoad,
+        log_events,
         node::Node,
-        notes,
-        ownership::FRESH_MS,
-        peer::{Ask, OwnerAnswer},
+        ownership::FRESH_RENEWAL_MS,
+        peer::{CallerRequest, OwnerResponse},
         watcher,
     },
     kameo::{
@@ -36,180 +37,192 @@
     tokio::{sync::oneshot, task::JoinHandle},
 };
 
-/// What the actor gets.
+/// Message to the owner actor.
 #[derive(Debug)]
 pub enum OwnerMessage {
     /// An event for the engine.
     Event(Box<Event>),
-    /// Time has passed; it was sent at this time on the steady clock, in milliseconds.
+    /// Periodic tick with its monotonic send time, in milliseconds.
     Tick(u64),
-    /// A caller's request.
-    Ask(Ask, oneshot::Sender<OwnerAnswer>),
-    /// What came of calls that another node made for this owner.
-    Carried(SocketAddr, Vec<(CallNumber, CallResult)>),
-    /// Another node took none of these calls.
-    NotCarried(SocketAddr, Vec<CarriedCall>),
-    /// Another node that makes calls for this owner does not answer.
-    CarrierLost(SocketAddr),
-    /// The batch under way with this number is stored.
-    Stored(u64),
-    /// A newer owner writes or gives orders.
+    /// Request of a caller.
+    CallerRequest(CallerRequest, oneshot::Sender<OwnerResponse>),
+    /// Results of calls executed by a delegate.
+    DelegateResults(SocketAddr, Vec<(CallNumber, CallResult)>),
+    /// A delegate refused these calls.
+    CallsRefused(SocketAddr, Vec<DelegatedCall>),
+    /// A delegate does not respond.
+    DelegateLost(SocketAddr),
+    /// The in-flight batch with this number is stored.
+    BatchStored(u64),
+    /// A newer epoch is in force.
     Deposed,
-    /// The node is stopping: hand over.
+    /// The node is stopping, or a larger node asked for the ownership.
     Release,
 }
 
 impl OwnerMessage {
-    /// Wraps an event.
+    /// Wraps an engine event.
     #[must_use]
     pub fn event(event: Event) -> Self {
         Self::Event(Box::new(event))
     }
 }
 
-/// The way to the owner's duties of this node.
+/// Handle to the owner actor and its background tasks.
 #[derive(Debug)]
 pub struct OwnerHandle {
-    /// Epoch of the ownership.
+    /// Epoch of this ownership.
     pub epoch: u64,
-    actor: ActorRef<Owner>,
+    actor: ActorRef<OwnerActor>,
     renewed_ms: Arc<AtomicU64>,
-    duties: Mutex<Vec<JoinHandle<()>>>,
-    renewals: Mutex<Option<JoinHandle<()>>>,
+    tasks: Mutex<Vec<JoinHandle<()>>>,
+    renewal_task: Mutex<Option<JoinHandle<()>>>,
 }
 
 impl OwnerHandle {
-    /// Sends a message without waiting; it is lost when the mailbox is full or the actor gone.
-    pub fn offer(&self, message: OwnerMessage) {
+    /// Sends a message without waiting; drops it when the mailbox is full or the actor has stopped.
+    pub fn try_send(&self, message: OwnerMessage) {
         if let Err(error) = self.actor.tell(message).try_send() {
-            warn!(event = "owner_message_lost", reason = error.to_string().as_str(); "");
+            warn!(
+                event = "owner_message_lost", reason = error.to_string().as_str();
+                "message to the owner actor dropped"
+            );
         }
     }
 
-    /// Sends a message, and waits while the mailbox is full.
+    /// Sends a message, waiting while the mailbox is full.
     pub async fn send(&self, message: OwnerMessage) {
-        // The actor ends with the ownership; what comes after that concerns nobody.
+        // Fails only after the actor has stopped; its messages are obsolete then.
         drop(self.actor.tell(message).send().await);
     }
 
-    /// Tells whether the last renewal in the log is younger than `age_ms`.
+    /// Returns whether the last successful renewal is younger than `age_ms`.
     #[must_use]
     pub fn is_renewed_within(&self, now_ms: u64, age_ms: u64) -> bool {
         now_ms < self.renewed_ms.load(Ordering::Relaxed) + age_ms
     }
 
-    pub(crate) fn new(epoch: u64, actor: ActorRef<Owner>, renewed_ms: Arc<AtomicU64>) -> Self {
+    pub(crate) fn new(epoch: u64, actor: ActorRef<OwnerActor>, renewed_ms: Arc<AtomicU64>) -> Self {
         Self {
             epoch,
             actor,
             renewed_ms,
-            duties: Mutex::default(),
-            renewals: Mutex::default(),
+            tasks: Mutex::default(),
+            renewal_task: Mutex::default(),
         }
     }
 
-    /// Takes the task that renews the ownership.
-    pub(crate) fn renew_by(&self, renewals: JoinHandle<()>) {
-        let mut known = self.renewals.lock().unwrap_or_else(PoisonError::into_inner);
-        *known = Some(renewals);
+    /// Sets the task that renews the ownership.
+    pub(crate) fn set_renewal_task(&self, renewal_task: JoinHandle<()>) {
+        let mut slot = self
+            .renewal_task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *slot = Some(renewal_task);
     }
 
-    /// Renews the ownership no more, and counts as not renewed from now on: another owner may be
-    /// there at any moment, so that this one gives no order for a VM and denies no job. Tells whether
-    /// it was renewed until now.
-    fn end_renewals(&self) -> bool {
+    /// Stops renewing the ownership and treats it as expired, since another node may claim it at
+    /// any moment: from then on the actor neither orders VM operations nor reports jobs as unknown.
+    /// Returns whether renewal was still active.
+    fn stop_renewals(&self) -> bool {
         self.renewed_ms.store(0, Ordering::Relaxed);
-        let mut known = self.renewals.lock().unwrap_or_else(PoisonError::into_inner);
-        let renewals = known.take();
-        if let Some(renewals) = &renewals {
-            renewals.abort();
+        let mut slot = self
+            .renewal_task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let renewal_task = slot.take();
+        if let Some(renewal_task) = &renewal_task {
+            renewal_task.abort();
         }
-        renewals.is_some()
+        renewal_task.is_some()
     }
 
-    pub(crate) fn add_duty(&self, duty: JoinHandle<()>) {
-        let mut duties = self.duties.lock().unwrap_or_else(PoisonError::into_inner);
-        duties.push(duty);
+    pub(crate) fn add_task(&self, task: JoinHandle<()>) {
+        let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
+        tasks.push(task);
     }
 
-    fn end_duties(&self) {
-        let mut duties = self.duties.lock().unwrap_or_else(PoisonError::into_inner);
-        for duty in duties.drain(..) {
-            duty.abort();
+    fn abort_tasks(&self) {
+        let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
+        for task in tasks.drain(..) {
+            task.abort();
         }
-        drop(duties);
-        self.end_renewals();
+        drop(tasks);
+        self.stop_renewals();
     }
 }
 
-/// Asks the owner's duties of this node.
-pub async fn ask_owner(owner: &OwnerHandle, ask: Ask) -> OwnerAnswer {
+/// Sends a caller's request to the local owner actor and waits for its response.
+pub async fn request_owner(owner: &OwnerHandle, request: CallerRequest) -> OwnerResponse {
     let (sender, receiver) = oneshot::channel();
-    owner.send(OwnerMessage::Ask(ask, sender)).await;
-    receiver.await.unwrap_or(OwnerAnswer::Unclear)
+    owner
+        .send(OwnerMessage::CallerRequest(request, sender))
+        .await;
+    receiver.await.unwrap_or(OwnerResponse::Unclear)
 }
 
-/// The actor.
+/// Actor that runs the engine for one epoch.
 #[derive(Actor)]
-pub struct Owner {
+pub struct OwnerActor {
     node: Arc<Node>,
     epoch: u64,
     engine: Engine,
     writer: Writer,
     dispatcher: Dispatcher,
-    in_flight: InFlight,
+    in_flight: InFlightBatches,
     load: OwnerLoad,
-    is_store_away: bool,
-    /// Callers that wait, sorted by token.
-    waiting: Vec<(ReplyToken, oneshot::Sender<OwnerAnswer>)>,
-    next_token: ReplyToken,
+    is_store_unavailable: bool,
+    /// Callers waiting for a response, sorted by token.
+    pending_replies: Vec<(ReplyToken, oneshot::Sender<OwnerResponse>)>,
+    last_token: ReplyToken,
 }
 
-impl Message<OwnerMessage> for Owner {
+impl Message<OwnerMessage> for OwnerActor {
     type Reply = ();
 
     async fn handle(&mut self, message: OwnerMessage, context: &mut Context<Self, ()>) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let now = clock::now();
         match message {
             OwnerMessage::Event(event) => self.engine.handle(*event, now),
             OwnerMessage::Tick(sent_ms) => {
-                self.load.note_wait(now.steady_ms.saturating_sub(sent_ms));
-                self.watch_store(now);
-                self.take_config(now);
-                // Only while nobody else can believe to be the owner.
-                self.engine.allow_vm_orders(self.is_fresh(now));
+                self.load
+                    .record_delay(now.steady_ms.saturating_sub(sent_ms));
+                self.update_store_status(now);
+                self.refresh_config(now);
+                // Only while no other node can hold the ownership.
+                self.engine.allow_vm_orders(self.is_recently_renewed(now));
                 self.engine.handle(Event::Tick, now);
-                self.tick_carriers(now);
+                self.tick_delegates(now);
             }
-            OwnerMessage::Carried(address, results) => {
-                let events = self.dispatcher.carriers.take_results(address, results);
-                self.handle_all(events, now);
+            OwnerMessage::DelegateResults(address, results) => {
+                let events = self.dispatcher.delegates.apply_results(address, results);
+                self.handle_events(events, now);
             }
-            OwnerMessage::NotCarried(address, calls) => self.call_here(address, calls, now),
-            OwnerMessage::CarrierLost(address) => {
-                let events = self.dispatcher.carriers.lose(address, now.steady_ms);
-                self.handle_all(events, now);
+            OwnerMessage::CallsRefused(address, calls) => self.call_locally(address, calls, now),
+            OwnerMessage::DelegateLost(address) => {
+                let events = self.dispatcher.delegates.mark_lost(address, now.steady_ms);
+                self.handle_events(events, now);
             }
-            OwnerMessage::Ask(ask, reply) => self.ask(ask, reply, now),
-            OwnerMessage::Stored(number) => {
-                for batch in self.in_flight.stored(number, now.steady_ms) {
+            OwnerMessage::CallerRequest(request, reply) => self.handle_request(request, reply, now),
+            OwnerMessage::BatchStored(number) => {
+                for batch in self.in_flight.mark_stored(number, now.steady_ms) {
                     let effects = self.engine.committed(batch, now);
-                    self.carry_out(effects, now, context);
+                    self.execute_effects(effects, now, context);
                 }
             }
             OwnerMessage::Deposed => {
-                info!(event = "deposed", epoch = self.epoch; "");
-                self.end(context);
+                info!(event = "deposed", epoch = self.epoch; "ownership ended");
+                self.stop(context);
                 return;
             }
             OwnerMessage::Release => {
-                // The duties go on until the successor shuts this owner out: a slow store lets it take
-                // seconds to come, in which nothing started and every caller waited. What is under
-                // way then is either stored before, or refused; callers that wait for it are asked
-                // about again at the successor.
+                // The actor keeps serving until a successor fences it: with a slow store that takes
+                // seconds, during which no task would start and every caller would wait. Batches in
+                // flight at that time are either stored before the fence or rejected; callers retry
+                // at the successor.
                 let owner = self.node.owner.load_full();
-                if owner.is_some_and(|owner| !owner.end_renewals()) {
+                if owner.is_some_and(|owner| !owner.stop_renewals()) {
                     return;
                 }
                 let node = Arc::clone(&self.node);
@@ -218,17 +231,17 @@
             }
         }
         let effects = self.engine.take_immediate_effects();
-        self.carry_out(effects, now, context);
-        self.write(now, context);
-        // Placing asks for advice at once.
+        self.execute_effects(effects, now, context);
+        self.store_batches(now, context);
+        // Placement may have requested advice.
         let effects = self.engine.take_immediate_effects();
-        self.carry_out(effects, now, context);
-        notes::log_notes(self.epoch, &self.engine.take_log_events());
-        self.load.note_message(begun);
+        self.execute_effects(effects, now, context);
+        log_events::log_events(self.epoch, &self.engine.take_log_events());
+        self.load.record_message(started);
     }
 }
 
-impl Owner {
+impl OwnerActor {
     /// Creates the actor of an epoch.
     pub(crate) fn new(
         node: Arc<Node>,
@@ -243,16 +256,16 @@
             engine,
             writer,
             dispatcher,
-            in_flight: InFlight::default(),
+            in_flight: InFlightBatches::default(),
             load: OwnerLoad::default(),
-            is_store_away: false,
-            waiting: Vec::new(),
-            next_token: 0,
+            is_store_unavailable: false,
+            pending_replies: Vec::new(),
+            last_token: 0,
         }
     }
 
-    /// Hands the engine a configuration whose event was lost, or came before this owner was there.
-    fn take_config(&mut self, now: Now) {
+    /// Passes the active configuration to the engine if its event was lost or preceded this actor.
+    fn refresh_config(&mut self, now: Now) {
         let config = self.node.config.load();
         if config.version > self.engine.config_version() {
             self.engine
@@ -260,40 +273,44 @@
         }
     }
 
-    /// Notices when the store goes away and when it is back.
-    fn watch_store(&mut self, now: Now) {
-        let is_away = self.in_flight.is_store_away(now.steady_ms);
-        if is_away != self.is_store_away {
-            self.is_store_away = is_away;
-            let event = if is_away { "store_away" } else { "store_back" };
-            warn!(event = event, epoch = self.epoch; "");
+    /// Logs when the store becomes unavailable or available again, and informs the engine.
+    fn update_store_status(&mut self, now: Now) {
+        let is_unavailable = self.in_flight.is_store_unavailable(now.steady_ms);
+        if is_unavailable != self.is_store_unavailable {
+            self.is_store_unavailable = is_unavailable;
+            let event = if is_unavailable {
+                "store_away"
+            } else {
+                "store_back"
+            };
+            warn!(event = event, epoch = self.epoch; "store availability changed");
         }
-        self.engine.set_store_unavailable(is_away);
+        self.engine.set_store_unavailable(is_unavailable);
     }
 
-    fn handle_all(&mut self, events: Vec<Event>, now: Now) {
+    fn handle_events(&mut self, events: Vec<Event>, now: Now) {
         for event in events {
             self.engine.handle(event, now);
         }
     }
 
-    /// Makes calls from here that another node did not take.
-    fn call_here(&mut self, address: SocketAddr, calls: Vec<CarriedCall>, now: Now) {
-        let carriers = &mut self.dispatcher.carriers;
-        let (own, events) = carriers.not_taken(address, calls, now.steady_ms);
-        for (key, CarriedCall { to, mut call, .. }) in own {
-            if self.add_payload(&mut call) {
-                self.dispatcher.call_here(key, to, call);
-            } else if let Some(event) = call.subject().unknown(key) {
+    /// Executes calls locally that a delegate refused.
+    fn call_locally(&mut self, address: SocketAddr, calls: Vec<DelegatedCall>, now: Now) {
+        let delegates = &mut self.dispatcher.delegates;
+        let (own, events) = delegates.handle_refusal(address, calls, now.steady_ms);
+        for (key, DelegatedCall { to, mut call, .. }) in own {
+            if self.attach_payload(&mut call) {
+                self.dispatcher.call_locally(key, to, call);
+            } else if let Some(event) = call.subject().unknown_outcome_event(key) {
                 self.engine.handle(event, now);
             }
         }
-        self.handle_all(events, now);
+        self.handle_events(events, now);
     }
 
-    /// Adds the payload that is left out of a start on its way to another node; tells whether the call
-    /// is whole. A start without its payload would run something else than the caller sent.
-    fn add_payload(&self, call: &mut EndpointCall) -> bool {
+    /// Restores the payload that was stripped from a delegated start. Returns whether the call is
+    /// complete; a start without its payload must not be executed.
+    fn attach_payload(&self, call: &mut EndpointCall) -> bool {
         let EndpointCall::Start(order) = call else {
             return true;
         };
@@ -304,23 +321,31 @@
         })
     }
 
-    /// Looks after the nodes that make calls for this owner.
-    fn tick_carriers(&mut self, now: Now) {
-        let members = self.node.present_members(now.steady_ms);
+    /// Updates the delegates' membership and abandons calls that are overdue.
+    fn tick_delegates(&mut self, now: Now) {
+        let members = self.node.live_members(now.steady_ms);
         let endpoints = self.engine.endpoints();
         let is_called = |key| !endpoints.get(key).has_ended;
-        let carriers = &mut self.dispatcher.carriers;
-        let events = carriers.tick(&members, is_called, now.steady_ms);
-        self.handle_all(events, now);
-        let carried = self.dispatcher.carriers.carried();
-        if self.load.log(self.epoch, carried, now.steady_ms) {
-            self.dispatcher.prune();
+        let delegates = &mut self.dispatcher.delegates;
+        let events = delegates.tick(&members, is_called, now.steady_ms);
+        self.handle_events(events, now);
+        let delegated_counts = self.dispatcher.delegates.delegated_counts();
+        if self
+            .load
+            .log_if_due(self.epoch, delegated_counts, now.steady_ms)
+        {
+            self.dispatcher.prune_connections();
         }
     }
 
-    fn ask(&mut self, ask: Ask, reply: oneshot::Sender<OwnerAnswer>, now: Now) {
-        let answer = match ask {
-            Ask::Submit {
+    fn handle_request(
+        &mut self,
+        request: CallerRequest,
+        reply: oneshot::Sender<OwnerResponse>,
+        now: Now,
+    ) {
+        let response = match request {
+            CallerRequest::Submit {
                 job,
                 queue,
                 spec,
@@ -328,9 +353,9 @@
                 origin,
             } => {
                 let Ok(job) = job.parse::<JobId>() else {
-                    return answer_now(reply, OwnerAnswer::Refused);
+                    return send_reply(reply, OwnerResponse::Refused);
                 };
-                let token = self.wait(reply);
+                let token = self.add_pending_reply(reply);
                 let event = Event::Submit {
                     job,
                     queue,
@@ -341,14 +366,14 @@
                 };
                 return self.engine.handle(event, now);
             }
-            Ask::Cancel { job, account } => {
+            CallerRequest::Cancel { job, account } => {
                 let Ok(job) = job.parse::<JobId>() else {
-                    return answer_now(reply, OwnerAnswer::Unknown);
+                    return send_reply(reply, OwnerResponse::Unknown);
                 };
-                if !self.may_deny(job, now) {
-                    return answer_now(reply, OwnerAnswer::Unclear);
+                if !self.can_report_unknown(job, now) {
+                    return send_reply(reply, OwnerResponse::Unclear);
                 }
-                let token = self.wait(reply);
+                let token = self.add_pending_reply(reply);
                 let event = Event::Cancel {
                     job,
                     account,
@@ -356,119 +381,119 @@
                 };
                 return self.engine.handle(event, now);
             }
-            Ask::State { job, account } => self.state(&job, &account, now),
-            Ask::Pending { queue } => OwnerAnswer::Pending(self.engine.queued_job_count(&queue)),
+            CallerRequest::State { job, account } => self.state_response(&job, &account, now),
+            CallerRequest::Pending { queue } => {
+                OwnerResponse::Pending(self.engine.queued_job_count(&queue))
+            }
         };
-        answer_now(reply, answer);
+        send_reply(reply, response);
     }
 
-    /// Tells a job's state.
-    fn state(&self, job: &str, account: &str, now: Now) -> OwnerAnswer {
+    /// Returns the response to a query for a job's state.
+    fn state_response(&self, job: &str, account: &str, now: Now) -> OwnerResponse {
         let Ok(job) = job.parse::<JobId>() else {
-            return OwnerAnswer::Unknown;
+            return OwnerResponse::Unknown;
         };
         if !self.engine.can_access(job, account) {
-            return OwnerAnswer::OtherAccount;
+            return OwnerResponse::OtherAccount;
         }
         if let Some(state) = self.engine.job_state(job) {
-            return OwnerAnswer::State(state);
+            return OwnerResponse::State(state);
         }
-        if self.may_deny(job, now) && !self.engine.is_unstored(job) {
-            OwnerAnswer::Unknown
+        if self.can_report_unknown(job, now) && !self.engine.is_unstored(job) {
+            OwnerResponse::Unknown
         } else {
-            OwnerAnswer::Unclear
+            OwnerResponse::Unclear
         }
     }
 
-    /// Tells whether this owner may say of a job that it is not known.
+    /// Returns whether this owner may report a job as unknown.
     ///
-    /// An owner that was cut off or suspended does not know the jobs of its successor; a caller
-    /// would be told that its accepted job is gone, or that there was nothing to cancel.
-    fn may_deny(&self, job: JobId, now: Now) -> bool {
-        self.engine.job_state(job).is_some() || self.is_fresh(now)
+    /// An owner that was cut off or suspended does not know the jobs accepted by its successor.
+    fn can_report_unknown(&self, job: JobId, now: Now) -> bool {
+        self.engine.job_state(job).is_some() || self.is_recently_renewed(now)
     }
 
-    /// Tells whether the last renewal is so recent that nobody else can believe to be the owner.
-    fn is_fresh(&self, now: Now) -> bool {
+    /// Returns whether the last renewal is recent enough to rule out another owner.
+    fn is_recently_renewed(&self, now: Now) -> bool {
         let owner = self.node.owner.load();
         owner
             .as_ref()
-            .is_some_and(|owner| owner.is_renewed_within(now.steady_ms, FRESH_MS))
+            .is_some_and(|owner| owner.is_renewed_within(now.steady_ms, FRESH_RENEWAL_MS))
     }
 
-    fn wait(&mut self, reply: oneshot::Sender<OwnerAnswer>) -> ReplyToken {
-        self.next_token += 1;
-        self.waiting.push((self.next_token, reply));
-        self.next_token
+    fn add_pending_reply(&mut self, reply: oneshot::Sender<OwnerResponse>) -> ReplyToken {
+        self.last_token += 1;
+        self.pending_replies.push((self.last_token, reply));
+        self.last_token
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>, now: Now, context: &Context<Self, ()>) {
+    fn execute_effects(&mut self, effects: Vec<Effect>, now: Now, context: &Context<Self, ()>) {
         for effect in effects {
             match effect {
                 Effect::Reply { token, answer } => self.reply(token, answer),
                 Effect::StepDown => {
-                    warn!(event = "fenced", epoch = self.epoch; "");
+                    warn!(event = "fenced", epoch = self.epoch; "call fenced by a newer epoch");
                     drop(context.actor_ref().tell(OwnerMessage::Deposed).try_send());
                 }
                 other => {
-                    self.dispatcher
-                        .carry_out(other, self.engine.endpoints(), now);
+                    self.dispatcher.execute(other, self.engine.endpoints(), now);
                 }
             }
         }
     }
 
-    fn reply(&mut self, token: ReplyToken, answer: CallerAnswer) {
-        let place = self
-            .waiting
-            .binary_search_by_key(&token, |(known, _)| *known);
-        if let Ok(place) = place {
-            let (_, reply) = self.waiting.remove(place);
-            let answer = match answer {
-                CallerAnswer::Accepted => OwnerAnswer::Accepted,
-                CallerAnswer::Cancelled => OwnerAnswer::Cancelled,
-                CallerAnswer::Unknown => OwnerAnswer::Unknown,
-                CallerAnswer::Refused => OwnerAnswer::Refused,
-                CallerAnswer::OverQuota => OwnerAnswer::OverQuota,
-                CallerAnswer::OtherAccount => OwnerAnswer::OtherAccount,
+    fn reply(&mut self, token: ReplyToken, response: CallerAnswer) {
+        let index = self
+            .pending_replies
+            .binary_search_by_key(&token, |(other, _)| *other);
+        if let Ok(index) = index {
+            let (_, reply) = self.pending_replies.remove(index);
+            let response = match response {
+                CallerAnswer::Accepted => OwnerResponse::Accepted,
+                CallerAnswer::Cancelled => OwnerResponse::Cancelled,
+                CallerAnswer::Unknown => OwnerResponse::Unknown,
+                CallerAnswer::Refused => OwnerResponse::Refused,
+                CallerAnswer::OverQuota => OwnerResponse::OverQuota,
+                CallerAnswer::OtherAccount => OwnerResponse::OtherAccount,
             };
-            answer_now(reply, answer);
+            send_reply(reply, response);
         }
     }
 
-    /// Stores what has changed, unless a batch is under way that will soon be stored.
-    fn write(&mut self, now: Now, context: &mut Context<Self, ()>) {
-        if !self.in_flight.takes_another(now.steady_ms) {
+    /// Stores pending changes, unless a recently sent batch is still in flight.
+    fn store_batches(&mut self, now: Now, context: &mut Context<Self, ()>) {
+        if !self.in_flight.has_capacity(now.steady_ms) {
             return;
         }
         loop {
             let batch = self.engine.take_batch(now);
             if !batch.records.is_empty() {
                 let commit = self.writer.commit(&batch.records);
-                self.load.note_batch(commit.bytes());
+                self.load.record_batch(commit.bytes());
                 let number = self.in_flight.add(batch, now.steady_ms);
-                self.store(commit, number, context);
+                self.spawn_commit(commit, number, context);
                 return;
             }
-            // What a batch without records releases rests on those before it.
+            // Effects of a batch without records may depend on earlier batches.
             if !self.in_flight.is_empty() {
-                self.in_flight.join(batch);
+                self.in_flight.append_to_newest(batch);
                 return;
             }
             let effects = self.engine.committed(batch, now);
             if effects.is_empty() {
                 return;
             }
-            self.carry_out(effects, now, context);
+            self.execute_effects(effects, now, context);
         }
     }
 
-    fn store(&self, commit: Commit, number: u64, context: &Context<Self, ()>) {
+    fn spawn_commit(&self, commit: Commit, number: u64, context: &Context<Self, ()>) {
         let store = self.node.store.clone();
         let actor = context.actor_ref().clone();
         tokio::spawn(async move {
             let message = if commit.store(&store).await {
-                OwnerMessage::Stored(number)
+                OwnerMessage::BatchStored(number)
             } else {
                 OwnerMessage::Deposed
             };
@@ -476,17 +501,17 @@
         });
     }
 
-    /// Ends the ownership here. Callers that wait learn nothing certain.
-    fn end(&mut self, context: &mut Context<Self, ()>) {
-        self.waiting.clear();
+    /// Stops the actor. Waiting callers get an unclear outcome.
+    fn stop(&mut self, context: &mut Context<Self, ()>) {
+        self.pending_replies.clear();
         if let Some(owner) = self.node.owner.swap(None) {
-            owner.end_duties();
+            owner.abort_tasks();
         }
         context.stop();
     }
 }
 
-fn answer_now(reply: oneshot::Sender<OwnerAnswer>, answer: OwnerAnswer) {
-    // The caller may have left.
-    let _ = reply.send(answer);
+fn send_reply(reply: oneshot::Sender<OwnerResponse>, response: OwnerResponse) {
+    // The caller may have disconnected.
+    let _ = reply.send(response);
 }
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -1,15 +1,18 @@
-//! Other nodes' requests for the owner.
+//! HTTP server for requests from other nodes.
 
 use {
     crate::{
-        carried::{CARRIED_PATH, CARRY_PATH, CarriedRequest, CarryAnswer, PAYLOAD_PATH},
         clock, config_sync,
+        delegate_messages::{
+            DELEGATE_CALLS_PATH, DELEGATE_RESULTS_PATH, DelegateReply, DelegateResults,
+            PAYLOAD_PATH,
+        },
         node::Node,
-        owner::{OwnerHandle, OwnerMessage, ask_owner},
-        ownership::SUSPECT_MS,
+        owner::{OwnerHandle, OwnerMessage, request_owner},
+        ownership::SUSPICION_TIMEOUT_MS,
         peer::{
-            CONFIG_PATH, ConfigRequest, OWNER_PATH, OWNERSHIP_PATH, OwnerAnswer, OwnerRequest,
-            OwnershipAnswer, OwnershipAsk, OwnershipRequest,
+            CONFIG_PATH, ConfigRequest, OWNER_PATH, OWNERSHIP_PATH, OwnerRequest, OwnerResponse,
+            OwnershipAction, OwnershipRequest, OwnershipResponse,
         },
     },
     http::{Request, Response, StatusCode},
@@ -25,107 +28,109 @@
     },
 };
 
-/// Path of the metrics, in the text format of Prometheus.
+/// Path of the metrics in the Prometheus text format.
 const METRICS_PATH: &str = "/metrics";
 
-/// Binds the address for other nodes.
+/// Binds the address for peers.
 ///
 /// # Errors
 ///
-/// Fails when it cannot be bound.
+/// Fails when the address cannot be bound.
 pub async fn bind(node: &Node) -> io::Result<Server> {
     Server::bind(node.peer_address).await
 }
 
-/// Answers other nodes.
+/// Serves peers until the node closes.
 pub async fn serve(node: Arc<Node>, server: Server) {
     let shutdown = node.closing.clone();
-    let handler = |node: Arc<Node>, request| async move { answer(&node, request).await };
+    let handler = |node: Arc<Node>, request| async move { handle_request(&node, request).await };
     server.serve_with(shutdown, node, handler).await;
 }
 
-async fn answer(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         METRICS_PATH => error_answer(StatusCode::OK, &node.metrics.render()),
-        OWNER_PATH => match read::<OwnerRequest>(request).await {
+        OWNER_PATH => match read_message::<OwnerRequest>(request).await {
             Ok(mut request) => {
                 if let Some(sender) = request.sender.take() {
-                    catch_up(node, &request, sender.address).await;
+                    fetch_newer_config(node, &request, sender.address).await;
                     node.record_member(sender);
                 }
-                message_answer(&ask_here(node, request).await)
+                message_answer(&handle_locally(node, request).await)
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        CONFIG_PATH => match read::<ConfigRequest>(request).await {
-            Ok(request) => message_answer(&newer_config(node, request.version)),
-            Err(answer) => answer,
+        CONFIG_PATH => match read_message::<ConfigRequest>(request).await {
+            Ok(request) => message_answer(&config_newer_than(node, request.version)),
+            Err(response) => response,
         },
-        OWNERSHIP_PATH => match read(request).await {
-            Ok(request) => message_answer(&ask_ownership(node, &request)),
-            Err(answer) => answer,
+        OWNERSHIP_PATH => match read_message(request).await {
+            Ok(request) => message_answer(&handle_ownership_request(node, &request)),
+            Err(response) => response,
         },
-        CARRY_PATH => match read(request).await {
-            Ok(request) => message_answer(&node.carrier.take(node, request)),
-            Err(answer) => answer,
+        DELEGATE_CALLS_PATH => match read_message(request).await {
+            Ok(request) => message_answer(&node.delegate_worker.accept(node, request)),
+            Err(response) => response,
         },
-        CARRIED_PATH => match read(request).await {
-            Ok(request) => message_answer(&take_results(node, request).await),
-            Err(answer) => answer,
+        DELEGATE_RESULTS_PATH => match read_message(request).await {
+            Ok(request) => message_answer(&accept_delegate_results(node, request).await),
+            Err(response) => response,
         },
         path => match path.strip_prefix(PAYLOAD_PATH) {
-            Some(job) => payload(node, job),
+            Some(job) => payload_response(node, job),
             None => error_answer(StatusCode::NOT_FOUND, "no such path"),
         },
     }
 }
 
-/// Reads a message; returns the answer to give when there is none.
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Result<T, Response<Body>> {
+/// Decodes the message in a request's body; fails with the response to send.
+async fn read_message<T: DeserializeOwned>(
+    request: Request<Incoming>,
+) -> Result<T, Response<Body>> {
     let bytes = collect_body(request.into_body(), MAX_MESSAGE_BYTES).await?;
     decode_message(&bytes)
         .map_err(|error| error_answer(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// Returns this node's owner duties, unless the sender has heard of a later epoch.
-fn owner_here(node: &Node, epoch: u64) -> Option<Arc<OwnerHandle>> {
+/// Returns the local owner handle, unless the sender knows a later epoch.
+fn local_owner(node: &Node, epoch: u64) -> Option<Arc<OwnerHandle>> {
     let owner = node.owner.load_full()?;
     if epoch > owner.epoch {
-        // Another node has seen a later claim: this one is over, even if the store is out of reach.
-        owner.offer(OwnerMessage::Deposed);
+        // The sender has seen a later claim: step down even if the store is unreachable.
+        owner.try_send(OwnerMessage::Deposed);
         return None;
     }
     Some(owner)
 }
 
-/// Asks this node's owner duties, if it has them, unless the request was judged by an older
-/// configuration than the active one.
-pub async fn ask_here(node: &Node, request: OwnerRequest) -> OwnerAnswer {
+/// Passes a request to the local owner actor, unless it was authorized with an older configuration
+/// than the active one.
+pub async fn handle_locally(node: &Node, request: OwnerRequest) -> OwnerResponse {
     if request.config_version < node.config.load().version {
-        return OwnerAnswer::NewerConfig;
+        return OwnerResponse::NewerConfig;
     }
-    match owner_here(node, request.epoch) {
-        Some(owner) => ask_owner(&owner, request.ask).await,
-        None => OwnerAnswer::NotOwner,
+    match local_owner(node, request.epoch) {
+        Some(owner) => request_owner(&owner, request.caller_request).await,
+        None => OwnerResponse::NotOwner,
     }
 }
 
-/// Takes over the configuration by which another node has judged a request, if that is newer.
-async fn catch_up(node: &Node, request: &OwnerRequest, sender: SocketAddr) {
+/// Fetches the sender's configuration if it is newer than the owner's.
+async fn fetch_newer_config(node: &Node, request: &OwnerRequest, sender: SocketAddr) {
     let version = request.config_version;
     if node.owner.load().is_some() && version > node.config.load().version {
         config_sync::fetch_from(node, sender, version).await;
     }
 }
 
-/// Returns this node's configuration if it is newer than a version.
-fn newer_config(node: &Node, version: u64) -> Option<FleetConfig> {
+/// Returns the active configuration if it is newer than `version`.
+fn config_newer_than(node: &Node, version: u64) -> Option<FleetConfig> {
     let config = node.config.load();
     (config.version > version).then(|| FleetConfig::clone(&config))
 }
 
-/// Returns the payload of a job that came in here a while ago.
-fn payload(node: &Node, job: &str) -> Response<Body> {
+/// Returns the cached payload of a job submitted to this node.
+fn payload_response(node: &Node, job: &str) -> Response<Body> {
     let payload = job.parse().ok().and_then(|job| node.payloads.get(job));
     match payload {
         Some(payload) => Response::new(full_body(payload.to_string())),
@@ -133,43 +138,45 @@
     }
 }
 
-/// Takes what came of calls that another node made for this node's owner duties.
-async fn take_results(node: &Node, request: CarriedRequest) -> CarryAnswer {
-    match owner_here(node, request.epoch) {
+/// Passes results of delegated calls to the local owner actor.
+async fn accept_delegate_results(node: &Node, request: DelegateResults) -> DelegateReply {
+    match local_owner(node, request.epoch) {
         Some(owner) if owner.epoch == request.epoch => {
-            let message = OwnerMessage::Carried(request.carrier, request.results);
+            let message = OwnerMessage::DelegateResults(request.delegate, request.results);
             owner.send(message).await;
-            CarryAnswer::Taken
+            DelegateReply::Accepted
         }
-        _ => CarryAnswer::NotTaken,
+        _ => DelegateReply::Refused,
     }
 }
 
-fn ask_ownership(node: &Node, request: &OwnershipRequest) -> OwnershipAnswer {
-    let Some(owner) = owner_here(node, request.epoch) else {
-        // Reading what is stored of a large fleet takes a while. Taken for one that is gone meanwhile, a
-        // new owner was succeeded by the next before it had begun, and that one in the same way.
-        let is_taking_over = request.ask == OwnershipAsk::Alive
-            && node.taking_over.load(Ordering::Relaxed) == request.epoch;
+fn handle_ownership_request(node: &Node, request: &OwnershipRequest) -> OwnershipResponse {
+    let Some(owner) = local_owner(node, request.epoch) else {
+        // Loading the state of a large fleet takes a while. A new owner that counted as dead
+        // meanwhile would be replaced before its first action, and its successor likewise.
+        let is_taking_over = request.action == OwnershipAction::Probe
+            && node.takeover_epoch.load(Ordering::Relaxed) == request.epoch;
         return if is_taking_over {
-            OwnershipAnswer::Alive
+            OwnershipResponse::Alive
         } else {
-            OwnershipAnswer::NotOwner
+            OwnershipResponse::NotOwner
         };
     };
-    match request.ask {
-        OwnershipAsk::Yield => {
-            owner.offer(OwnerMessage::Release);
-            OwnershipAnswer::Yielded
+    match request.action {
+        OwnershipAction::Yield => {
+            owner.try_send(OwnerMessage::Release);
+            OwnershipResponse::Yielded
         }
-        OwnershipAsk::Alive => {
+        OwnershipAction::Probe => {
             let now_ms = clock::steady_ms();
-            // Renewals whose answers are lost say nothing: reads get through, and a successor would
-            // fare no better. Taken for a cut, they made owners follow each other every second.
-            if owner.is_renewed_within(now_ms, SUSPECT_MS) || node.is_in_contact(now_ms) {
-                OwnershipAnswer::Alive
+            // Renewals may fail while reads succeed. Treating that as a disconnect would replace
+            // the owner by one that fares no better.
+            if owner.is_renewed_within(now_ms, SUSPICION_TIMEOUT_MS)
+                || node.is_store_reachable(now_ms)
+            {
+                OwnershipResponse::Alive
             } else {
-                OwnershipAnswer::Unheard
+                OwnershipResponse::Unheard
             }
         }
     }
--- a/crates/controller/tests/payloads.rs
+++ b/crates/controller/tests/payloads.rs
@@ -1,8 +1,8 @@
-//! Payloads of jobs that a node keeps for a while.
+//! Cache of job payloads.
 
 use {
     compact_str::CompactString,
-    lynxwheel_controller::Payloads,
+    lynxwheel_controller::PayloadCache,
     lynxwheel_engine::JobId,
     std::sync::{
         Arc,
@@ -20,19 +20,19 @@
 }
 
 #[test]
-fn payload_that_came_in_is_kept() {
-    let payloads = Payloads::default();
-    payloads.keep(job(1), &payload(1_200));
+fn inserted_payload_is_cached() {
+    let payloads = PayloadCache::default();
+    payloads.insert(job(1), &payload(1_200));
     assert_eq!(payloads.get(job(1)), Some(payload(1_200)));
     assert_eq!(payloads.get(job(2)), None);
 }
 
-/// A small node takes hundreds of jobs a second for hours; what it keeps must not grow with them.
+/// Guards against memory that grows with the number of submitted jobs.
 #[test]
-fn oldest_payloads_are_forgotten() {
-    let payloads = Payloads::default();
+fn oldest_payloads_are_evicted() {
+    let payloads = PayloadCache::default();
     for number in 0..5_000 {
-        payloads.keep(job(number), &payload(1_000));
+        payloads.insert(job(number), &payload(1_000));
     }
     let kept = (0..5_000).filter(|&number| payloads.get(job(number)).is_some());
     assert!(kept.count() <= 2_098);
@@ -40,20 +40,19 @@
 }
 
 #[test]
-fn payload_handed_in_twice_is_kept_once() {
-    let payloads = Payloads::default();
+fn repeated_insert_is_counted_once() {
+    let payloads = PayloadCache::default();
     for _ in 0..10 {
-        payloads.keep(job(1), &payload(1_000_000));
+        payloads.insert(job(1), &payload(1_000_000));
     }
-    payloads.keep(job(2), &payload(1_000_000));
+    payloads.insert(job(2), &payload(1_000_000));
     assert!(payloads.get(job(1)).is_some());
 }
 
-/// A link is filled by payloads: eight tasks of a job begin on a node in one moment, and each of them
-/// fetched the payload by itself.
+/// Guards against saturating the link when several tasks of a job start on a node at once.
 #[test]
-fn payload_is_fetched_once_for_starts_at_once() {
-    let payloads = Payloads::default();
+fn concurrent_starts_fetch_payload_once() {
+    let payloads = PayloadCache::default();
     let fetched = Arc::new(AtomicU32::new(0));
     let runtime = Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
