--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -270,7 +270,7 @@
 impl fmt::Display for Explanation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotExplained => formatter.write_str("no explanation is available"),
+            Self::NotExplained => formatter.write_str("nothing is decided about it"),
             Self::Vm(vm) => vm.fmt(formatter),
             Self::Job(job) => job.fmt(formatter),
             Self::Wave(forecast) => forecast.fmt(formatter),
@@ -304,12 +304,15 @@
             }
             Self::Cordoned(drain) => write!(
                 formatter,
-                "cordoned for planned work, empty in about {} s",
+                "takes no new jobs, planned work takes it in about {} s",
                 drain.wait_ms / 1_000
             ),
             Self::Waiting(reason) => reason.fmt(formatter),
             Self::Quarantined { until_ms } => {
-                write!(formatter, "quarantined after failed jobs, until {until_ms}")
+                write!(
+                    formatter,
+                    "failed what runs elsewhere, no new jobs until {until_ms}"
+                )
             }
             Self::InService => formatter.write_str("in service"),
         }
@@ -322,14 +325,14 @@
             Self::WaveStopped => formatter.write_str("waits: the operator stopped the wave"),
             Self::WaveHalted(health) => write!(formatter, "waits: {}", health.as_str()),
             Self::RampLimit => {
-                formatter.write_str("waits: the wave has reached its limit on concurrent claims")
+                formatter.write_str("waits: the wave has as many VMs out as it may for now")
             }
             Self::BudgetExhausted(pool) => write!(
                 formatter,
                 "waits: {} VMs of its pool are available and {} must stay",
                 pool.available, pool.floor
             ),
-            Self::OtherZone => formatter.write_str("waits: its pool has claims in another zone"),
+            Self::OtherZone => formatter.write_str("waits: its pool has another zone open"),
             Self::RunningJobs(drain) => write!(
                 formatter,
                 "waits: {} jobs on it have to end, in about {} s",
@@ -354,9 +357,9 @@
             Self::NoVmAvailable => formatter.write_str("waits: no VM of its pool is available"),
             Self::FreeVmsExcluded { vms } => write!(
                 formatter,
-                "waits: {vms} VMs with free capacity are cordoned, quarantined or failed it"
+                "waits: {vms} VMs with room are kept free, are quarantined or failed it"
             ),
-            Self::NoFreeCapacity => formatter.write_str("waits: no VM has enough free capacity"),
+            Self::NoFreeCapacity => formatter.write_str("waits: no VM of its pool has room"),
             Self::StartsNext => formatter.write_str("starts next"),
         }
     }
--- a/crates/decisions/tests/explain.rs
+++ b/crates/decisions/tests/explain.rs
@@ -77,7 +77,7 @@
     vm_under_claim: claimed(2), Vm "vm-00"
         => "out of service for maintenance by wave wave, Draining by node-1, 0 jobs on it";
     vm_beyond_the_ramp_limit: claimed(2), Vm "vm-02"
-        => "waits: the wave has reached its limit on concurrent claims";
+        => "waits: the wave has as many VMs out as it may for now";
     job_that_starts_next: with_job(1), Job "job" => "starts next";
     job_that_can_never_run: with_job(17), Job "job"
         => "can never run: no VM of its pool is as large as its demand";
@@ -85,5 +85,5 @@
     job_that_was_cancelled: cancelled(), Job "job" => "Cancelled: cancelled by the operator";
     pool_with_a_claim: claimed(3), Pool "pool" => "3 of 4 VMs available, 3 must stay";
     running_wave: claimed(3), Wave "wave" => "4 VMs left, until 2200004";
-    unknown_name: idle(), Vm "nobody" => "no explanation is available";
+    unknown_name: idle(), Vm "nobody" => "nothing is decided about it";
 }
