--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/fleet.rs
@@ -93,8 +93,8 @@
 
     /// Applies the record at `offset` and returns the outcome.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Verdict {
-        // Advances to the time of the record, so that a transition is not dated before the record
-        // and evidence from before a restart does not count after it.
+        // `record_time` replaces this by the confirmed time, unless the record is a duplicate or its
+        // writer is unknown.
         self.time_ms = self.time_ms.max(record.time_ms);
         let verdict = self.apply_record(offset, record);
         self.offset = offset;
