--- a/crates/decisions/src/allocation.rs
+++ b/crates/decisions/src/allocation.rs
@@ -173,7 +173,7 @@
             self.failure_domain_load(target)
         };
         let free_share = total_share_permille(&target.free.minus(demand), &target.vm.capacity);
-        let run_time_ms = job.spec.run_time_ms.max(job.estimate.ran_ms);
+        let run_time_ms = job.spec.run_time_ms.max(job.estimate.longest_run_ms);
         Cost {
             is_suspect: target.vm.failures >= SUSPECT_FAILURES,
             tier: target.tier,
--- a/crates/decisions/src/drain.rs
+++ b/crates/decisions/src/drain.rs
@@ -72,7 +72,7 @@
         return 0;
     };
     let ran_ms = now_ms.saturating_sub(attempt.since_ms);
-    let expected_ms = job.spec.run_time_ms.max(job.estimate.ran_ms);
+    let expected_ms = job.spec.run_time_ms.max(job.estimate.longest_run_ms);
     if ran_ms < expected_ms {
         expected_ms - ran_ms
     } else {
--- a/crates/decisions/src/forecast.rs
+++ b/crates/decisions/src/forecast.rs
@@ -86,7 +86,7 @@
 pub fn forecast(state: &FleetState, wave: &WaveState, now_ms: u64) -> Forecast {
     let view = FleetView::new(state);
     let action_ms = wave
-        .acting_ms
+        .total_action_ms
         .checked_div(u64::from(wave.done))
         .map_or(DEFAULT_ACTION_MS, |mean_ms| mean_ms.max(1));
     let mut work = RemainingWork::default();
--- a/crates/decisions/src/wave_health.rs
+++ b/crates/decisions/src/wave_health.rs
@@ -147,5 +147,5 @@
     }
     let failure_delay_ms = vm.evidence_ms.saturating_sub(vm.maintained_ms);
     let is_maintained = vm.maintained_ms > wave.started_ms && failure_delay_ms <= FAILURE_WINDOW_MS;
-    is_maintained || vm.failed_in.as_ref() == Some(&wave.spec.name)
+    is_maintained || vm.failed_wave.as_ref() == Some(&wave.spec.name)
 }
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -253,7 +253,7 @@
             if !(succeeded && is_back) {
                 vm.evidence_ms = transition_ms + 1;
             }
-            vm.failed_in = if succeeded { None } else { Some(wave.clone()) };
+            vm.failed_wave = if succeeded { None } else { Some(wave.clone()) };
             if succeeded {
                 vm.maintained_ms = time_ms;
             }
@@ -270,7 +270,7 @@
             wave.failed += u32::from(!succeeded);
             wave.last_done_ms = time_ms;
             if succeeded {
-                wave.acting_ms += action_ms;
+                wave.total_action_ms += action_ms;
             }
         }
     }
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -269,7 +269,7 @@
             evidence_ms: 0,
             claim: None,
             maintained_ms: 0,
-            failed_in: None,
+            failed_wave: None,
             quarantined_until_ms: 0,
             failures: 0,
             attempts: Vec::new(),
@@ -319,7 +319,7 @@
             failed: 0,
             claimed: 0,
             last_done_ms: 0,
-            acting_ms: 0,
+            total_action_ms: 0,
         });
     }
 
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -48,7 +48,8 @@
     /// Peak usage.
     pub used: Resources,
     /// Longest run of an attempt that has ended, in milliseconds.
-    pub ran_ms: u64,
+    #[serde(rename = "ran_ms")]
+    pub longest_run_ms: u64,
 }
 
 /// State of a job.
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -242,9 +242,9 @@
 
 fn end_attempt(job: &mut JobState, ended: &Attempt, outcome: JobOutcome, time_ms: u64) {
     job.attempt = None;
-    job.estimate.ran_ms = job
+    job.estimate.longest_run_ms = job
         .estimate
-        .ran_ms
+        .longest_run_ms
         .max(time_ms.saturating_sub(ended.since_ms));
     job.pending_since_ms = time_ms;
     job.phase = JobPhase::Pending;
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -72,7 +72,8 @@
     /// Time of the last maintenance, in milliseconds since the epoch.
     pub maintained_ms: u64,
     /// Wave whose action failed on the VM, until an action on it succeeds.
-    pub failed_in: Option<WaveName>,
+    #[serde(rename = "failed_in")]
+    pub failed_wave: Option<WaveName>,
     /// End of the quarantine, in milliseconds since the epoch.
     pub quarantined_until_ms: u64,
     /// Attempts that failed on the VM since the last success, quarantine or new incarnation.
@@ -152,7 +153,8 @@
     /// Time of the last completed action by the fold, in milliseconds since the epoch.
     pub last_done_ms: u64,
     /// Total duration of the successful actions, in milliseconds.
-    pub acting_ms: u64,
+    #[serde(rename = "acting_ms")]
+    pub total_action_ms: u64,
 }
 
 impl Keyed for WaveState {
--- a/crates/state/src/writers.rs
+++ b/crates/state/src/writers.rs
@@ -39,7 +39,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Writers {
     rows: SortedTable<Writer>,
-    forgotten_to: u64,
+    #[serde(rename = "forgotten_to")]
+    evicted_up_to: u64,
 }
 
 impl Writers {
@@ -52,7 +53,7 @@
                 Verdict::Rejected(Rejection::UnknownWriter)
             };
         }
-        if writer.incarnation <= self.forgotten_to {
+        if writer.incarnation <= self.evicted_up_to {
             return Verdict::Rejected(Rejection::UnknownWriter);
         }
         self.rows.insert(writer);
@@ -104,6 +105,6 @@
             return;
         };
         self.rows.remove(&oldest);
-        self.forgotten_to = oldest;
+        self.evicted_up_to = oldest;
     }
 }
