--- a/crates/decisions/src/allocation.rs
+++ b/crates/decisions/src/allocation.rs
@@ -13,14 +13,14 @@
 /// Consecutive failures from which a VM is used only as a last resort.
 const SUSPECT_FAILURES: u32 = 2;
 
-/// How soon planned work takes a VM; lower tiers are preferred for new starts.
+/// How soon planned work claims a VM; lower tiers are preferred for new starts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum PlacementTier {
-    /// No planned work takes it.
+    /// No planned work claims it.
     NotDue,
-    /// A running wave takes it later.
+    /// A running wave claims it later.
     Due,
-    /// Planned work takes it next.
+    /// Planned work claims it next.
     Cordoned,
 }
 
@@ -159,11 +159,11 @@
 
     /// Returns the cost of an attempt on a VM; the VM with the lowest cost is chosen.
     ///
-    /// VMs on which the last attempts failed come last, and VMs that a wave takes later before
+    /// VMs on which the last attempts failed come last, and VMs that a wave claims later before
     /// them. Batch jobs are packed tightly, which leaves other VMs empty for maintenance and large
     /// jobs. Other jobs are spread over zones and racks to limit the effect of a failure.
     ///
-    /// Among the VMs that a wave takes later, a job goes where it delays the wave least, so that
+    /// Among the VMs that a wave claims later, a job goes where it delays the wave least, so that
     /// long jobs collect on the VM that is busy for longest anyway.
     fn cost(&self, index: usize, job: &JobState, demand: &Resources) -> Cost {
         let target = &self.vms[index];
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -49,16 +49,16 @@
         /// Jobs still running on the VM.
         jobs: usize,
     },
-    /// Planned work takes the VM next, and only urgent jobs are started on it until then.
+    /// Planned work claims the VM next, and only urgent jobs are started on it until then.
     Cordoned(DrainEstimate),
-    /// Planned work takes the VM later.
+    /// Planned work claims the VM later.
     Waiting(WaitReason),
     /// No new jobs are started on the VM for a time.
     Quarantined {
         /// End of the quarantine, in milliseconds since the epoch.
         until_ms: u64,
     },
-    /// The VM is in service, and no planned work takes it.
+    /// The VM is in service, and no planned work claims it.
     InService,
 }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -18,11 +18,11 @@
 /// Why a VM was chosen for a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementReason {
-    /// Tightest fit among the VMs that no planned work takes.
+    /// Tightest fit among the VMs that no planned work claims.
     Packed,
-    /// Least loaded zone and rack among the VMs that no planned work takes.
+    /// Least loaded zone and rack among the VMs that no planned work claims.
     Spread,
-    /// Only VMs that a wave takes later have enough free capacity.
+    /// Only VMs that a wave claims later have enough free capacity.
     OnDueVm,
     /// The job is urgent, and only cordoned VMs have enough free capacity.
     OnCordonedVm,
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -27,7 +27,7 @@
     pub first_step_percent: u32,
     /// Longest remaining run time of a job that is waited for; longer jobs are moved.
     pub max_job_wait_ms: u64,
-    /// Whether VMs that planned work takes next are cordoned.
+    /// Whether VMs that planned work claims next are cordoned.
     pub can_cordon: bool,
     /// Free capacity that a pool keeps for new starts when VMs are cordoned, in percent.
     pub min_free_percent: u32,
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -236,7 +236,7 @@
     ready: usize,
 }
 
-/// Returns the VMs that planned work takes next, sorted; only urgent jobs are started on them.
+/// Returns the VMs that planned work claims next, sorted; only urgent jobs are started on them.
 #[must_use]
 pub fn cordoned_vms(state: &FleetState, tuning: &Tuning, now_ms: u64) -> Vec<VmName> {
     let view = FleetView::new(state);
@@ -253,7 +253,7 @@
     names
 }
 
-/// A VM that planned work will take.
+/// A VM that planned work will claim.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlannedVm<'a> {
     pub(crate) vm: &'a VmName,
@@ -263,7 +263,7 @@
     pub(crate) is_cordoned: bool,
 }
 
-/// Returns the VMs of a pool that planned work will take, sorted by name.
+/// Returns the VMs of a pool that planned work will claim, sorted by name.
 ///
 /// VMs are cordoned as long as the pool keeps `Tuning::min_free_percent` of free capacity on the
 /// others, and at least one for each VM that the budget lets out of service. Without this minimum
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -85,7 +85,7 @@
 starts! {
     batch_work_is_packed: packed() => 1, PlacementReason::Packed;
     normal_work_is_spread: spread() => 1, PlacementReason::Spread;
-    /// Placing a job on a VM that the wave takes later would move the job twice.
+    /// Placing a job on a VM that the wave claims later would move the job twice.
     wave_moves_a_job_once: in_wave() => 2, PlacementReason::Spread;
     /// A VM that fails all jobs has the most free capacity and would use up the job's attempts.
     job_is_not_retried_on_the_same_vm: failed_once() => 1, PlacementReason::Spread;
--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/fleet.rs
@@ -366,14 +366,14 @@
     /// During an upgrade, a build that does not support a version would diverge on its records.
     fn raise_version(&mut self, fold_version: u32) -> Verdict {
         let is_next = fold_version == self.fold_version + 1;
-        let is_known = self.writers.iter().all(|writer| {
+        let is_supported = self.writers.iter().all(|writer| {
             let is_latest = self
                 .writers
                 .latest(writer.node.as_str())
                 .is_some_and(|latest| latest.incarnation == writer.incarnation);
             !is_latest || writer.fold_version >= fold_version
         });
-        if !is_next || !is_known {
+        if !is_next || !is_supported {
             return Verdict::Rejected(Rejection::VersionNotKnown { fold_version });
         }
         self.fold_version = fold_version;
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -73,7 +73,7 @@
         self.rows.get(&key)
     }
 
-    /// Returns the number of keys kept.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
