--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -62,7 +62,7 @@
     InService,
 }
 
-/// Why planned work has not taken a VM yet.
+/// Why planned work has not claimed a VM yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WaitReason {
     /// The operator stopped the wave.
