--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -38,7 +38,7 @@
             self.schedule(now);
         }
         let mut batch = Batch {
-            records: std::mem::take(&mut self.drops),
+            records: std::mem::take(&mut self.deletions),
             effects: Vec::new(),
             visible_states: Vec::new(),
             stored_ends: self.unacknowledged(),
@@ -73,7 +73,7 @@
             batch.visible_states.push((job.id, job.state));
             batch
                 .effects
-                .extend(job.waiting.drain(..).map(|token| Effect::Reply {
+                .extend(job.waiting_callers.drain(..).map(|token| Effect::Reply {
                     token,
                     answer: CallerAnswer::Accepted,
                 }));
@@ -87,7 +87,7 @@
                 let job = self.jobs.quiet_mut(place);
                 job.visible_state = Some(state);
                 if state.is_final() && !job.has_attempts() && !job.is_dirty {
-                    self.forget_details(place);
+                    self.drop_job_details(place);
                 }
             }
         }
@@ -101,7 +101,7 @@
                 Effect::Start(order) => {
                     released.extend(self.release_start(*order, now));
                 }
-                Effect::Stop { task, run, .. } if !self.stop_stored(&task, run) => {}
+                Effect::Stop { task, run, .. } if !self.stop_committed(&task, run) => {}
                 other => released.push(other),
             }
         }
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -7,7 +7,7 @@
         endpoints::{Endpoint, PlacedRun},
         engine::Engine,
         event::{Effect, EndpointKey, Now},
-        free_room::FreeSlot,
+        free_capacity::FreeSlot,
         job::{Resources, StepSpec, TaskRef},
         log_event::{LogEvent, QuotaWait, ShareWait},
         quota::AccountNumber,
@@ -37,7 +37,7 @@
     /// Starts what can start, the most urgent first, and the tasks of accounts that flood and have their
     /// share after all others.
     pub(crate) fn schedule(&mut self, now: Now) {
-        self.refresh_free_room(now);
+        self.refresh_free_capacity(now);
         // Without a configuration no account's quota is known.
         if self.config.version == 0 {
             return;
@@ -49,30 +49,30 @@
             place += 1;
             if self.has_share(step.account) {
                 beyond_share.push(step.clone());
-            } else if self.free_room.has(step.pool, step.room.cpu_millis) {
+            } else if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
                 let step = step.clone();
                 self.place_within_quota(&step, now);
             }
         }
         for step in beyond_share {
-            if self.free_room.has(step.pool, step.room.cpu_millis) {
+            if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
                 self.place_within_quota(&step, now);
             }
-            self.note_share_wait(&step, now);
+            self.log_share_wait(&step, now);
         }
     }
 
     fn place_within_quota(&mut self, step: &OpenStep, now: Now) {
-        if self.quotas.startable(step.account, &step.quota_room) > 0 {
+        if self.quotas.startable_runs(step.account, &step.quota_room) > 0 {
             self.place_step(step, now);
         } else {
-            self.note_quota_wait(step, now);
+            self.log_quota_wait(step, now);
         }
     }
 
     /// Finds the accounts that flood while there is not room for all, and the share of each.
-    pub(crate) fn find_flooding(&mut self) {
-        self.flooding.clear();
+    pub(crate) fn find_excess_demand(&mut self) {
+        self.excess_demand.clear();
         if self.quotas.numbers().is_empty() {
             return;
         }
@@ -86,27 +86,27 @@
         }
         let free = pools
             .iter()
-            .map(|&pool| self.free_room.free_cpu_millis(pool));
-        self.flooding = self.quotas.flooding_shares(&waiting, free.sum());
+            .map(|&pool| self.free_capacity.free_cpu_millis(pool));
+        self.excess_demand = self.quotas.excess_demand_shares(&waiting, free.sum());
     }
 
     /// Returns the share of an account that floods, in thousandths of a core.
-    fn flooding_share(&self, account: AccountNumber) -> Option<f64> {
+    fn excess_demand_share(&self, account: AccountNumber) -> Option<f64> {
         let place = self
-            .flooding
+            .excess_demand
             .binary_search_by_key(&account, |(known, _)| *known);
-        place.ok().map(|place| self.flooding[place].1)
+        place.ok().map(|place| self.excess_demand[place].1)
     }
 
     /// Tells whether an account floods and has its share.
     fn has_share(&self, account: AccountNumber) -> bool {
-        self.flooding_share(account)
+        self.excess_demand_share(account)
             .is_some_and(|share| self.quotas.has_running(account, share))
     }
 
     /// Notes that tasks wait for their account's quota.
-    fn note_quota_wait(&mut self, step: &OpenStep, now: Now) {
-        if self.quotas.is_quota_news(step.account, now) {
+    fn log_quota_wait(&mut self, step: &OpenStep, now: Now) {
+        if self.quotas.should_log_quota_wait(step.account, now) {
             self.log_events.push(LogEvent::QuotaReached(QuotaWait {
                 account: self.quotas.name(step.account).clone(),
                 job: step.first.job,
@@ -118,14 +118,14 @@
     }
 
     /// Notes that tasks wait for others, as their account has had its share, if they do.
-    fn note_share_wait(&mut self, step: &OpenStep, now: Now) {
+    fn log_share_wait(&mut self, step: &OpenStep, now: Now) {
         let is_waiting = self
             .jobs
             .get(step.first.job)
             .is_some_and(|job| !waiting(job, &step.first, now).is_empty());
         if is_waiting
-            && let Some(share_cpu_millis) = self.flooding_share(step.account)
-            && self.quotas.is_share_news(step.account, now)
+            && let Some(share_cpu_millis) = self.excess_demand_share(step.account)
+            && self.quotas.should_log_share_wait(step.account, now)
         {
             self.log_events.push(LogEvent::ShareReached(ShareWait {
                 account: self.quotas.name(step.account).clone(),
@@ -145,7 +145,7 @@
         self.open_steps.forget(&changed);
         for &id in &changed {
             if let Some(job) = self.jobs.get(id) {
-                let pool = self.free_room.pool_number(&job.queue.pool);
+                let pool = self.free_capacity.pool_number(&job.queue.pool);
                 self.open_steps.add(job, pool);
             }
         }
@@ -153,7 +153,7 @@
     }
 
     /// Updates the free room of the endpoints that have changed, or whose cooldown is over.
-    pub(crate) fn refresh_free_room(&mut self, now: Now) {
+    pub(crate) fn refresh_free_capacity(&mut self, now: Now) {
         let cooldown = &mut self.cooling_endpoints;
         let expired = cooldown.partition_point(|(until_ms, _)| *until_ms <= now.steady_ms);
         let expired: Vec<EndpointKey> = cooldown.drain(..expired).map(|(_, key)| key).collect();
@@ -161,7 +161,7 @@
             let endpoint = self.endpoints.get(key);
             if endpoint.takes_starts(now.steady_ms) {
                 let free_cpu_millis = endpoint.free().cpu_millis;
-                self.free_room.set(key, &endpoint.pool, free_cpu_millis);
+                self.free_capacity.set(key, &endpoint.pool, free_cpu_millis);
                 continue;
             }
             let cooldown = (endpoint.cooldown_until_ms, key);
@@ -169,7 +169,7 @@
             if is_cooling_down && let Err(place) = self.cooling_endpoints.binary_search(&cooldown) {
                 self.cooling_endpoints.insert(place, cooldown);
             }
-            self.free_room.remove(key);
+            self.free_capacity.remove(key);
         }
     }
 
@@ -184,14 +184,16 @@
             self.place_chosen(step, &spec, now);
             return;
         }
-        let startable = self.startable(step);
+        let startable = self.startable_runs(step);
         for index in waiting(job, &step.first, now).into_iter().take(startable) {
             let task = TaskRef {
                 index,
                 ..step.first
             };
             let avoid = self.task_avoids(&task);
-            let slots = self.free_room.with(step.pool, step.room.cpu_millis);
+            let slots = self
+                .free_capacity
+                .slots_with(step.pool, step.room.cpu_millis);
             let Some(key) = best_fit(&self.endpoints, slots, &task, &spec, avoid) else {
                 break;
             };
@@ -200,19 +202,19 @@
     }
 
     /// Returns how many tasks of a step its account's quota lets start now.
-    fn startable(&self, step: &OpenStep) -> usize {
-        let startable = self.quotas.startable(step.account, &step.quota_room);
+    fn startable_runs(&self, step: &OpenStep) -> usize {
+        let startable = self.quotas.startable_runs(step.account, &step.quota_room);
         usize::try_from(startable).unwrap_or(usize::MAX)
     }
 
     fn task_avoids(&self, task: &TaskRef) -> Option<EndpointKey> {
-        self.jobs.get(task.job)?.task(task)?.avoid
+        self.jobs.get(task.job)?.task(task)?.avoided_endpoint
     }
 
     /// Places a gang, or tasks whose endpoints another service chooses.
     fn place_chosen(&mut self, step: &OpenStep, spec: &StepSpec, now: Now) {
         let name = step.first;
-        let members = self.free_room.members(step.pool);
+        let members = self.free_capacity.members(step.pool);
         let mut slots = slots(&self.endpoints, &members, &name, spec);
         let Some(job) = self.jobs.get(name.job) else {
             return;
@@ -225,7 +227,7 @@
         let Some(job) = self.jobs.get(name.job) else {
             return;
         };
-        let startable = self.startable(step);
+        let startable = self.startable_runs(step);
         let chosen = if spec.gang {
             if !is_whole(job, &name) || startable < usize::from(spec.count) {
                 return;
@@ -270,7 +272,7 @@
         let endpoint = self.endpoints.get_mut(key);
         endpoint.add_run(PlacedRun::new(*task, run, spec));
         let free_cpu_millis = endpoint.free().cpu_millis;
-        self.free_room.set(key, &endpoint.pool, free_cpu_millis);
+        self.free_capacity.set(key, &endpoint.pool, free_cpu_millis);
     }
 }
 
@@ -391,7 +393,7 @@
     let mut chosen = Vec::new();
     for &index in waiting {
         let task = TaskRef { index, ..*name };
-        let avoid = job.task(&task).and_then(|task| task.avoid);
+        let avoid = job.task(&task).and_then(|task| task.avoided_endpoint);
         let Some(slot) = best_slot(endpoints, slots, spec, avoid) else {
             break;
         };
--- a/crates/engine/src/stored.rs
+++ b/crates/engine/src/stored.rs
@@ -169,7 +169,7 @@
 
 /// Returns the record that drops what the caller sent.
 #[must_use]
-pub fn spec_drop(job: JobId) -> Record {
+pub fn spec_deletion(job: JobId) -> Record {
     Record {
         key: format!("{SPEC_PREFIX}/{job}"),
         value: Vec::new(),
@@ -178,7 +178,7 @@
 
 /// Returns the record that drops a job.
 #[must_use]
-pub fn progress_drop(job: JobId) -> Record {
+pub fn progress_deletion(job: JobId) -> Record {
     Record {
         key: format!("{PROGRESS_PREFIX}/{job}"),
         value: Vec::new(),
@@ -211,7 +211,13 @@
                     });
                     let attempts = attempts.collect();
                     let checkpoint = task.checkpoint.clone();
-                    StoredTask(task.run, task.failed, task.is_done, checkpoint, attempts)
+                    StoredTask(
+                        task.run,
+                        task.failed_runs,
+                        task.is_done,
+                        checkpoint,
+                        attempts,
+                    )
                 });
                 tasks.collect()
             });
@@ -286,7 +292,7 @@
     };
     let restore_task = |StoredTask(run, failed, is_done, checkpoint, attempts): StoredTask| Task {
         run,
-        failed,
+        failed_runs: failed,
         is_done,
         checkpoint,
         attempts: attempts.into_iter().filter_map(restore_attempt).collect(),
--- a/crates/engine/tests/encodings.rs
+++ b/crates/engine/tests/encodings.rs
@@ -462,7 +462,7 @@
     let fleet = fleet_at_work();
     let tasks: Vec<_> = job(&fleet).tasks().map(|(_, task)| task).collect();
     assert!(tasks.iter().any(|task| task.is_done));
-    assert!(tasks.iter().any(|task| task.failed == 1
+    assert!(tasks.iter().any(|task| task.failed_runs == 1
         && task.checkpoint == "half"
         && task.attempts.iter().any(|attempt| attempt.run == 2)));
     check_job(&fleet, 1, &queue(), SPEC_AT_WORK, PROGRESS_AT_WORK);
