--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -14,8 +14,8 @@
     tokio::time::Instant,
 };
 
-/// Start of the paths of the peer listener under which [`crate::Gateway::peer_run`] is mounted; the
-/// caller's path follows.
+/// Path prefix of the peer listener under which [`crate::Gateway::handle_peer_run`] is mounted,
+/// followed by the caller's path.
 pub const PEER_RUN_PATH: &str = "/peer/run/";
 
 /// Answer header by which an endpoint says that it did not start a request.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -62,7 +62,7 @@
     }
 
     /// Runs a request that a peer without own slots passes on, to be mounted on the peer listener.
-    pub async fn peer_run(self, request: Request<Incoming>) -> Response<Body> {
+    pub async fn handle_peer_run(self, request: Request<Incoming>) -> Response<Body> {
         let (mut parts, incoming) = request.into_parts();
         let path = parts.uri.path_and_query().map_or("", PathAndQuery::as_str);
         let path = format!("/{}", path.strip_prefix(PEER_RUN_PATH).unwrap_or_default());
@@ -96,12 +96,12 @@
     ///
     /// A node that stopped before would leave keys pending that only it knows the outcome of, and
     /// their callers would be told "outcome unknown" from then on.
-    pub async fn settled(&self) {
-        self.keys.settled().await;
+    pub async fn wait_for_outcomes(&self) {
+        self.keys.wait_for_outcomes().await;
     }
 
     /// Answers a peer that asks for the answer of a key, to be mounted on the peer listener.
-    pub async fn peer_answer(self, request: Request<Incoming>) -> Response<Body> {
+    pub async fn handle_peer_answer(self, request: Request<Incoming>) -> Response<Body> {
         self.keys.answer_peer(request).await
     }
 
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -80,7 +80,7 @@
     }
 
     /// Waits until the outcome of every request that was begun is in the log.
-    pub(crate) async fn settled(&self) {
+    pub(crate) async fn wait_for_outcomes(&self) {
         self.under_way.closed().await;
     }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -14,7 +14,7 @@
     tokio::time::Instant,
 };
 
-/// Path of the peer listener under which [`crate::Gateway::peer_answer`] is mounted.
+/// Path of the peer listener under which [`crate::Gateway::handle_peer_answer`] is mounted.
 pub const PEER_ANSWER_PATH: &str = "/peer/answer";
 
 /// Bytes of a question at most.
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -138,8 +138,8 @@
 
 async fn serve_peer(node: Node, gateway: Gateway, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
-        PEER_ANSWER_PATH => gateway.peer_answer(request).await,
-        path if path.starts_with(PEER_RUN_PATH) => gateway.peer_run(request).await,
+        PEER_ANSWER_PATH => gateway.handle_peer_answer(request).await,
+        path if path.starts_with(PEER_RUN_PATH) => gateway.handle_peer_run(request).await,
         _ => node.handle_peer_request(request).await,
     }
 }
--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -163,7 +163,10 @@
         for server in self.servers {
             await_end("server", server).await;
         }
-        if timeout(SETTLE_LIMIT, self.gateway.settled()).await.is_err() {
+        if timeout(SETTLE_LIMIT, self.gateway.wait_for_outcomes())
+            .await
+            .is_err()
+        {
             warn!(event = "not_settled"; "outcomes of keys are not in the log at the stop");
         }
         self.ending.begin();
@@ -276,8 +279,8 @@
 
 async fn serve_peer(node: Node, gateway: Gateway, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
-        PEER_ANSWER_PATH => gateway.peer_answer(request).await,
-        path if path.starts_with(PEER_RUN_PATH) => gateway.peer_run(request).await,
+        PEER_ANSWER_PATH => gateway.handle_peer_answer(request).await,
+        path if path.starts_with(PEER_RUN_PATH) => gateway.handle_peer_run(request).await,
         _ => node.handle_peer_request(request).await,
     }
 }
