--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns the refusal of a malformed head.
-    pub fn new(parts: Parts) -> Result<Self, Refusal> {
+    pub fn from_parts(parts: Parts) -> Result<Self, Refusal> {
         check_host(&parts)?;
         let path = parts.uri.path().trim_start_matches('/');
         let (service, rest) = path.split_once('/').unwrap_or((path, ""));
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -55,9 +55,9 @@
     /// Answers a request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let (parts, incoming) = request.into_parts();
-        match CallerRequest::new(parts) {
+        match CallerRequest::from_parts(parts) {
             Ok(request) => self.answer(&request, incoming).await,
-            Err(refusal) => refusal.answer(),
+            Err(refusal) => refusal.to_response(),
         }
     }
 
@@ -67,15 +67,15 @@
         let path = parts.uri.path_and_query().map_or("", PathAndQuery::as_str);
         let path = format!("/{}", path.strip_prefix(PEER_RUN_PATH).unwrap_or_default());
         let Ok(uri) = Uri::try_from(path) else {
-            return Refusal::not_run(RefusalReason::BadRequest, "no such path").answer();
+            return Refusal::not_run(RefusalReason::BadRequest, "no such path").to_response();
         };
         parts.uri = uri;
-        match CallerRequest::new(parts) {
+        match CallerRequest::from_parts(parts) {
             Ok(mut request) => {
                 request.is_forwarded = true;
                 self.answer(&request, incoming).await
             }
-            Err(refusal) => refusal.answer(),
+            Err(refusal) => refusal.to_response(),
         }
     }
 
@@ -87,7 +87,7 @@
                     service = request.service.as_str(), did_not_run = refusal.did_not_run;
                     "{}", refusal.detail);
                 metrics::counter!("lynxwheel_refused_total").increment(1);
-                refusal.answer()
+                refusal.to_response()
             }
         }
     }
@@ -107,13 +107,13 @@
 
     /// Returns the load that this node puts on endpoints, for its peers.
     #[must_use]
-    pub fn loads(&self) -> Vec<EndpointLoad> {
+    pub fn endpoint_loads(&self) -> Vec<EndpointLoad> {
         self.tables.loads()
     }
 
     /// Returns the endpoints that this node saw leaving or failing, for its peers.
     #[must_use]
-    pub fn leaving(&self) -> Vec<EndpointLoad> {
+    pub fn ejected_endpoints(&self) -> Vec<EndpointLoad> {
         self.tables.leaving()
     }
 
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -128,7 +128,7 @@
 
     /// Builds the answer.
     #[must_use]
-    pub fn answer(&self) -> Response<Body> {
+    pub fn to_response(&self) -> Response<Body> {
         let mut response = json_answer(self.reason.status(), self);
         let headers = response.headers_mut();
         if self.reason.spoils_connection() {
--- a/crates/gateway/tests/malformed.rs
+++ b/crates/gateway/tests/malformed.rs
@@ -102,12 +102,12 @@
     let head = "GET /renewals/work?size=50000000 HTTP/1.1\r\nhost: node\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("write");
     let gateway = fleet.nodes[0].gateway.clone();
-    common::wait_until("the slot is taken", || !gateway.loads().is_empty()).await;
+    common::wait_until("the slot is taken", || !gateway.endpoint_loads().is_empty()).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(
-        !gateway.loads().is_empty(),
+        !gateway.endpoint_loads().is_empty(),
         "the answer must not fit the buffers"
     );
-    common::wait_until("the slot is free", || gateway.loads().is_empty()).await;
+    common::wait_until("the slot is free", || gateway.endpoint_loads().is_empty()).await;
     drop(stream);
 }
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -212,11 +212,11 @@
     for number in 0..200 {
         let id = format!("map-{number}");
         assert_own(&ask(first, &id, "").await, &id);
-        if !first.gateway.leaving().is_empty() {
+        if !first.gateway.ejected_endpoints().is_empty() {
             break;
         }
     }
-    assert_eq!(first.gateway.leaving()[0].vm.as_str(), "vm-0");
+    assert_eq!(first.gateway.ejected_endpoints()[0].vm.as_str(), "vm-0");
     let second = &fleet.nodes[3].node;
     let is_told = || {
         let peers = second.peers().live_peers(second.clock().now_ms());
@@ -229,7 +229,7 @@
         let id = format!("more-{number}");
         assert_own(&ask(&fleet.nodes[3], &id, "").await, &id);
     }
-    let evidence = fleet.nodes[3].gateway.leaving();
+    let evidence = fleet.nodes[3].gateway.ejected_endpoints();
     assert!(evidence.is_empty(), "the peer asked it: {evidence:?}");
 }
 
@@ -280,7 +280,7 @@
     assert!(text.contains("bytes=3000000"), "{}", &text[..60]);
     assert!(answer.body.len() > 2_000_000);
     let gateway = &fleet.nodes[0].gateway;
-    wait_until("the slot is free", || gateway.loads().is_empty()).await;
+    wait_until("the slot is free", || gateway.endpoint_loads().is_empty()).await;
 }
 
 /// An endpoint breaks off a large answer. The caller must see a broken connection, never a part
--- a/crates/scenario/tests/decoders/heads.rs
+++ b/crates/scenario/tests/decoders/heads.rs
@@ -74,7 +74,7 @@
         let Some(parts) = head.parts() else {
             return true;
         };
-        match CallerRequest::new(parts) {
+        match CallerRequest::from_parts(parts) {
             Ok(request) => !request.path.is_empty() && request.path.starts_with('/'),
             Err(refusal) => refusal.did_not_run && !refusal.detail.is_empty(),
         }
