--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -29,7 +29,7 @@
 
 /// One header of a kept answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct KeptHeader {
+pub struct StoredHeader {
     /// Name.
     pub name: String,
     /// Value.
@@ -38,22 +38,22 @@
 
 /// Whole answer of an endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers.
-    pub headers: Vec<KeptHeader>,
+    pub headers: Vec<StoredHeader>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     /// Keeps an answer that is in memory as a whole.
     #[must_use]
     pub fn new(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> Self {
         let headers = headers
             .iter()
-            .map(|(name, value)| KeptHeader {
+            .map(|(name, value)| StoredHeader {
                 name: name.as_str().to_owned(),
                 value: value.as_bytes().to_vec(),
             })
@@ -67,7 +67,7 @@
 
     /// Builds the answer for a second attempt.
     #[must_use]
-    pub fn response(&self) -> Response<Body> {
+    pub fn to_response(&self) -> Response<Body> {
         let mut response = Response::new(full_body(self.body.clone()));
         *response.status_mut() = StatusCode::from_u16(self.status).unwrap_or(StatusCode::OK);
         for header in &self.headers {
@@ -96,7 +96,7 @@
     /// Under way.
     Running,
     /// Ended with an answer that is kept.
-    Answered(Arc<KeptAnswer>),
+    Answered(Arc<StoredResponse>),
     /// Ended with an answer too large to keep.
     TooLarge(u16),
     /// Ended with a refusal, which second attempts that waited get too.
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::{
-        answers::{Answers, Attempt, KeptAnswer, MAX_ANSWER_BYTES, Progress, wait_ended},
+        answers::{Answers, Attempt, MAX_ANSWER_BYTES, Progress, StoredResponse, wait_ended},
         caller_request::CallerRequest,
         dispatch::Dispatcher,
         intents::{Intended, Intents},
@@ -215,8 +215,8 @@
         let status = parts.status.as_u16();
         let (progress, response) = match gather_body(body, MAX_ANSWER_BYTES).await {
             Ok(Gathered::Whole(body)) => {
-                let kept = KeptAnswer::new(parts.status, &parts.headers, &body);
-                let response = kept.response();
+                let kept = StoredResponse::new(parts.status, &parts.headers, &body);
+                let response = kept.to_response();
                 (Progress::Answered(Arc::new(kept)), response)
             }
             Ok(Gathered::Longer(body)) => (
@@ -266,7 +266,7 @@
             self.ask_holder(entry, wait).await
         };
         match answer {
-            PeerAnswer::Answered(kept) => Ok(kept.response()),
+            PeerAnswer::Answered(kept) => Ok(kept.to_response()),
             PeerAnswer::TooLarge(status) => Err(not_kept(status)),
             PeerAnswer::Refused(refusal) => Err(refusal),
             PeerAnswer::Running | PeerAnswer::NotKept | PeerAnswer::OtherRun => {
@@ -326,7 +326,7 @@
 
 fn second_outcome(progress: Progress) -> Outcome {
     match progress {
-        Progress::Answered(kept) => Ok(kept.response()),
+        Progress::Answered(kept) => Ok(kept.to_response()),
         Progress::TooLarge(status) => Err(not_kept(status)),
         Progress::Refused(refusal) => Err(refusal),
         Progress::Running => Err(pending()),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -35,7 +35,7 @@
 mod shares;
 mod table;
 
-pub use answers::{KeptAnswer, KeptHeader};
+pub use answers::{StoredHeader, StoredResponse};
 pub use caller_request::{
     CLASS_HEADER, CallerRequest, DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER, ISSUED_HEADER,
     REQUEST_ID_HEADER, TEAM_HEADER,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        answers::{Answers, Attempt, KeptAnswer, Progress, wait_ended},
+        answers::{Answers, Attempt, Progress, StoredResponse, wait_ended},
         refusal::Refusal,
     },
     http::{Request, Response, StatusCode},
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerAnswer {
     /// The answer.
-    Answered(KeptAnswer),
+    Answered(StoredResponse),
     /// It was answered with this status, and the answer is too large to keep.
     TooLarge(u16),
     /// It ended with this refusal.
@@ -72,7 +72,7 @@
     };
     let wait = Duration::from_millis(question.wait_ms.min(MAX_WAIT_MS));
     let answer = match wait_ended(progress, Instant::now() + wait).await {
-        Some(Progress::Answered(kept)) => PeerAnswer::Answered(KeptAnswer::clone(&kept)),
+        Some(Progress::Answered(kept)) => PeerAnswer::Answered(StoredResponse::clone(&kept)),
         Some(Progress::TooLarge(status)) => PeerAnswer::TooLarge(status),
         Some(Progress::Refused(refusal)) => PeerAnswer::Refused(refusal),
         Some(Progress::Running) => PeerAnswer::Running,
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -2,7 +2,7 @@
 
 use {
     lynxwheel_gateway::{
-        KeptAnswer, KeptHeader, PeerAnswer, PeerAnswerRequest, Refusal, RefusalReason,
+        PeerAnswer, PeerAnswerRequest, Refusal, RefusalReason, StoredHeader, StoredResponse,
     },
     lynxwheel_protocol::{RequestKey, decode_message, encode_message},
     serde::{Serialize, de::DeserializeOwned},
@@ -45,10 +45,10 @@
     };
 }
 
-fn kept() -> KeptAnswer {
-    KeptAnswer {
+fn kept() -> StoredResponse {
+    StoredResponse {
         status: 201,
-        headers: vec![KeptHeader {
+        headers: vec![StoredHeader {
             name: "content-type".into(),
             value: b"text/plain".to_vec(),
         }],
