--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        key_age::uuid_v7_ms,
+        key_age::uuid_v7_timestamp_ms,
         refusal::{Refusal, RefusalReason},
     },
     http::{HeaderMap, Method, header, request::Parts},
@@ -89,7 +89,7 @@
         }
         let issued_ms = match number(&parts.headers, ISSUED_HEADER)? {
             Some(issued_ms) => Some(issued_ms),
-            None => key.as_deref().and_then(uuid_v7_ms),
+            None => key.as_deref().and_then(uuid_v7_timestamp_ms),
         };
         Ok(Self {
             service: service.to_owned(),
--- a/crates/gateway/src/key_age.rs
+++ b/crates/gateway/src/key_age.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyAge {
     /// The key tells no time, or a time for which keys are still kept.
-    Kept,
+    Valid,
     /// An earlier attempt may have been forgotten.
-    TooOld,
+    Expired,
     /// The time lies ahead of this node's clock by more than the skew allowed.
-    Ahead,
+    InFuture,
 }
 
 /// Judges the time at which a key was first used.
@@ -25,23 +25,23 @@
 /// A key that is no longer kept looks like a new one, and its request would run a second time.
 /// The margin covers the caller's clock: a key is refused before it can have been forgotten.
 #[must_use]
-pub fn key_age(issued_ms: Option<u64>, now_ms: u64, keep_ms: u64) -> KeyAge {
+pub fn check_key_age(issued_ms: Option<u64>, now_ms: u64, keep_ms: u64) -> KeyAge {
     let Some(issued_ms) = issued_ms else {
-        return KeyAge::Kept;
+        return KeyAge::Valid;
     };
     let skew_ms = MAX_SKEW_MS.min(keep_ms / SKEW_DIVISOR);
     if issued_ms > now_ms.saturating_add(skew_ms) {
-        return KeyAge::Ahead;
+        return KeyAge::InFuture;
     }
     if now_ms.saturating_add(skew_ms) > issued_ms.saturating_add(keep_ms) {
-        return KeyAge::TooOld;
+        return KeyAge::Expired;
     }
-    KeyAge::Kept
+    KeyAge::Valid
 }
 
 /// Returns the time in a key that is a version 7 UUID, in milliseconds since the epoch.
 #[must_use]
-pub fn uuid_v7_ms(key: &str) -> Option<u64> {
+pub fn uuid_v7_timestamp_ms(key: &str) -> Option<u64> {
     let bytes = key.as_bytes();
     let is_uuid = bytes.len() == 36
         && bytes.iter().enumerate().all(|(place, byte)| match place {
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -10,7 +10,7 @@
         caller_request::CallerRequest,
         dispatch::Dispatcher,
         intents::{Intended, Intents},
-        key_age::{KeyAge, key_age},
+        key_age::{KeyAge, check_key_age},
         payload::Payload,
         peers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest, answer_peer},
         refusal::{Refusal, RefusalReason},
@@ -128,13 +128,13 @@
     /// Refuses keys whose earlier attempts may have been forgotten.
     fn check_age(&self, request: &CallerRequest) -> Result<(), Refusal> {
         let keep_ms = self.node.state().key_keep_ms();
-        match key_age(request.issued_ms, self.node.clock().now_ms(), keep_ms) {
-            KeyAge::Kept => Ok(()),
-            KeyAge::TooOld => Err(Refusal::may_have_run(
+        match check_key_age(request.issued_ms, self.node.clock().now_ms(), keep_ms) {
+            KeyAge::Valid => Ok(()),
+            KeyAge::Expired => Err(Refusal::may_have_run(
                 RefusalReason::KeyTooOld,
                 "this attempt did not run; the key is too old to know of earlier ones",
             )),
-            KeyAge::Ahead => Err(Refusal::not_run(
+            KeyAge::InFuture => Err(Refusal::not_run(
                 RefusalReason::BadRequest,
                 "the key's time lies in the future",
             )),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -42,6 +42,6 @@
 };
 pub use forward::PEER_RUN_PATH;
 pub use gateway::Gateway;
-pub use key_age::{KeyAge, key_age, uuid_v7_ms};
+pub use key_age::{KeyAge, check_key_age, uuid_v7_timestamp_ms};
 pub use peers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest};
 pub use refusal::{DID_NOT_RUN_HEADER, Refusal, RefusalReason};
--- a/crates/gateway/tests/at_most_once.rs
+++ b/crates/gateway/tests/at_most_once.rs
@@ -6,7 +6,9 @@
     common::{Fleet, FleetOptions, assert_own, renewal, wait_until},
     http::StatusCode,
     lynxwheel_coordination::Clock,
-    lynxwheel_gateway::{DID_NOT_RUN_HEADER, ISSUED_HEADER, KeyAge, key_age, uuid_v7_ms},
+    lynxwheel_gateway::{
+        DID_NOT_RUN_HEADER, ISSUED_HEADER, KeyAge, check_key_age, uuid_v7_timestamp_ms,
+    },
     lynxwheel_transport::Answer,
     std::time::Duration,
 };
@@ -157,24 +159,27 @@
 macro_rules! ages {
     ($($name:ident: $issued_ms:expr => $age:expr;)*) => {
         $(#[test] fn $name() {
-            assert_eq!(key_age($issued_ms, 1_000_000, 100_000), $age);
+            assert_eq!(check_key_age($issued_ms, 1_000_000, 100_000), $age);
         })*
     };
 }
 
 ages! {
-    key_without_time_counts_as_kept: None => KeyAge::Kept;
-    fresh_key_is_kept: Some(1_000_000) => KeyAge::Kept;
-    key_within_the_margin_is_too_old: Some(905_000) => KeyAge::TooOld;
-    key_before_the_margin_is_kept: Some(911_000) => KeyAge::Kept;
-    key_far_ahead_is_refused: Some(1_020_000) => KeyAge::Ahead;
+    key_without_time_counts_as_kept: None => KeyAge::Valid;
+    fresh_key_is_kept: Some(1_000_000) => KeyAge::Valid;
+    key_within_the_margin_is_too_old: Some(905_000) => KeyAge::Expired;
+    key_before_the_margin_is_kept: Some(911_000) => KeyAge::Valid;
+    key_far_ahead_is_refused: Some(1_020_000) => KeyAge::InFuture;
 }
 
 /// The time of a version 7 UUID is in its first 48 bits; other versions tell none.
 #[test]
 fn uuid_tells_its_time() {
-    let time = uuid_v7_ms("017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
+    let time = uuid_v7_timestamp_ms("017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
     assert_eq!(time, Some(1_645_557_742_000));
-    assert_eq!(uuid_v7_ms("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"), None);
-    assert_eq!(uuid_v7_ms("lotion"), None);
+    assert_eq!(
+        uuid_v7_timestamp_ms("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"),
+        None
+    );
+    assert_eq!(uuid_v7_timestamp_ms("lotion"), None);
 }
