--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        key_age::uuid_v7_ms,
+        key_age::uuid_v7_timestamp_ms,
         refusal::{Refusal, RefusalReason},
     },
     http::{HeaderMap, Method, header, request::Parts},
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns the refusal of a malformed head.
-    pub fn new(parts: Parts) -> Result<Self, Refusal> {
+    pub fn from_parts(parts: Parts) -> Result<Self, Refusal> {
         check_host(&parts)?;
         let path = parts.uri.path().trim_start_matches('/');
         let (service, rest) = path.split_once('/').unwrap_or((path, ""));
@@ -89,7 +89,7 @@
         }
         let issued_ms = match number(&parts.headers, ISSUED_HEADER)? {
             Some(issued_ms) => Some(issued_ms),
-            None => key.as_deref().and_then(uuid_v7_ms),
+            None => key.as_deref().and_then(uuid_v7_timestamp_ms),
         };
         Ok(Self {
             service: service.to_owned(),
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -6,11 +6,11 @@
 
 use {
     crate::{
-        answers::{Answers, Attempt, KeptAnswer, MAX_ANSWER_BYTES, Progress, wait_ended},
+        answers::{Answers, Attempt, MAX_ANSWER_BYTES, Progress, StoredResponse, wait_ended},
         caller_request::CallerRequest,
         dispatch::Dispatcher,
         intents::{Intended, Intents},
-        key_age::{KeyAge, key_age},
+        key_age::{KeyAge, check_key_age},
         payload::Payload,
         peers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest, answer_peer},
         refusal::{Refusal, RefusalReason},
@@ -80,7 +80,7 @@
     }
 
     /// Waits until the outcome of every request that was begun is in the log.
-    pub(crate) async fn settled(&self) {
+    pub(crate) async fn wait_for_outcomes(&self) {
         self.under_way.closed().await;
     }
 
@@ -128,13 +128,13 @@
     /// Refuses keys whose earlier attempts may have been forgotten.
     fn check_age(&self, request: &CallerRequest) -> Result<(), Refusal> {
         let keep_ms = self.node.state().key_keep_ms();
-        match key_age(request.issued_ms, self.node.clock().now_ms(), keep_ms) {
-            KeyAge::Kept => Ok(()),
-            KeyAge::TooOld => Err(Refusal::may_have_run(
+        match check_key_age(request.issued_ms, self.node.clock().now_ms(), keep_ms) {
+            KeyAge::Valid => Ok(()),
+            KeyAge::Expired => Err(Refusal::may_have_run(
                 RefusalReason::KeyTooOld,
                 "this attempt did not run; the key is too old to know of earlier ones",
             )),
-            KeyAge::Ahead => Err(Refusal::not_run(
+            KeyAge::InFuture => Err(Refusal::not_run(
                 RefusalReason::BadRequest,
                 "the key's time lies in the future",
             )),
@@ -215,8 +215,8 @@
         let status = parts.status.as_u16();
         let (progress, response) = match gather_body(body, MAX_ANSWER_BYTES).await {
             Ok(Gathered::Whole(body)) => {
-                let kept = KeptAnswer::new(parts.status, &parts.headers, &body);
-                let response = kept.response();
+                let kept = StoredResponse::new(parts.status, &parts.headers, &body);
+                let response = kept.to_response();
                 (Progress::Answered(Arc::new(kept)), response)
             }
             Ok(Gathered::Longer(body)) => (
@@ -266,7 +266,7 @@
             self.ask_holder(entry, wait).await
         };
         match answer {
-            PeerAnswer::Answered(kept) => Ok(kept.response()),
+            PeerAnswer::Answered(kept) => Ok(kept.to_response()),
             PeerAnswer::TooLarge(status) => Err(not_kept(status)),
             PeerAnswer::Refused(refusal) => Err(refusal),
             PeerAnswer::Running | PeerAnswer::NotKept | PeerAnswer::OtherRun => {
@@ -326,7 +326,7 @@
 
 fn second_outcome(progress: Progress) -> Outcome {
     match progress {
-        Progress::Answered(kept) => Ok(kept.response()),
+        Progress::Answered(kept) => Ok(kept.to_response()),
         Progress::TooLarge(status) => Err(not_kept(status)),
         Progress::Refused(refusal) => Err(refusal),
         Progress::Running => Err(pending()),
