--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,4 +1,5 @@
-//! Log reading and appending, membership, planning and actions of a lynxwheel node.
+//! Coordination of a lynxwheel node: reads and appends the log, tracks peers, plans placements and
+//! executes actions.
 //!
 //! ```no_run
 //! use lynxwheel_coordination::{Node, NodeIdentity, NodeSettings};
@@ -8,7 +9,7 @@
 //! let identity = NodeIdentity::new("node-1", "zone-1");
 //! let settings = NodeSettings::new(identity, "127.0.0.1:7000".parse().unwrap());
 //! let (node, _threads) = Node::start(settings, &Shutdown::new());
-//! println!("folded up to {}", node.state().offset());
+//! println!("folded up to offset {}", node.state().offset());
 //! # }
 //! ```
 
@@ -20,6 +21,7 @@
 mod cpu_share;
 mod divergence;
 mod fold;
+mod housekeeping;
 mod log_client;
 mod membership;
 mod node;
@@ -28,20 +30,19 @@
 mod peer_server;
 mod peers;
 mod planner;
+mod poll_schedule;
 mod proposer;
 mod published_state;
 mod rate_limit;
 mod reader;
 mod readiness;
-mod recent;
+mod recent_entries;
 mod recovery;
 mod settings;
 mod snapshot_chunks;
 mod snapshots;
 mod tasks;
-mod upkeep;
 mod waiters;
-mod watched;
 
 pub use background::spawn_background_thread;
 pub use clock::Clock;
--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/fleet.rs
@@ -93,8 +93,8 @@
 
     /// Applies the record at `offset` and returns the outcome.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Verdict {
-        // Advances to the time of the record, so that a transition is not dated before the record
-        // and evidence from before a restart does not count after it.
+        // `record_time` replaces this by the confirmed time, unless the record is a duplicate or its
+        // writer is unknown.
         self.time_ms = self.time_ms.max(record.time_ms);
         let verdict = self.apply_record(offset, record);
         self.offset = offset;
@@ -366,14 +366,14 @@
     /// During an upgrade, a build that does not support a version would diverge on its records.
     fn raise_version(&mut self, fold_version: u32) -> Verdict {
         let is_next = fold_version == self.fold_version + 1;
-        let is_known = self.writers.iter().all(|writer| {
+        let is_supported = self.writers.iter().all(|writer| {
             let is_latest = self
                 .writers
                 .latest(writer.node.as_str())
                 .is_some_and(|latest| latest.incarnation == writer.incarnation);
             !is_latest || writer.fold_version >= fold_version
         });
-        if !is_next || !is_known {
+        if !is_next || !is_supported {
             return Verdict::Rejected(Rejection::VersionNotKnown { fold_version });
         }
         self.fold_version = fold_version;
