--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -12,17 +12,17 @@
 
 /// Endpoints asked about in one call at most. The service takes time for each that is named, and
 /// the users' objective for a step reckons with 30.
-const ASKED_AT_ONCE: usize = 30;
+const MAX_ENDPOINTS_PER_REQUEST: usize = 30;
 
 /// Time before a ticket's end from which it is not used, in milliseconds: a start takes some 10 ms
 /// to its endpoint, and a few times that when the store is slow.
 const TICKET_MARGIN_MS: u64 = 300;
 
 /// Pause after an ask without answer, in milliseconds.
-const ASK_RETRY_MS: u64 = 300;
+const REQUEST_RETRY_MS: u64 = 300;
 
 /// Time after which an ask counts as lost, in milliseconds; the caller gives up before.
-const ASK_LOST_MS: u64 = 8_000;
+const REQUEST_TIMEOUT_MS: u64 = 8_000;
 
 /// A ticket for the tasks of a step on one endpoint.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,8 +41,8 @@
     tickets: Vec<(EndpointKey, CompactString, u64)>,
     /// Endpoints that may not run the step; that does not change.
     refused: Vec<EndpointKey>,
-    asked: Vec<EndpointKey>,
-    ask_at_ms: u64,
+    requested: Vec<EndpointKey>,
+    next_request_ms: u64,
 }
 
 impl StepAdvice {
@@ -51,8 +51,8 @@
             step,
             tickets: Vec::new(),
             refused: Vec::new(),
-            asked: Vec::new(),
-            ask_at_ms: 0,
+            requested: Vec::new(),
+            next_request_ms: 0,
         }
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Returns the endpoints for which a step has a ticket, and asks about others that have room.
-    pub(crate) fn advised_members(
+    pub(crate) fn endpoints_with_ticket(
         &mut self,
         step: &TaskRef,
         members: &[EndpointKey],
@@ -90,17 +90,17 @@
             .copied()
             .filter(|&key| advice.ticket(key, now).is_some())
             .collect();
-        if now.steady_ms >= advice.ask_at_ms {
+        if now.steady_ms >= advice.next_request_ms {
             let unknown = members
                 .iter()
                 .copied()
                 .filter(|key| !advice.refused.contains(key) && !usable.contains(key));
-            advice.asked = unknown.take(ASKED_AT_ONCE).collect();
-            if !advice.asked.is_empty() {
-                advice.ask_at_ms = now.steady_ms + ASK_LOST_MS;
+            advice.requested = unknown.take(MAX_ENDPOINTS_PER_REQUEST).collect();
+            if !advice.requested.is_empty() {
+                advice.next_request_ms = now.steady_ms + REQUEST_TIMEOUT_MS;
                 self.immediate_effects.push(Effect::Advise {
                     step: *step,
-                    endpoints: names(&self.endpoints, &advice.asked),
+                    endpoints: names(&self.endpoints, &advice.requested),
                 });
             }
         }
@@ -120,18 +120,23 @@
 
     /// Takes in an answer: tickets of the endpoints that may run the step, or nothing when the call
     /// failed.
-    pub(crate) fn advised(&mut self, step: &TaskRef, answer: Option<(Vec<Ticket>, u64)>, now: Now) {
+    pub(crate) fn advice_received(
+        &mut self,
+        step: &TaskRef,
+        answer: Option<(Vec<Ticket>, u64)>,
+        now: Now,
+    ) {
         let place = self.advice_place(step);
         let endpoints = &self.endpoints;
         let advice = &mut self.advice[place];
-        let asked = std::mem::take(&mut advice.asked);
+        let requested = std::mem::take(&mut advice.requested);
         let Some((tickets, valid_ms)) = answer else {
-            advice.ask_at_ms = now.steady_ms + ASK_RETRY_MS;
+            advice.next_request_ms = now.steady_ms + REQUEST_RETRY_MS;
             return;
         };
-        advice.ask_at_ms = now.steady_ms;
+        advice.next_request_ms = now.steady_ms;
         let until_ms = now.steady_ms + valid_ms.saturating_sub(TICKET_MARGIN_MS);
-        for key in asked {
+        for key in requested {
             let id = &endpoints.get(key).id;
             advice.tickets.retain(|(known, _, _)| *known != key);
             match tickets.iter().find(|ticket| ticket.endpoint == *id) {
@@ -151,7 +156,7 @@
     }
 
     /// Forgets what is known of the steps of jobs that have ended.
-    pub(crate) fn forget_advice(&mut self) {
+    pub(crate) fn remove_advice(&mut self) {
         let jobs = &self.jobs;
         self.advice
             .retain(|advice| jobs.search(advice.step.job).is_ok());
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -163,7 +163,7 @@
         let Ok(place) = self.search(task.job) else {
             return false;
         };
-        self.jobs.quiet_mut(place).origin.take().is_some()
+        self.jobs.get_mut_untracked(place).origin.take().is_some()
     }
 
     fn start_refusal_cooldown(&mut self, key: EndpointKey, refusal: Refusal, now: Now) {
@@ -204,7 +204,7 @@
         let Ok(place) = self.search(task.job) else {
             return;
         };
-        let job = self.jobs.quiet_mut(place);
+        let job = self.jobs.get_mut_untracked(place);
         let Some(attempt) = find_attempt(job, task, run) else {
             return;
         };
@@ -414,7 +414,7 @@
     /// Returns a run of a task for a change that needs not be stored.
     fn attempt_mut(&mut self, task: &TaskRef, run: u32) -> Option<&mut Attempt> {
         let place = self.search(task.job).ok()?;
-        find_attempt(self.jobs.quiet_mut(place), task, run)
+        find_attempt(self.jobs.get_mut_untracked(place), task, run)
     }
 }
 
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -60,7 +60,7 @@
             let Ok(place) = self.search(id) else {
                 continue;
             };
-            let job = self.jobs.quiet_mut(place);
+            let job = self.jobs.get_mut_untracked(place);
             if !job.is_dirty {
                 continue;
             }
@@ -84,7 +84,7 @@
     pub fn committed(&mut self, batch: Batch, now: Now) -> Vec<Effect> {
         for (id, state) in batch.visible_states {
             if let Ok(place) = self.search(id) {
-                let job = self.jobs.quiet_mut(place);
+                let job = self.jobs.get_mut_untracked(place);
                 job.visible_state = Some(state);
                 if state.is_final() && !job.has_attempts() && !job.is_dirty {
                     self.drop_job_details(place);
@@ -115,7 +115,7 @@
     fn release_start(&mut self, mut order: StartOrder, now: Now) -> Option<Effect> {
         let place = self.search(order.task.job).ok()?;
         let account = self.jobs[place].account_number;
-        let task = self.jobs.quiet_mut(place).task_mut(&order.task)?;
+        let task = self.jobs.get_mut_untracked(place).task_mut(&order.task)?;
         let attempt = task
             .attempts
             .iter_mut()
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -17,7 +17,7 @@
         job_table::JobTable,
         log_event::LogEvent,
         open_steps::OpenSteps,
-        order_rate::OrderRate,
+        order_rate::OrderRateLimiter,
         quota::{AccountNumber, QuotaTracker},
         state::Job,
         stored::{Record, progress_deletion, spec_deletion},
@@ -104,7 +104,7 @@
     pub(crate) unanswered_runs: Vec<(TaskRef, u32)>,
     /// VMs sorted by name.
     pub(crate) vms: Vec<Vm>,
-    pub(crate) vm_order_rate: OrderRate,
+    pub(crate) vm_order_rate: OrderRateLimiter,
     /// VMs for which an earlier owner ordered something lately, sorted by name.
     pub(crate) vm_cooldowns: Vec<VmCooldown>,
     /// Waves sorted by number.
@@ -150,7 +150,7 @@
             unstored_ends: Vec::new(),
             unanswered_runs: Vec::new(),
             vms: Vec::new(),
-            vm_order_rate: OrderRate::new(settings.vm_orders_per_s),
+            vm_order_rate: OrderRateLimiter::new(settings.vm_orders_per_s),
             vm_cooldowns: Vec::new(),
             waves: Vec::new(),
             pending_effects: Vec::new(),
@@ -212,7 +212,7 @@
                 outcome,
             } => self.stop_answered(endpoint, &task, run, &outcome, now),
             Event::Renewed { endpoint, outcome } => self.renewal_answered(endpoint, outcome, now),
-            Event::Advised { step, answer } => self.advised(&step, answer, now),
+            Event::Advised { step, answer } => self.advice_received(&step, answer, now),
             Event::Paced {
                 endpoint,
                 task,
@@ -498,7 +498,7 @@
             let before_ms = now.steady_ms.saturating_sub(INCARNATION_RETENTION_MS);
             self.endpoints.remove_ended(before_ms);
         }
-        self.forget_advice();
+        self.remove_advice();
         self.vm_order_rate.refill(now);
         self.plan_waves(now);
         self.refresh_open_steps();
--- a/crates/engine/src/job_table.rs
+++ b/crates/engine/src/job_table.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns a job for a change that makes no task wait or run and needs not be stored.
-    pub(crate) fn quiet_mut(&mut self, place: usize) -> &mut Job {
+    pub(crate) fn get_mut_untracked(&mut self, place: usize) -> &mut Job {
         &mut self.rows[place].job
     }
 
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -318,7 +318,7 @@
         clock_ms: u64,
     ) -> Option<bool> {
         let place = self.search(running.task.job).ok()?;
-        let task = self.jobs.quiet_mut(place).task_mut(&running.task)?;
+        let task = self.jobs.get_mut_untracked(place).task_mut(&running.task)?;
         let attempt = task
             .attempts
             .iter_mut()
--- a/crates/engine/src/order_rate.rs
+++ b/crates/engine/src/order_rate.rs
@@ -7,25 +7,25 @@
 const BURST_MS: u64 = 200;
 
 /// Thousandths of an order: the grain in which they are counted.
-const WHOLE: u64 = 1_000;
+const MILLIS_PER_ORDER: u64 = 1_000;
 
 /// Orders for VMs that may be given now.
 ///
 /// What goes beyond the rate is refused by the service, and tells nothing: which order got through was
 /// left to chance, and the VMs whose order did not rested for seconds.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct OrderRate {
+pub(crate) struct OrderRateLimiter {
     per_s: u64,
-    left_millis: u64,
+    available_millis: u64,
     refilled_ms: u64,
 }
 
-impl OrderRate {
+impl OrderRateLimiter {
     /// Creates a rate of so many orders a second, at least one.
     pub(crate) fn new(per_s: u64) -> Self {
         Self {
             per_s: per_s.max(1),
-            left_millis: WHOLE,
+            available_millis: MILLIS_PER_ORDER,
             refilled_ms: 0,
         }
     }
@@ -34,21 +34,21 @@
     pub(crate) fn refill(&mut self, now: Now) {
         let passed_ms = now.steady_ms.saturating_sub(self.refilled_ms);
         self.refilled_ms = now.steady_ms;
-        let most_millis = self.per_s.saturating_mul(BURST_MS).max(WHOLE);
+        let max_millis = self.per_s.saturating_mul(BURST_MS).max(MILLIS_PER_ORDER);
         let added_millis = self.per_s.saturating_mul(passed_ms);
-        self.left_millis = self
-            .left_millis
+        self.available_millis = self
+            .available_millis
             .saturating_add(added_millis)
-            .min(most_millis);
+            .min(max_millis);
     }
 
     /// Tells whether an order may be given.
     pub(crate) fn allows_order(&self) -> bool {
-        self.left_millis >= WHOLE
+        self.available_millis >= MILLIS_PER_ORDER
     }
 
     /// Counts an order.
     pub(crate) fn record_order(&mut self) {
-        self.left_millis = self.left_millis.saturating_sub(WHOLE);
+        self.available_millis = self.available_millis.saturating_sub(MILLIS_PER_ORDER);
     }
 }
--- a/crates/engine/src/pacing.rs
+++ b/crates/engine/src/pacing.rs
@@ -30,13 +30,13 @@
         let Some(worst_percent) = worst_percent else {
             return;
         };
-        let filling: Vec<(TaskRef, u32)> = endpoint
+        let fillers: Vec<(TaskRef, u32)> = endpoint
             .placed_runs
             .iter()
             .filter(|placed| placed.is_filler)
             .map(|placed| (placed.task, placed.run))
             .collect();
-        for (task, run) in filling {
+        for (task, run) in fillers {
             let Ok(place) = self.search(task.job) else {
                 continue;
             };
--- a/crates/engine/src/restore.rs
+++ b/crates/engine/src/restore.rs
@@ -15,21 +15,21 @@
     ///
     /// Returns the keys of records that cannot be read; they are left alone.
     pub fn restore<'a>(&mut self, records: &'a [Record], now: Now) -> Vec<&'a str> {
-        let mut unread = Vec::new();
+        let mut unreadable = Vec::new();
         let mut specs: Vec<(JobId, StoredSpec)> = Vec::new();
         for record in records {
             if let Some(RecordKind::Spec(id)) = record_kind(&record.key) {
                 match decode(&record.value) {
                     Some(spec) => specs.push((id, spec)),
-                    None => unread.push(record.key.as_str()),
+                    None => unreadable.push(record.key.as_str()),
                 }
             }
         }
         specs.sort_unstable_by_key(|(id, _)| *id);
         for record in records {
-            let is_read = match record_kind(&record.key) {
+            let is_readable = match record_kind(&record.key) {
                 Some(RecordKind::Progress(id)) => decode(&record.value)
-                    .is_some_and(|progress| self.restore_one(id, progress, &specs, now)),
+                    .is_some_and(|progress| self.restore_job_record(id, progress, &specs, now)),
                 Some(RecordKind::Wave(wave)) => decode::<StoredWave>(&record.value)
                     .map(|stored| self.restore_wave(wave, stored))
                     .is_some(),
@@ -39,17 +39,17 @@
                 Some(RecordKind::Spec(_)) => true,
                 None => false,
             };
-            if !is_read {
-                unread.push(record.key.as_str());
+            if !is_readable {
+                unreadable.push(record.key.as_str());
             }
         }
         self.ended_jobs.sort_unstable_by_key(|job| job.id);
         self.charge_inherited_runs(now);
         self.is_schedule_due = true;
-        unread
+        unreadable
     }
 
-    fn restore_one(
+    fn restore_job_record(
         &mut self,
         id: JobId,
         progress: StoredProgress,
--- a/crates/engine/src/retries.rs
+++ b/crates/engine/src/retries.rs
@@ -50,7 +50,7 @@
             let Ok(place) = jobs.search(task.job) else {
                 return false;
             };
-            let Some(attempt) = find_attempt(jobs.quiet_mut(place), task, *run) else {
+            let Some(attempt) = find_attempt(jobs.get_mut_untracked(place), task, *run) else {
                 return false;
             };
             if is_retry_due(attempt, now) {
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -224,7 +224,7 @@
         };
         if job.queue.advised {
             let with_room: Vec<EndpointKey> = slots.iter().map(|slot| slot.key).collect();
-            let usable = self.advised_members(&step_ref, &with_room, now);
+            let usable = self.endpoints_with_ticket(&step_ref, &with_room, now);
             slots.retain(|slot| usable.contains(&slot.key));
         }
         let Some(job) = self.jobs.get(step_ref.job) else {
--- a/crates/engine/src/stragglers.rs
+++ b/crates/engine/src/stragglers.rs
@@ -27,7 +27,7 @@
 struct Suspect {
     task: TaskRef,
     run: u32,
-    still_ms: u64,
+    stuck_ms: u64,
     limit_ms: u64,
 }
 
@@ -41,11 +41,11 @@
         let is_all_stuck = !suspects.is_empty()
             && suspects
                 .iter()
-                .all(|suspect| suspect.still_ms >= ALL_STUCK_MS.max(suspect.limit_ms));
+                .all(|suspect| suspect.stuck_ms >= ALL_STUCK_MS.max(suspect.limit_ms));
         let stuck: Vec<(TaskRef, u32)> = suspects
             .iter()
             .filter(|suspect| {
-                is_all_stuck || suspect.still_ms >= ONE_STUCK_MS.max(suspect.limit_ms)
+                is_all_stuck || suspect.stuck_ms >= ONE_STUCK_MS.max(suspect.limit_ms)
             })
             .map(|suspect| (suspect.task, suspect.run))
             .collect();
@@ -80,7 +80,7 @@
                 Some(Suspect {
                     task: placed.task,
                     run: placed.run,
-                    still_ms: clock_ms.saturating_sub(progress_clock_ms),
+                    stuck_ms: clock_ms.saturating_sub(progress_clock_ms),
                     limit_ms: spec.estimated_ms / ESTIMATE_PART,
                 })
             })
--- a/crates/engine/src/timing.rs
+++ b/crates/engine/src/timing.rs
@@ -23,41 +23,42 @@
 #[expect(clippy::struct_field_names, reason = "fields carry their unit")]
 pub(crate) struct Timing {
     /// Time of day at which it could begin, in milliseconds since 1970.
-    begun_ms: u64,
+    started_ms: u64,
     /// Time within which it is on time, in milliseconds.
     objective_ms: u64,
     /// Longest chain of estimated work that is not done, in milliseconds.
-    left_ms: u64,
+    remaining_ms: u64,
 }
 
 impl Timing {
     pub(crate) fn new(job: &Job, occurrence: usize) -> Self {
-        let begun_ms = match job.spec.repeat_count {
+        let started_ms = match job.spec.repeat_count {
             0 => job.accepted_ms,
             _ => job.spec.due_ms(job.occurrences[occurrence].number),
         };
         Self {
-            begun_ms,
+            started_ms,
             objective_ms: objective_ms(job),
-            left_ms: remaining_chain_ms(job, occurrence),
+            remaining_ms: remaining_critical_path_ms(job, occurrence),
         }
     }
 
-    fn passed_ms(&self, now: Now) -> u64 {
-        now.wall_ms.saturating_sub(self.begun_ms)
+    fn elapsed_ms(&self, now: Now) -> u64 {
+        now.wall_ms.saturating_sub(self.started_ms)
     }
 
     /// Returns how long the occurrence may wait and still be on time, in milliseconds; negative when
     /// it cannot be on time any more.
     pub(crate) fn slack_ms(&self, now: Now) -> i64 {
-        signed(self.objective_ms) - signed(self.passed_ms(now)) - signed(self.left_ms)
+        to_i64(self.objective_ms) - to_i64(self.elapsed_ms(now)) - to_i64(self.remaining_ms)
     }
 
     /// Returns how urgent its tasks are that come to an end.
     pub(crate) fn urgency(&self, now: Now) -> Urgency {
         if self.slack_ms(now) >= 0 {
             Urgency::OnTime
-        } else if lossy(self.passed_ms(now) + self.left_ms) < LATE_FACTOR * lossy(self.objective_ms)
+        } else if to_f64(self.elapsed_ms(now) + self.remaining_ms)
+            < LATE_FACTOR * to_f64(self.objective_ms)
         {
             Urgency::Late
         } else {
@@ -68,7 +69,7 @@
 
 /// Returns the time within which a job is on time, in milliseconds.
 fn objective_ms(job: &Job) -> u64 {
-    let stretched = job.queue.stretch.max(1.0) * lossy(job.spec.critical_path_ms());
+    let stretched = job.queue.stretch.max(1.0) * to_f64(job.spec.critical_path_ms());
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -79,7 +80,7 @@
 }
 
 /// Returns the longest chain of estimated work that is not done, in milliseconds.
-fn remaining_chain_ms(job: &Job, occurrence: usize) -> u64 {
+fn remaining_critical_path_ms(job: &Job, occurrence: usize) -> u64 {
     let steps = &job.occurrences[occurrence].steps;
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for (step, spec) in steps.iter().zip(&job.spec.steps) {
@@ -98,10 +99,10 @@
     clippy::cast_precision_loss,
     reason = "milliseconds of a day fit exactly"
 )]
-fn lossy(ms: u64) -> f64 {
+fn to_f64(ms: u64) -> f64 {
     ms as f64
 }
 
-fn signed(ms: u64) -> i64 {
+fn to_i64(ms: u64) -> i64 {
     i64::try_from(ms).unwrap_or(i64::MAX)
 }
