--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -131,7 +131,7 @@
         let mut keys: Vec<(KeyDigest, u32)> = accounts
             .iter()
             .zip(0_u32..)
-            .flat_map(|(account, place)| account.keys.iter().map(move |&key| (key, place)))
+            .flat_map(|(account, index)| account.keys.iter().map(move |&key| (key, index)))
             .collect();
         keys.sort_unstable();
         keys.dedup_by_key(|(key, _)| *key);
@@ -160,18 +160,18 @@
     /// Returns the account that a key stands for.
     #[must_use]
     pub fn holder_of(&self, key: &KeyDigest) -> Option<&ClientAccount> {
-        let place = self.keys.binary_search_by_key(key, |(known, _)| *known);
-        let (_, account) = self.keys[place.ok()?];
+        let index = self.keys.binary_search_by_key(key, |(known, _)| *known);
+        let (_, account) = self.keys[index.ok()?];
         self.accounts.get(usize::try_from(account).ok()?)
     }
 
     /// Returns the account with a name.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<&ClientAccount> {
-        let place = self
+        let index = self
             .accounts
             .binary_search_by(|account| account.name.as_str().cmp(name));
-        place.ok().map(|place| &self.accounts[place])
+        index.ok().map(|index| &self.accounts[index])
     }
 
     /// Returns the accounts, sorted by name.
--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -65,13 +65,13 @@
 }
 
 impl Engine {
-    fn advice_place(&mut self, step: &TaskRef) -> usize {
+    fn advice_index(&mut self, step: &TaskRef) -> usize {
         let step = TaskRef { index: 0, ..*step };
         match self.advice.binary_search_by_key(&step, |known| known.step) {
-            Ok(place) => place,
-            Err(place) => {
-                self.advice.insert(place, StepAdvice::new(step));
-                place
+            Ok(index) => index,
+            Err(index) => {
+                self.advice.insert(index, StepAdvice::new(step));
+                index
             }
         }
     }
@@ -83,8 +83,8 @@
         members: &[EndpointKey],
         now: Now,
     ) -> Vec<EndpointKey> {
-        let place = self.advice_place(step);
-        let advice = &mut self.advice[place];
+        let index = self.advice_index(step);
+        let advice = &mut self.advice[index];
         let usable: Vec<EndpointKey> = members
             .iter()
             .copied()
@@ -110,10 +110,10 @@
     /// Returns the ticket for a start; empty where none is needed.
     pub(crate) fn ticket_for(&self, task: &TaskRef, key: EndpointKey, now: Now) -> CompactString {
         let step = TaskRef { index: 0, ..*task };
-        let place = self.advice.binary_search_by_key(&step, |known| known.step);
-        place
+        let index = self.advice.binary_search_by_key(&step, |known| known.step);
+        index
             .ok()
-            .and_then(|place| self.advice[place].ticket(key, now))
+            .and_then(|index| self.advice[index].ticket(key, now))
             .cloned()
             .unwrap_or_default()
     }
@@ -126,9 +126,9 @@
         answer: Option<(Vec<Ticket>, u64)>,
         now: Now,
     ) {
-        let place = self.advice_place(step);
+        let index = self.advice_index(step);
         let endpoints = &self.endpoints;
-        let advice = &mut self.advice[place];
+        let advice = &mut self.advice[index];
         let requested = std::mem::take(&mut advice.requested);
         let Some((tickets, valid_ms)) = answer else {
             advice.next_request_ms = now.steady_ms + REQUEST_RETRY_MS;
@@ -149,8 +149,8 @@
 
     /// Forgets a ticket that an endpoint did not take.
     pub(crate) fn ticket_refused(&mut self, task: &TaskRef, key: EndpointKey) {
-        let place = self.advice_place(task);
-        self.advice[place]
+        let index = self.advice_index(task);
+        self.advice[index]
             .tickets
             .retain(|(known, _, _)| *known != key);
     }
--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -89,8 +89,8 @@
             }
             jobs += 1;
             match works.binary_search_by_key(&arrival.account, |(account, _)| *account) {
-                Ok(place) => works[place].1.add(&arrival.work),
-                Err(place) => works.insert(place, (arrival.account, arrival.work)),
+                Ok(index) => works[index].1.add(&arrival.work),
+                Err(index) => works.insert(index, (arrival.account, arrival.work)),
             }
         }
         if jobs < 2 {
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -32,10 +32,10 @@
 impl Engine {
     /// Stops a run; one whose order has not gone out is simply forgotten.
     pub(crate) fn stop_run(&mut self, task: &TaskRef, run: u32, now: Now) {
-        let Ok(place) = self.search(task.job) else {
+        let Ok(index) = self.search(task.job) else {
             return;
         };
-        let Some(attempt) = find_attempt(&mut self.jobs[place], task, run) else {
+        let Some(attempt) = find_attempt(&mut self.jobs[index], task, run) else {
             return;
         };
         if attempt.phase == Phase::Placed {
@@ -48,7 +48,7 @@
         attempt.is_stopping = true;
         attempt.retry_at_ms = now.steady_ms + ORDER_RETRY_MS;
         let endpoint = attempt.endpoint;
-        self.jobs[place].is_dirty = true;
+        self.jobs[index].is_dirty = true;
         self.pending_effects.push(Effect::Stop {
             endpoint,
             task: *task,
@@ -58,10 +58,10 @@
 
     /// Forgets a run that is over or never was, and gives its room back.
     pub(crate) fn remove_attempt(&mut self, task: &TaskRef, run: u32, end: RunEnd, now: Now) {
-        let Ok(place) = self.search(task.job) else {
+        let Ok(index) = self.search(task.job) else {
             return;
         };
-        let job = &mut self.jobs[place];
+        let job = &mut self.jobs[index];
         let Some(known) = job.task_mut(task) else {
             return;
         };
@@ -83,12 +83,12 @@
             after_ms: now.steady_ms.saturating_sub(attempt.decided_at_ms),
         });
         self.is_schedule_due = true;
-        self.stop_gang(place, task, run, now);
+        self.stop_gang(index, task, run, now);
     }
 
     /// Stops the other members of a gang of which one has ended before it was done.
-    fn stop_gang(&mut self, place: usize, task: &TaskRef, run: u32, now: Now) {
-        let job = &self.jobs[place];
+    fn stop_gang(&mut self, index: usize, task: &TaskRef, run: u32, now: Now) {
+        let job = &self.jobs[index];
         let is_gang = job.step_spec(task).is_some_and(|spec| spec.gang);
         let is_done = job.task(task).is_some_and(|task| task.is_done);
         if !is_gang || is_done {
@@ -160,10 +160,10 @@
     /// A start that was not sent may have lacked the payload, as the node that kept it is gone. The
     /// endpoint is blamed only when it cannot be reached with the payload at hand.
     fn forget_origin(&mut self, task: &TaskRef) -> bool {
-        let Ok(place) = self.search(task.job) else {
+        let Ok(index) = self.search(task.job) else {
             return false;
         };
-        self.jobs.get_mut_untracked(place).origin.take().is_some()
+        self.jobs.get_mut_untracked(index).origin.take().is_some()
     }
 
     fn start_refusal_cooldown(&mut self, key: EndpointKey, refusal: Refusal, now: Now) {
@@ -176,8 +176,8 @@
     }
 
     fn delay_task(&mut self, task: &TaskRef, until_ms: u64) {
-        if let Ok(place) = self.search(task.job)
-            && let Some(known) = self.jobs[place].task_mut(task)
+        if let Ok(index) = self.search(task.job)
+            && let Some(known) = self.jobs[index].task_mut(task)
         {
             known.not_before_ms = until_ms;
         }
@@ -201,10 +201,10 @@
     /// Records that an endpoint has a run.
     pub(crate) fn confirm(&mut self, key: EndpointKey, task: &TaskRef, run: u32, now: Now) {
         let renewals = self.endpoints.get(key).renewals;
-        let Ok(place) = self.search(task.job) else {
+        let Ok(index) = self.search(task.job) else {
             return;
         };
-        let job = self.jobs.get_mut_untracked(place);
+        let job = self.jobs.get_mut_untracked(index);
         let Some(attempt) = find_attempt(job, task, run) else {
             return;
         };
@@ -263,10 +263,10 @@
 
     /// Records the end of a run.
     pub(crate) fn run_ended(&mut self, key: EndpointKey, ended: &EndedTask, now: Now) {
-        let Ok(place) = self.search(ended.task.job) else {
+        let Ok(index) = self.search(ended.task.job) else {
             return;
         };
-        let job = &mut self.jobs[place];
+        let job = &mut self.jobs[index];
         let Some(task) = job.task_mut(&ended.task) else {
             return;
         };
@@ -277,15 +277,15 @@
         match ended.kind {
             EndKind::Done => {
                 self.endpoints.get_mut(key).failed_runs = 0;
-                self.run_done(place, &ended.task, ended.run, now);
+                self.run_done(index, &ended.task, ended.run, now);
             }
-            EndKind::Failed if is_known => self.run_failed(place, key, ended, now),
+            EndKind::Failed if is_known => self.run_failed(index, key, ended, now),
             kind => self.remove_attempt(&ended.task, ended.run, RunEnd::Reported(kind), now),
         }
     }
 
-    fn run_done(&mut self, place: usize, task_ref: &TaskRef, run: u32, now: Now) {
-        let job = &mut self.jobs[place];
+    fn run_done(&mut self, index: usize, task_ref: &TaskRef, run: u32, now: Now) {
+        let job = &mut self.jobs[index];
         job.is_dirty = true;
         let Some(spec) = job.step_spec(task_ref) else {
             return;
@@ -305,14 +305,14 @@
             vec![*task_ref]
         };
         for member in &names {
-            if let Some(task) = self.jobs[place].task_mut(member) {
+            if let Some(task) = self.jobs[index].task_mut(member) {
                 task.is_done = true;
                 task.checkpoint = CompactString::default();
             }
         }
         self.remove_attempt(task_ref, run, RunEnd::Reported(EndKind::Done), now);
         for member in &names {
-            let runs: Vec<u32> = self.jobs[place]
+            let runs: Vec<u32> = self.jobs[index]
                 .task(member)
                 .map(|task| task.attempts.iter().map(|attempt| attempt.run).collect())
                 .unwrap_or_default();
@@ -321,12 +321,12 @@
             }
         }
         self.is_schedule_due = true;
-        self.complete_job_if_done(place, now);
+        self.complete_job_if_done(index, now);
     }
 
     /// Completes a job when every task is done.
-    fn complete_job_if_done(&mut self, place: usize, now: Now) {
-        let job = &mut self.jobs[place];
+    fn complete_job_if_done(&mut self, index: usize, now: Now) {
+        let job = &mut self.jobs[index];
         if job.drop_done_occurrences() && !job.state.is_final() {
             job.state = JobState::Completed;
             job.is_dirty = true;
@@ -339,7 +339,7 @@
         }
     }
 
-    fn run_failed(&mut self, place: usize, key: EndpointKey, ended: &EndedTask, now: Now) {
+    fn run_failed(&mut self, index: usize, key: EndpointKey, ended: &EndedTask, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         endpoint.failed_runs += 1;
         let cooldown_ms = if endpoint.failed_runs >= LONG_COOLDOWN_AFTER_FAILURES {
@@ -348,8 +348,8 @@
             FIRST_COOLDOWN_MS
         };
         endpoint.cooldown_until_ms = endpoint.cooldown_until_ms.max(now.steady_ms + cooldown_ms);
-        let max_attempts = self.jobs[place].queue.max_attempts;
-        let job = &mut self.jobs[place];
+        let max_attempts = self.jobs[index].queue.max_attempts;
+        let job = &mut self.jobs[index];
         let is_long_running = job
             .step_spec(&ended.task)
             .is_some_and(|spec| spec.long_running);
@@ -365,8 +365,8 @@
             RunEnd::Reported(EndKind::Failed),
             now,
         );
-        if has_exhausted_attempts && !self.jobs[place].state.is_final() {
-            self.end_job(place, JobState::Failed, now);
+        if has_exhausted_attempts && !self.jobs[index].state.is_final() {
+            self.end_job(index, JobState::Failed, now);
         }
     }
 }
@@ -379,12 +379,12 @@
     /// that is away draws this out for seconds, in which others of the step may have gone; the
     /// decision is taken back then.
     pub(crate) fn stop_committed(&mut self, task: &TaskRef, run: u32) -> bool {
-        let Ok(place) = self.search(task.job) else {
+        let Ok(index) = self.search(task.job) else {
             return false;
         };
-        let is_required = self.jobs[place].state.is_final() || self.is_leaving(task, run);
+        let is_required = self.jobs[index].state.is_final() || self.is_leaving(task, run);
         let may_stop = is_required || self.can_interrupt(task);
-        let job = &mut self.jobs[place];
+        let job = &mut self.jobs[index];
         let Some(attempt) = find_attempt(job, task, run) else {
             return false;
         };
@@ -413,8 +413,8 @@
 
     /// Returns a run of a task for a change that needs not be stored.
     fn attempt_mut(&mut self, task: &TaskRef, run: u32) -> Option<&mut Attempt> {
-        let place = self.search(task.job).ok()?;
-        find_attempt(self.jobs.get_mut_untracked(place), task, run)
+        let index = self.search(task.job).ok()?;
+        find_attempt(self.jobs.get_mut_untracked(index), task, run)
     }
 }
 
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -57,10 +57,10 @@
         ids.sort_unstable();
         ids.dedup();
         for id in ids {
-            let Ok(place) = self.search(id) else {
+            let Ok(index) = self.search(id) else {
                 continue;
             };
-            let job = self.jobs.get_mut_untracked(place);
+            let job = self.jobs.get_mut_untracked(index);
             if !job.is_dirty {
                 continue;
             }
@@ -83,11 +83,11 @@
     /// Records that a batch is stored, and returns what it releases.
     pub fn committed(&mut self, batch: Batch, now: Now) -> Vec<Effect> {
         for (id, state) in batch.visible_states {
-            if let Ok(place) = self.search(id) {
-                let job = self.jobs.get_mut_untracked(place);
+            if let Ok(index) = self.search(id) {
+                let job = self.jobs.get_mut_untracked(index);
                 job.visible_state = Some(state);
                 if state.is_final() && !job.has_attempts() && !job.is_dirty {
-                    self.drop_job_details(place);
+                    self.drop_job_details(index);
                 }
             }
         }
@@ -113,9 +113,9 @@
     /// A start whose run was given up in the meantime was never sent, and so never will be. One whose
     /// account's quota was cut in the meantime is given up here.
     fn release_start(&mut self, mut order: StartOrder, now: Now) -> Option<Effect> {
-        let place = self.search(order.task.job).ok()?;
-        let account = self.jobs[place].account_number;
-        let task = self.jobs.get_mut_untracked(place).task_mut(&order.task)?;
+        let index = self.search(order.task.job).ok()?;
+        let account = self.jobs[index].account_number;
+        let task = self.jobs.get_mut_untracked(index).task_mut(&order.task)?;
         let attempt = task
             .attempts
             .iter_mut()
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -98,9 +98,9 @@
     /// Returns a pool.
     #[must_use]
     pub fn pool(&self, name: &str) -> Option<&Pool> {
-        let place = self
+        let index = self
             .pools
             .binary_search_by(|pool| pool.name.as_str().cmp(name));
-        place.ok().map(|place| &self.pools[place])
+        index.ok().map(|index| &self.pools[index])
     }
 }
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -145,12 +145,12 @@
         }
         for kind in VmFeature::of_step(spec) {
             let counted = kind.counted(&charged);
-            let place = self.features.iter().position(|(known, _)| *known == kind);
-            let place = place.unwrap_or_else(|| {
+            let index = self.features.iter().position(|(known, _)| *known == kind);
+            let index = index.unwrap_or_else(|| {
                 self.features.push((kind, Balance::new(vm)));
                 self.features.len() - 1
             });
-            let balance = &mut self.features[place].1;
+            let balance = &mut self.features[index].1;
             balance.need_members(spec);
             balance.add_work(spec, &counted, work_ms, waiting);
         }
@@ -158,7 +158,7 @@
 }
 
 /// Returns the place of a pool among the loads, which are sorted by name.
-pub(crate) fn load_place(loads: &[PoolLoad], pool: &str) -> Option<usize> {
+pub(crate) fn load_index(loads: &[PoolLoad], pool: &str) -> Option<usize> {
     loads
         .binary_search_by(|load| load.name.as_str().cmp(pool))
         .ok()
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Shortage {
     /// Place of the pool.
-    pub(crate) place: usize,
+    pub(crate) pool_index: usize,
     /// What the VM has to have.
     pub(crate) required: Option<VmFeature>,
 }
@@ -188,22 +188,25 @@
     loads: &[PoolLoad],
     unmet: &[(usize, VmFeature)],
 ) -> Option<Shortage> {
-    let missing = |place: usize| {
-        let load = &loads[place];
+    let missing = |index: usize| {
+        let load = &loads[index];
         let special = load
             .missing_feature()
-            .filter(|(kind, _)| !unmet.contains(&(place, (*kind).clone())));
+            .filter(|(kind, _)| !unmet.contains(&(index, (*kind).clone())));
         match special {
             Some((kind, cpu)) if cpu >= load.room.missing() => (cpu, Some(kind.clone())),
             _ => (load.room.missing(), None),
         }
     };
     (0..loads.len())
-        .filter(|&place| !loads[place].is_standby)
-        .map(|place| (place, missing(place)))
+        .filter(|&index| !loads[index].is_standby)
+        .map(|index| (index, missing(index)))
         .filter(|(_, (missing, _))| *missing > 0)
         .max_by_key(|(_, (missing, _))| *missing)
-        .map(|(place, (_, required))| Shortage { place, required })
+        .map(|(pool_index, (_, required))| Shortage {
+            pool_index,
+            required,
+        })
 }
 
 impl Engine {
@@ -234,8 +237,8 @@
                 (None, VmState::Moving) => &vm.entry.pool,
                 _ => continue,
             };
-            if let Some(place) = load_place(&loads, target) {
-                loads[place].add_arriving_vm(vm);
+            if let Some(index) = load_index(&loads, target) {
+                loads[index].add_arriving_vm(vm);
             }
         }
         loads
@@ -249,13 +252,13 @@
 
     fn add_endpoints(&self, loads: &mut [PoolLoad], now: Now) {
         for (_, endpoint) in self.endpoints.iter() {
-            let Some(place) = load_place(loads, &endpoint.pool) else {
+            let Some(index) = load_index(loads, &endpoint.pool) else {
                 continue;
             };
             if endpoint.has_ended {
                 continue;
             }
-            let load = &mut loads[place];
+            let load = &mut loads[index];
             let takes_starts = endpoint.takes_starts(now.steady_ms);
             load.room.used.add(&endpoint.used);
             load.room.used_long_running.add(&endpoint.used_long_running);
@@ -286,13 +289,13 @@
             let Some(job) = self.jobs.get(step.first_task.job) else {
                 continue;
             };
-            let place = load_place(loads, &job.queue.pool);
-            if let Some((place, spec)) = place.zip(job.step_spec(&step.first_task)) {
+            let index = load_index(loads, &job.queue.pool);
+            if let Some((index, spec)) = index.zip(job.step_spec(&step.first_task)) {
                 let waiting = Waiting {
                     count: remaining.take(step.account, &step.quota_room, step.waiting),
                     is_late: step.waiting > 0 && step.is_late(now),
                 };
-                loads[place].add_step(spec, waiting, vm);
+                loads[index].add_step(spec, waiting, vm);
             }
         }
     }
--- a/crates/engine/src/endpoint_locations.rs
+++ b/crates/engine/src/endpoint_locations.rs
@@ -12,27 +12,27 @@
 impl EndpointLocations {
     /// Takes in that a life is on another VM than before; an empty name stands for none.
     pub(crate) fn change_vm(&mut self, key: EndpointKey, from: &str, to: &CompactString) {
-        if let Ok(place) = self.vm_place(from, key) {
-            self.by_vm.remove(place);
+        if let Ok(index) = self.vm_index(from, key) {
+            self.by_vm.remove(index);
         }
         if !to.is_empty()
-            && let Err(place) = self.vm_place(to, key)
+            && let Err(index) = self.vm_index(to, key)
         {
-            self.by_vm.insert(place, (to.clone(), key));
+            self.by_vm.insert(index, (to.clone(), key));
         }
     }
 
     /// Takes in that a life is at another address than before.
     pub(crate) fn change_address(&mut self, key: EndpointKey, from: SocketAddr, to: SocketAddr) {
-        if let Ok(place) = self.by_address.binary_search(&(from, key)) {
-            self.by_address.remove(place);
+        if let Ok(index) = self.by_address.binary_search(&(from, key)) {
+            self.by_address.remove(index);
         }
-        if let Err(place) = self.by_address.binary_search(&(to, key)) {
-            self.by_address.insert(place, (to, key));
+        if let Err(index) = self.by_address.binary_search(&(to, key)) {
+            self.by_address.insert(index, (to, key));
         }
     }
 
-    fn vm_place(&self, vm: &str, key: EndpointKey) -> Result<usize, usize> {
+    fn vm_index(&self, vm: &str, key: EndpointKey) -> Result<usize, usize> {
         self.by_vm
             .binary_search_by(|(known, other)| (known.as_str(), *other).cmp(&(vm, key)))
     }
--- a/crates/engine/src/endpoint_table.rs
+++ b/crates/engine/src/endpoint_table.rs
@@ -46,16 +46,16 @@
     /// Returns an endpoint.
     #[must_use]
     pub fn get(&self, key: EndpointKey) -> &Endpoint {
-        match self.place(key) {
-            Ok(place) => &self.incarnations[place],
+        match self.search_key(key) {
+            Ok(index) => &self.incarnations[index],
             Err(_) => &self.forgotten,
         }
     }
 
     /// Returns an endpoint to change; changes of a forgotten one are lost.
     pub fn get_mut(&mut self, key: EndpointKey) -> &mut Endpoint {
-        if let Ok(place) = self.place(key) {
-            let incarnation = &mut self.incarnations[place];
+        if let Ok(index) = self.search_key(key) {
+            let incarnation = &mut self.incarnations[index];
             if !incarnation.is_changed {
                 incarnation.is_changed = true;
                 self.changed.push(key);
@@ -66,7 +66,7 @@
         &mut self.forgotten
     }
 
-    fn place(&self, key: EndpointKey) -> Result<usize, usize> {
+    fn search_key(&self, key: EndpointKey) -> Result<usize, usize> {
         self.keys.binary_search(&key)
     }
 
@@ -74,8 +74,8 @@
     pub(crate) fn take_changed(&mut self) -> Vec<EndpointKey> {
         let changed = std::mem::take(&mut self.changed);
         for &key in &changed {
-            if let Ok(place) = self.place(key) {
-                self.incarnations[place].is_changed = false;
+            if let Ok(index) = self.search_key(key) {
+                self.incarnations[index].is_changed = false;
             }
         }
         changed
@@ -92,18 +92,18 @@
 
     /// Takes in at which address a life is.
     pub(crate) fn set_address(&mut self, key: EndpointKey, address: SocketAddr) {
-        if let Ok(place) = self.place(key) {
-            let known = std::mem::replace(&mut self.incarnations[place].address, address);
+        if let Ok(index) = self.search_key(key) {
+            let known = std::mem::replace(&mut self.incarnations[index].address, address);
             self.locations.change_address(key, known, address);
         }
     }
 
     /// Takes in on which VM a life is.
     pub(crate) fn set_vm(&mut self, key: EndpointKey, vm: &CompactString) {
-        if let Ok(place) = self.place(key)
-            && self.incarnations[place].vm != *vm
+        if let Ok(index) = self.search_key(key)
+            && self.incarnations[index].vm != *vm
         {
-            let known = std::mem::replace(&mut self.incarnations[place].vm, vm.clone());
+            let known = std::mem::replace(&mut self.incarnations[index].vm, vm.clone());
             self.locations.change_vm(key, &known, vm);
         }
     }
@@ -154,7 +154,7 @@
         self.locations.retain(is_known);
     }
 
-    fn search(&self, id: &str) -> Result<usize, usize> {
+    fn search_id(&self, id: &str) -> Result<usize, usize> {
         self.by_id
             .binary_search_by(|&key| self.get(key).id.as_str().cmp(id))
     }
@@ -162,20 +162,20 @@
     /// Returns the key of an id.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<EndpointKey> {
-        self.search(id).ok().map(|place| self.by_id[place])
+        self.search_id(id).ok().map(|index| self.by_id[index])
     }
 
     /// Returns the key of an id, and adds the endpoint when it is new.
     pub fn find_or_insert(&mut self, id: &CompactString, now_ms: u64) -> EndpointKey {
-        match self.search(id) {
-            Ok(place) => self.by_id[place],
-            Err(place) => {
+        match self.search_id(id) {
+            Ok(index) => self.by_id[index],
+            Err(index) => {
                 let key = self.next_key;
                 self.next_key += 1;
                 self.incarnations
                     .push(Endpoint::new(key, id.clone(), now_ms));
                 self.keys.push(key);
-                self.by_id.insert(place, key);
+                self.by_id.insert(index, key);
                 key
             }
         }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -318,12 +318,12 @@
 
     /// Gives a run's room back.
     pub fn remove_run(&mut self, task: &TaskRef, run: u32, now_ms: u64) {
-        let place = self
+        let index = self
             .placed_runs
             .iter()
             .position(|placed| placed.task == *task && placed.run == run);
-        if let Some(place) = place {
-            let placed = self.placed_runs.swap_remove(place);
+        if let Some(index) = index {
+            let placed = self.placed_runs.swap_remove(index);
             self.used = self.used.saturating_sub(&placed.room);
             if placed.is_long_running {
                 self.used_long_running = self.used_long_running.saturating_sub(&placed.room);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -246,8 +246,8 @@
             .map(|job| job.id)
             .collect();
         for id in unsent {
-            if let Ok(place) = self.search(id) {
-                let job = self.jobs.remove(place);
+            if let Ok(index) = self.search(id) {
+                let job = self.jobs.remove(index);
                 self.quotas.remove_job(job.account_number);
                 self.refuse(&job.waiting_callers);
             }
@@ -270,8 +270,8 @@
             return self.reply_immediately(token, CallerAnswer::OtherAccount);
         }
         match self.search(id) {
-            Ok(place) => {
-                let known = &mut self.jobs[place];
+            Ok(index) => {
+                let known = &mut self.jobs[index];
                 if known.visible_state.is_some() {
                     self.reply_immediately(token, CallerAnswer::Accepted);
                 } else {
@@ -302,9 +302,9 @@
         job.account_number = self.quotas.number(&job.account);
         self.quotas.add_job(job.account_number);
         if job.has_future_occurrences()
-            && let Err(place) = self.scheduled_jobs.binary_search(&job.id)
+            && let Err(index) = self.scheduled_jobs.binary_search(&job.id)
         {
-            self.scheduled_jobs.insert(place, job.id);
+            self.scheduled_jobs.insert(index, job.id);
         }
         self.jobs.add(job);
     }
@@ -325,7 +325,7 @@
     #[must_use]
     pub fn can_access(&self, id: JobId, account: &str) -> bool {
         let holder = match self.search(id) {
-            Ok(place) => Some(&self.jobs[place].account),
+            Ok(index) => Some(&self.jobs[index].account),
             Err(_) => self.find_ended_job(id).map(|job| &job.account),
         };
         holder.is_none_or(|holder| holder.is_empty() || holder == account)
@@ -334,9 +334,9 @@
     fn cancel(&mut self, id: JobId, account: &str, token: ReplyToken, now: Now) {
         if !self.can_access(id, account) {
             self.reply_immediately(token, CallerAnswer::OtherAccount);
-        } else if let Ok(place) = self.search(id) {
-            if !self.jobs[place].state.is_final() {
-                self.end_job(place, JobState::Cancelled, now);
+        } else if let Ok(index) = self.search(id) {
+            if !self.jobs[index].state.is_final() {
+                self.end_job(index, JobState::Cancelled, now);
             }
             // The answer waits for the batch, as the end may not be stored yet.
             self.pending_effects.push(Effect::Reply {
@@ -351,8 +351,8 @@
     }
 
     /// Ends a job and stops what still runs of it.
-    pub(crate) fn end_job(&mut self, place: usize, state: JobState, now: Now) {
-        let job = &mut self.jobs[place];
+    pub(crate) fn end_job(&mut self, index: usize, state: JobState, now: Now) {
+        let job = &mut self.jobs[index];
         job.state = state;
         job.is_dirty = true;
         job.ended_ms = now.steady_ms;
@@ -386,8 +386,8 @@
         if config.version < self.config.version {
             return;
         }
-        for place in 0..self.jobs.len() {
-            let known = &self.jobs[place].queue;
+        for index in 0..self.jobs.len() {
+            let known = &self.jobs[index].queue;
             let queue = config
                 .queues
                 .iter()
@@ -395,7 +395,7 @@
             if let Some(queue) = queue
                 && *queue != *known
             {
-                let job = &mut self.jobs[place];
+                let job = &mut self.jobs[index];
                 job.queue = queue.clone();
                 // Written again with the next change, so that a later owner starts from it.
                 job.is_spec_stored = false;
@@ -412,15 +412,15 @@
     }
 
     fn find_ended_job(&self, id: JobId) -> Option<&EndedJob> {
-        let place = self.ended_jobs.binary_search_by_key(&id, |job| job.id);
-        place.ok().map(|place| &self.ended_jobs[place])
+        let index = self.ended_jobs.binary_search_by_key(&id, |job| job.id);
+        index.ok().map(|index| &self.ended_jobs[index])
     }
 
     /// Returns what may be told of a job; nothing when no such job is stored.
     #[must_use]
     pub fn job_state(&self, id: JobId) -> Option<JobState> {
         match self.search(id) {
-            Ok(place) => self.jobs[place].visible_state,
+            Ok(index) => self.jobs[index].visible_state,
             Err(_) => self.find_ended_job(id).map(|job| job.state),
         }
     }
@@ -429,7 +429,7 @@
     #[must_use]
     pub fn is_unstored(&self, id: JobId) -> bool {
         self.search(id)
-            .is_ok_and(|place| self.jobs[place].visible_state.is_none())
+            .is_ok_and(|index| self.jobs[index].visible_state.is_none())
     }
 
     /// Counts the jobs of a queue of which no task has started.
@@ -469,11 +469,11 @@
     }
 
     /// Keeps only the state of a job that has ended.
-    pub(crate) fn drop_job_details(&mut self, place: usize) {
-        let job = self.jobs.remove(place);
+    pub(crate) fn drop_job_details(&mut self, index: usize) {
+        let job = self.jobs.remove(index);
         self.quotas.remove_job(job.account_number);
         self.deletions.push(spec_deletion(job.id));
-        if let Err(place) = self
+        if let Err(index) = self
             .ended_jobs
             .binary_search_by_key(&job.id, |ended| ended.id)
         {
@@ -483,7 +483,7 @@
                 account: job.account,
                 at_ms: job.ended_ms,
             };
-            self.ended_jobs.insert(place, ended);
+            self.ended_jobs.insert(index, ended);
         }
     }
 
@@ -510,15 +510,15 @@
 
     fn begin_occurrences(&mut self, now: Now) {
         for at in (0..self.scheduled_jobs.len()).rev() {
-            let Ok(place) = self.search(self.scheduled_jobs[at]) else {
+            let Ok(index) = self.search(self.scheduled_jobs[at]) else {
                 self.scheduled_jobs.remove(at);
                 continue;
             };
-            let known = &self.jobs[place];
+            let known = &self.jobs[index];
             if known.state.is_final() || !known.has_future_occurrences() {
                 self.scheduled_jobs.remove(at);
             } else if known.is_next_occurrence_due(now.wall_ms) {
-                self.jobs[place].begin_due_occurrences(now.wall_ms);
+                self.jobs[index].begin_due_occurrences(now.wall_ms);
             }
         }
     }
--- a/crates/engine/src/free_capacity.rs
+++ b/crates/engine/src/free_capacity.rs
@@ -57,8 +57,8 @@
     /// Takes in that an endpoint takes starts, and how much processor is free there.
     pub(crate) fn set(&mut self, key: EndpointKey, pool: &CompactString, free_cpu_millis: u64) {
         match self.search(key) {
-            Ok(place) => {
-                let entry = self.indexed[place];
+            Ok(index) => {
+                let entry = self.indexed[index];
                 let pool = if self.pools[entry.pool].name == *pool {
                     entry.pool
                 } else {
@@ -68,18 +68,18 @@
                     return;
                 }
                 self.remove_slot(entry);
-                self.indexed[place].pool = pool;
-                self.indexed[place].free_cpu_millis = free_cpu_millis;
+                self.indexed[index].pool = pool;
+                self.indexed[index].free_cpu_millis = free_cpu_millis;
                 self.add_slot(pool, (free_cpu_millis, key));
             }
-            Err(place) => {
+            Err(index) => {
                 let pool = self.pool_number(pool);
                 let entry = Indexed {
                     key,
                     pool,
                     free_cpu_millis,
                 };
-                self.indexed.insert(place, entry);
+                self.indexed.insert(index, entry);
                 self.add_slot(pool, (free_cpu_millis, key));
             }
         }
@@ -87,16 +87,16 @@
 
     /// Takes in that an endpoint takes no starts.
     pub(crate) fn remove(&mut self, key: EndpointKey) {
-        if let Ok(place) = self.search(key) {
-            let entry = self.indexed.remove(place);
+        if let Ok(index) = self.search(key) {
+            let entry = self.indexed.remove(index);
             self.remove_slot(entry);
         }
     }
 
     fn add_slot(&mut self, pool: PoolNumber, slot: FreeSlot) {
         let capacity = &mut self.pools[pool];
-        if let Err(place) = capacity.slots.binary_search(&slot) {
-            capacity.slots.insert(place, slot);
+        if let Err(index) = capacity.slots.binary_search(&slot) {
+            capacity.slots.insert(index, slot);
             capacity.free_cpu_millis += slot.0;
         }
     }
@@ -104,8 +104,8 @@
     fn remove_slot(&mut self, entry: Indexed) {
         let capacity = &mut self.pools[entry.pool];
         let slot = (entry.free_cpu_millis, entry.key);
-        if let Ok(place) = capacity.slots.binary_search(&slot) {
-            capacity.slots.remove(place);
+        if let Ok(index) = capacity.slots.binary_search(&slot) {
+            capacity.slots.remove(index);
             capacity.free_cpu_millis -= slot.0;
         }
     }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -278,14 +278,14 @@
         if self.steps.is_empty() {
             return Some("steps: a job needs one or more");
         }
-        for (place, step) in self.steps.iter().enumerate() {
+        for (index, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
                 return Some("count: a step needs one task or more");
             }
             if step
                 .after
                 .iter()
-                .any(|&before| usize::from(before) >= place)
+                .any(|&before| usize::from(before) >= index)
             {
                 return Some("depends_on: only earlier steps");
             }
--- a/crates/engine/src/job_table.rs
+++ b/crates/engine/src/job_table.rs
@@ -30,8 +30,8 @@
     }
 
     pub(crate) fn get(&self, id: JobId) -> Option<&Job> {
-        let place = self.search(id).ok()?;
-        Some(&self.rows[place].job)
+        let index = self.search(id).ok()?;
+        Some(&self.rows[index].job)
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -44,19 +44,19 @@
 
     /// Adds a job, unless one with its id is known.
     pub(crate) fn add(&mut self, job: Box<Job>) {
-        if let Err(place) = self.search(job.id) {
+        if let Err(index) = self.search(job.id) {
             self.changed.push(job.id);
             let row = Row {
                 id: job.id,
                 job,
                 is_changed: true,
             };
-            self.rows.insert(place, row);
+            self.rows.insert(index, row);
         }
     }
 
-    pub(crate) fn remove(&mut self, place: usize) -> Box<Job> {
-        let row = self.rows.remove(place);
+    pub(crate) fn remove(&mut self, index: usize) -> Box<Job> {
+        let row = self.rows.remove(index);
         if !row.is_changed {
             // Whoever follows changes learns that it is gone.
             self.changed.push(row.id);
@@ -65,16 +65,16 @@
     }
 
     /// Returns a job for a change that makes no task wait or run and needs not be stored.
-    pub(crate) fn get_mut_untracked(&mut self, place: usize) -> &mut Job {
-        &mut self.rows[place].job
+    pub(crate) fn get_mut_untracked(&mut self, index: usize) -> &mut Job {
+        &mut self.rows[index].job
     }
 
     /// Returns the ids of jobs changed since the last time, sorted; some may be gone.
     pub(crate) fn take_changed(&mut self) -> Vec<JobId> {
         let mut changed = std::mem::take(&mut self.changed);
         for id in &changed {
-            if let Ok(place) = self.search(*id) {
-                self.rows[place].is_changed = false;
+            if let Ok(index) = self.search(*id) {
+                self.rows[index].is_changed = false;
             }
         }
         changed.sort_unstable();
@@ -91,14 +91,14 @@
 impl Index<usize> for JobTable {
     type Output = Job;
 
-    fn index(&self, place: usize) -> &Job {
-        &self.rows[place].job
+    fn index(&self, index: usize) -> &Job {
+        &self.rows[index].job
     }
 }
 
 impl IndexMut<usize> for JobTable {
-    fn index_mut(&mut self, place: usize) -> &mut Job {
-        let row = &mut self.rows[place];
+    fn index_mut(&mut self, index: usize) -> &mut Job {
+        let row = &mut self.rows[index];
         if !row.is_changed {
             row.is_changed = true;
             self.changed.push(row.id);
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -317,8 +317,8 @@
         running: &RunningTask,
         clock_ms: u64,
     ) -> Option<bool> {
-        let place = self.search(running.task.job).ok()?;
-        let task = self.jobs.get_mut_untracked(place).task_mut(&running.task)?;
+        let index = self.search(running.task.job).ok()?;
+        let task = self.jobs.get_mut_untracked(index).task_mut(&running.task)?;
         let attempt = task
             .attempts
             .iter_mut()
--- a/crates/engine/src/open_steps.rs
+++ b/crates/engine/src/open_steps.rs
@@ -117,8 +117,8 @@
     }
 
     /// Returns the step at a place in the order of starts; nothing from where no tasks wait on.
-    pub(crate) fn waiting_at(&self, place: usize) -> Option<&OpenStep> {
-        self.steps.get(place).filter(|step| step.waiting > 0)
+    pub(crate) fn waiting_at(&self, index: usize) -> Option<&OpenStep> {
+        self.steps.get(index).filter(|step| step.waiting > 0)
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &OpenStep> {
--- a/crates/engine/src/pacing.rs
+++ b/crates/engine/src/pacing.rs
@@ -37,10 +37,10 @@
             .map(|placed| (placed.task, placed.run))
             .collect();
         for (task, run) in fillers {
-            let Ok(place) = self.search(task.job) else {
+            let Ok(index) = self.search(task.job) else {
                 continue;
             };
-            let Some(attempt) = find_attempt(&mut self.jobs[place], &task, run) else {
+            let Some(attempt) = find_attempt(&mut self.jobs[index], &task, run) else {
                 continue;
             };
             let percent = next_pace(attempt.pace, worst_percent);
@@ -63,8 +63,8 @@
         percent: u8,
         is_done: bool,
     ) {
-        if let Ok(place) = self.search(task.job)
-            && let Some(attempt) = find_attempt(&mut self.jobs[place], task, run)
+        if let Ok(index) = self.search(task.job)
+            && let Some(attempt) = find_attempt(&mut self.jobs[index], task, run)
             && is_done
             && attempt.endpoint == key
         {
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     balance::VmFeature,
-    demand::{PoolLoad, Shortage, largest_shortage, load_place},
+    demand::{PoolLoad, Shortage, largest_shortage, load_index},
     engine::Engine,
     event::{EndpointKey, Now},
     log_event::LogEvent,
@@ -49,12 +49,12 @@
                 let Some(required) = shortage.required else {
                     break;
                 };
-                unmet.push((shortage.place, required));
+                unmet.push((shortage.pool_index, required));
                 continue;
             };
             self.record_departure(loads, vm);
-            loads[shortage.place].add_ordered_vm(&self.vms[vm]);
-            let pool = loads[shortage.place].name.clone();
+            loads[shortage.pool_index].add_ordered_vm(&self.vms[vm]);
+            let pool = loads[shortage.pool_index].name.clone();
             self.order_vm(vm, VmOrder::Move(pool), now);
         }
     }
@@ -74,23 +74,23 @@
 
     fn record_departure(&self, loads: &mut [PoolLoad], vm: usize) {
         let vm = &self.vms[vm];
-        if let Some(place) = load_place(loads, &vm.entry.pool) {
-            loads[place].remove_vm(vm);
+        if let Some(index) = load_index(loads, &vm.entry.pool) {
+            loads[index].remove_vm(vm);
         }
     }
 
     /// Returns the VMs that are free to be ordered elsewhere.
     fn spares(&self, loads: &[PoolLoad], idle: &[(usize, EndpointKey)], now: Now) -> SpareVms {
-        let is_free = |place: &usize| {
-            let vm = &self.vms[*place];
+        let is_free = |index: &usize| {
+            let vm = &self.vms[*index];
             vm.accepts_orders(now) && !self.awaits_maintenance(&vm.entry.name)
         };
-        let is_standby = |place: &usize| {
-            let pool = load_place(loads, &self.vms[*place].entry.pool);
+        let is_standby = |index: &usize| {
+            let pool = load_index(loads, &self.vms[*index].entry.pool);
             pool.is_some_and(|pool| loads[pool].is_standby)
         };
         let standby = (0..self.vms.len()).filter(is_standby).filter(is_free);
-        let idle = idle.iter().map(|(place, _)| *place);
+        let idle = idle.iter().map(|(index, _)| *index);
         SpareVms {
             standby: standby.collect(),
             idle: idle.filter(is_free).collect(),
@@ -104,14 +104,14 @@
         shortage: &Shortage,
         spares: &mut SpareVms,
     ) -> Option<usize> {
-        let load = &loads[shortage.place];
-        let fits = |place: usize| {
-            let vm = &self.vms[place];
+        let load = &loads[shortage.pool_index];
+        let fits = |index: usize| {
+            let vm = &self.vms[index];
             vm.entry.pool != load.name && shortage.is_met_by(vm)
         };
-        let score = |place: usize| load.suitability(&self.vms[place]);
+        let score = |index: usize| load.suitability(&self.vms[index]);
         let score: Option<&dyn Fn(usize) -> u64> = load.requires_features().then_some(&score);
-        spares.take(fits, score, |place| can_leave(loads, &self.vms[place]))
+        spares.take(fits, score, |index| can_leave(loads, &self.vms[index]))
     }
 
     /// Returns the VMs whose endpoint takes starts and runs nothing, in order, with that endpoint.
@@ -124,7 +124,7 @@
             })
             // The last life on a VM counts.
             .filter(|(key, endpoint)| self.endpoints.on_vm(endpoint.vm()) == Some(*key))
-            .filter_map(|(key, endpoint)| Some((self.vm_place(endpoint.vm()).ok()?, key)))
+            .filter_map(|(key, endpoint)| Some((self.vm_index(endpoint.vm()).ok()?, key)))
             .collect();
         idle.sort_unstable();
         idle
@@ -135,8 +135,8 @@
             return;
         };
         let standby = standby.name.clone();
-        for &(place, key) in idle {
-            let vm = &self.vms[place];
+        for &(index, key) in idle {
+            let vm = &self.vms[index];
             if !vm.accepts_orders(now)
                 || vm.entry.pool == standby
                 || !self.vm_order_rate.allows_order()
@@ -146,8 +146,8 @@
             let is_idle_timeout_over =
                 now.steady_ms >= self.endpoints.get(key).empty_since_ms + IDLE_TIMEOUT_MS;
             if is_idle_timeout_over && can_leave(loads, vm) {
-                self.record_departure(loads, place);
-                self.order_vm(place, VmOrder::Move(standby.clone()), now);
+                self.record_departure(loads, index);
+                self.order_vm(index, VmOrder::Move(standby.clone()), now);
             }
         }
     }
@@ -155,5 +155,5 @@
 
 /// Tells whether a VM's pool has more than it wants.
 fn can_leave(loads: &[PoolLoad], vm: &Vm) -> bool {
-    load_place(loads, &vm.entry.pool).is_some_and(|place| loads[place].can_spare(vm))
+    load_index(loads, &vm.entry.pool).is_some_and(|index| loads[index].can_spare(vm))
 }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -78,7 +78,7 @@
 impl RemainingQuotas {
     /// Takes runs of this room as far as the quota lets them start, at most `count`; returns how many.
     pub fn take(&mut self, number: AccountNumber, room: &Resources, count: u64) -> u64 {
-        let left = &mut self.rows[place(number)];
+        let left = &mut self.rows[row_index(number)];
         let taken = left.startable_runs(room).min(count);
         left.take(&room.scaled(taken));
         taken
@@ -161,14 +161,14 @@
             return AccountNumber::default();
         }
         match self.search(name) {
-            Ok(place) => self.by_name[place],
-            Err(place) => {
+            Ok(index) => self.by_name[index],
+            Err(index) => {
                 let number = self.unused.pop().unwrap_or_else(|| {
                     self.rows.push(AccountUse::default());
                     AccountNumber(u32::try_from(self.rows.len() - 1).unwrap_or_default())
                 });
                 self.row_mut(number).name = name.into();
-                self.by_name.insert(place, number);
+                self.by_name.insert(index, number);
                 number
             }
         }
@@ -238,7 +238,7 @@
     ) -> Vec<(AccountNumber, f64)> {
         let mut claims: Vec<Claim> = self.rows.iter().map(AccountUse::claim).collect();
         for &(number, cpu_millis) in waiting {
-            claims[place(number)].wanted += millis(cpu_millis);
+            claims[row_index(number)].wanted += millis(cpu_millis);
         }
         let level = fair_level(&claims, millis(free_cpu_millis));
         (0..)
@@ -277,10 +277,10 @@
     /// Returns what the account with a name has running.
     #[must_use]
     pub fn running_resources(&self, name: &str) -> Resources {
-        let place = self.search(name);
-        place.map_or_else(
+        let index = self.search(name);
+        index.map_or_else(
             |_| Resources::default(),
-            |place| self.running(self.by_name[place]),
+            |index| self.running(self.by_name[index]),
         )
     }
 
@@ -299,19 +299,19 @@
         if number == AccountNumber::default() || !self.row(number).is_unused() {
             return;
         }
-        if let Ok(place) = self.search(&self.row(number).name) {
-            self.by_name.remove(place);
+        if let Ok(index) = self.search(&self.row(number).name) {
+            self.by_name.remove(index);
             *self.row_mut(number) = AccountUse::default();
             self.unused.push(number);
         }
     }
 
     fn row(&self, number: AccountNumber) -> &AccountUse {
-        &self.rows[place(number)]
+        &self.rows[row_index(number)]
     }
 
     fn row_mut(&mut self, number: AccountNumber) -> &mut AccountUse {
-        &mut self.rows[place(number)]
+        &mut self.rows[row_index(number)]
     }
 }
 
@@ -328,6 +328,6 @@
     cpu_millis as f64
 }
 
-fn place(number: AccountNumber) -> usize {
+fn row_index(number: AccountNumber) -> usize {
     usize::try_from(number.0).unwrap_or_default()
 }
--- a/crates/engine/src/restore.rs
+++ b/crates/engine/src/restore.rs
@@ -57,7 +57,7 @@
         now: Now,
     ) -> bool {
         let spec = match specs.binary_search_by_key(&id, |(known, _)| *known) {
-            Ok(place) => Some(specs[place].1.clone()),
+            Ok(index) => Some(specs[index].1.clone()),
             Err(_) => None,
         };
         let Some(spec) = spec else {
--- a/crates/engine/src/retries.rs
+++ b/crates/engine/src/retries.rs
@@ -24,11 +24,11 @@
                     task,
                     run,
                 });
-            } else if let Ok(place) = self.jobs.search(task.job)
-                && !self.quotas.is_exceeded(self.jobs[place].account_number)
+            } else if let Ok(index) = self.jobs.search(task.job)
+                && !self.quotas.is_exceeded(self.jobs[index].account_number)
                 && let Some(deadline_ms) = endpoint.grant_lease(now, self.settings.lease_ms)
             {
-                let mut order = start_order(&self.jobs[place], key, &task, run, deadline_ms);
+                let mut order = start_order(&self.jobs[index], key, &task, run, deadline_ms);
                 order.ticket = self.ticket_for(&task, key, now);
                 self.immediate_effects.push(Effect::Start(Box::new(order)));
             }
@@ -37,8 +37,8 @@
 
     /// Notes that an order for a run may have to be repeated.
     pub(crate) fn track_unanswered(&mut self, task: &TaskRef, run: u32) {
-        if let Err(place) = self.unanswered_runs.binary_search(&(*task, run)) {
-            self.unanswered_runs.insert(place, (*task, run));
+        if let Err(index) = self.unanswered_runs.binary_search(&(*task, run)) {
+            self.unanswered_runs.insert(index, (*task, run));
         }
     }
 
@@ -47,10 +47,10 @@
         let mut due = Vec::new();
         let jobs = &mut self.jobs;
         self.unanswered_runs.retain(|(task, run)| {
-            let Ok(place) = jobs.search(task.job) else {
+            let Ok(index) = jobs.search(task.job) else {
                 return false;
             };
-            let Some(attempt) = find_attempt(jobs.get_mut_untracked(place), task, *run) else {
+            let Some(attempt) = find_attempt(jobs.get_mut_untracked(index), task, *run) else {
                 return false;
             };
             if is_retry_due(attempt, now) {
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -44,9 +44,9 @@
         }
         self.open_steps.sort(now);
         let mut over_share = Vec::new();
-        let mut place = 0;
-        while let Some(step) = self.open_steps.waiting_at(place) {
-            place += 1;
+        let mut index = 0;
+        while let Some(step) = self.open_steps.waiting_at(index) {
+            index += 1;
             if self.has_reached_share(step.account) {
                 over_share.push(step.clone());
             } else if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
@@ -92,10 +92,10 @@
 
     /// Returns the share of an account that floods, in thousandths of a core.
     fn excess_demand_share(&self, account: AccountNumber) -> Option<f64> {
-        let place = self
+        let index = self
             .excess_demand
             .binary_search_by_key(&account, |(known, _)| *known);
-        place.ok().map(|place| self.excess_demand[place].1)
+        index.ok().map(|index| self.excess_demand[index].1)
     }
 
     /// Tells whether an account floods and has its share.
@@ -166,8 +166,8 @@
             }
             let cooldown = (endpoint.cooldown_until_ms, key);
             let is_cooling_down = !endpoint.has_ended && endpoint.cooldown_until_ms > now.steady_ms;
-            if is_cooling_down && let Err(place) = self.cooling_endpoints.binary_search(&cooldown) {
-                self.cooling_endpoints.insert(place, cooldown);
+            if is_cooling_down && let Err(index) = self.cooling_endpoints.binary_search(&cooldown) {
+                self.cooling_endpoints.insert(index, cooldown);
             }
             self.free_capacity.remove(key);
         }
@@ -258,10 +258,10 @@
         gang_run: Option<u32>,
         now: Now,
     ) {
-        let Ok(place) = self.jobs.search(task.job) else {
+        let Ok(index) = self.jobs.search(task.job) else {
             return;
         };
-        let job = &mut self.jobs[place];
+        let job = &mut self.jobs[index];
         let Some(known) = job.task_mut(task) else {
             return;
         };
--- a/crates/engine/src/stored.rs
+++ b/crates/engine/src/stored.rs
@@ -190,15 +190,15 @@
 pub fn progress_record(job: &Job, endpoints: &EndpointTable) -> Record {
     let mut names: Vec<(CompactString, SocketAddr)> = Vec::new();
     let mut keys: Vec<EndpointKey> = Vec::new();
-    let mut place_of = |key: EndpointKey| {
-        let place = keys.iter().position(|&known| known == key);
-        let place = place.unwrap_or_else(|| {
+    let mut index_of = |key: EndpointKey| {
+        let index = keys.iter().position(|&known| known == key);
+        let index = index.unwrap_or_else(|| {
             keys.push(key);
             let endpoint = endpoints.get(key);
             names.push((endpoint.id.clone(), endpoint.address()));
             keys.len() - 1
         });
-        u32::try_from(place).unwrap_or(u32::MAX)
+        u32::try_from(index).unwrap_or(u32::MAX)
     };
     let occurrences = job
         .occurrences
@@ -207,7 +207,7 @@
             let steps = occurrence.steps.iter().map(|step| {
                 let tasks = step.tasks.iter().map(|task| {
                     let attempts = task.attempts.iter().map(|attempt| {
-                        StoredAttempt(attempt.run, place_of(attempt.endpoint), attempt.is_stopping)
+                        StoredAttempt(attempt.run, index_of(attempt.endpoint), attempt.is_stopping)
                     });
                     let attempts = attempts.collect();
                     let checkpoint = task.checkpoint.clone();
@@ -282,8 +282,8 @@
         .iter()
         .map(|(id, address)| key_of(id, *address))
         .collect();
-    let restore_attempt = |StoredAttempt(run, place, is_stopping): StoredAttempt| {
-        let endpoint = *keys.get(usize::try_from(place).ok()?)?;
+    let restore_attempt = |StoredAttempt(run, index, is_stopping): StoredAttempt| {
+        let endpoint = *keys.get(usize::try_from(index).ok()?)?;
         let mut attempt = Attempt::new(run, endpoint, 0);
         attempt.phase = Phase::Inherited;
         attempt.is_stopping = is_stopping;
--- a/crates/engine/src/vm_cooldowns.rs
+++ b/crates/engine/src/vm_cooldowns.rs
@@ -29,7 +29,7 @@
     pub(crate) fn restore_vm(&mut self, name: &str, stored: StoredVm, now: Now) {
         let recent_ms = self.settings.vm_lease_ms + CLOCK_SPREAD_MS;
         if now.wall_ms < stored.ordered_ms + recent_ms
-            && let Err(place) = self.search_vm_cooldown(name)
+            && let Err(index) = self.search_vm_cooldown(name)
         {
             let cooldown = VmCooldown {
                 name: name.into(),
@@ -37,15 +37,15 @@
                 is_settled: stored.is_settled,
                 epoch: stored.epoch,
             };
-            self.vm_cooldowns.insert(place, cooldown);
+            self.vm_cooldowns.insert(index, cooldown);
         }
     }
 
     /// Takes in until when an earlier owner's order for a VM forbids another at most, on the steady
     /// clock, as the order of records in the log tells it.
     pub fn limit_vm_cooldown(&mut self, key: &str, until_ms: u64) {
-        if let Ok(place) = self.search_vm_cooldown(vm_name(key)) {
-            let cooldown = &mut self.vm_cooldowns[place];
+        if let Ok(index) = self.search_vm_cooldown(vm_name(key)) {
+            let cooldown = &mut self.vm_cooldowns[index];
             cooldown.until_ms = until_ms.min(cooldown.until_ms);
         }
     }
@@ -76,7 +76,7 @@
     /// Orders of two owners for one VM must not follow each other closely. Every order is stored
     /// before it goes out, so a VM without a recent one is free at once.
     pub(crate) fn inherited_cooldown_ms(&self, name: &str) -> u64 {
-        let place = self.search_vm_cooldown(name);
-        place.map_or(0, |place| self.vm_cooldowns[place].until_ms)
+        let index = self.search_vm_cooldown(name);
+        index.map_or(0, |index| self.vm_cooldowns[index].until_ms)
     }
 }
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -54,7 +54,7 @@
 }
 
 impl Engine {
-    pub(crate) fn vm_place(&self, name: &str) -> Result<usize, usize> {
+    pub(crate) fn vm_index(&self, name: &str) -> Result<usize, usize> {
         self.vms
             .binary_search_by(|vm| vm.entry.name.as_str().cmp(name))
     }
@@ -64,8 +64,8 @@
         let mut entries = entries;
         entries.sort_unstable_by(|one, other| one.name.cmp(&other.name));
         let is_listed = |vm: &Vm| {
-            let place = entries.binary_search_by(|entry| entry.name.cmp(&vm.entry.name));
-            place.is_ok()
+            let index = entries.binary_search_by(|entry| entry.name.cmp(&vm.entry.name));
+            index.is_ok()
         };
         self.vms.retain(is_listed);
         for entry in entries {
@@ -74,10 +74,10 @@
             {
                 self.endpoints.set_vm(key, &entry.name);
             }
-            match self.vm_place(&entry.name) {
-                Ok(place) => self.vms[place].update(entry, now),
-                Err(place) => self.vms.insert(
-                    place,
+            match self.vm_index(&entry.name) {
+                Ok(index) => self.vms[index].update(entry, now),
+                Err(index) => self.vms.insert(
+                    index,
                     Vm {
                         cooldown_until_ms: self.inherited_cooldown_ms(&entry.name),
                         entry,
@@ -104,8 +104,8 @@
             .filter(|(_, endpoint)| {
                 !endpoint.has_ended
                     && !endpoint.vm().is_empty()
-                    && self.vm_place(endpoint.vm()).is_ok_and(|place| {
-                        let current = &self.vms[place].entry.endpoint;
+                    && self.vm_index(endpoint.vm()).is_ok_and(|index| {
+                        let current = &self.vms[index].entry.endpoint;
                         let other = (*current != endpoint.id).then(|| self.endpoints.find(current));
                         // A list may be older than the registry: only a later life counts.
                         other.flatten().is_some_and(|other| {
@@ -128,21 +128,21 @@
 
     /// Takes in the answer to an order for a VM.
     pub(crate) fn vm_answered(&mut self, name: &str, outcome: VmOutcome, now: Now) {
-        let Ok(place) = self.vm_place(name) else {
+        let Ok(index) = self.vm_index(name) else {
             return;
         };
-        self.vms[place].is_call_pending = false;
-        let Some(order) = self.vms[place].order.clone() else {
+        self.vms[index].is_call_pending = false;
+        let Some(order) = self.vms[index].order.clone() else {
             return;
         };
         // Only the life that the order found on the VM ends with it. A repeated order is answered
         // as done, too, when the VM has come back and another life already runs tasks on it.
-        let endpoint = self.vms[place].ordered_endpoint;
+        let endpoint = self.vms[index].ordered_endpoint;
         match outcome {
             VmOutcome::Done => {
-                self.vms[place].is_dirty = true;
+                self.vms[index].is_dirty = true;
                 let until_ms = now.steady_ms + self.settings.maintenance_ms + MAINTENANCE_SLACK_MS;
-                self.vms[place].mark_unavailable(&order, until_ms);
+                self.vms[index].mark_unavailable(&order, until_ms);
                 if let VmOrder::Maintain(wave) = order {
                     self.maintenance_begun(wave, name);
                 }
@@ -152,11 +152,11 @@
             }
             // An earlier call of the order may be carried out yet, or has been: given back now, the VM
             // would take work that ends with it. The order is repeated until its outcome is known.
-            VmOutcome::Busy | VmOutcome::Refused if self.vms[place].may_take_effect => {
-                self.vms[place].ordered_ms = now.steady_ms;
+            VmOutcome::Busy | VmOutcome::Refused if self.vms[index].may_take_effect => {
+                self.vms[index].ordered_ms = now.steady_ms;
             }
             VmOutcome::Busy | VmOutcome::Refused => {
-                let vm = &mut self.vms[place];
+                let vm = &mut self.vms[index];
                 vm.order = None;
                 vm.cooldown_until_ms = now.steady_ms + VM_COOLDOWN_MS;
                 if let VmOrder::Maintain(wave) = order {
@@ -167,15 +167,15 @@
                 }
             }
             // Repeated later: both orders do nothing when they were carried out before.
-            VmOutcome::Unknown => self.vms[place].may_take_effect = true,
+            VmOutcome::Unknown => self.vms[index].may_take_effect = true,
         }
     }
 
     /// Orders a move or maintenance of a VM whose endpoint is empty.
-    pub(crate) fn order_vm(&mut self, place: usize, order: VmOrder, now: Now) {
-        let name = self.vms[place].entry.name.clone();
+    pub(crate) fn order_vm(&mut self, index: usize, order: VmOrder, now: Now) {
+        let name = self.vms[index].entry.name.clone();
         let current = self.endpoint_of_vm(&name);
-        let vm = &mut self.vms[place];
+        let vm = &mut self.vms[index];
         if vm.order.as_ref() != Some(&order) {
             vm.ordered_endpoint = current;
             vm.may_take_effect = false;
@@ -197,7 +197,7 @@
         vm.stored_order_ms = now.wall_ms;
         vm.is_dirty = true;
         self.pending_effects.push(effect);
-        if let Some(key) = self.vms[place].ordered_endpoint {
+        if let Some(key) = self.vms[index].ordered_endpoint {
             self.endpoints.get_mut(key).is_cordoned = true;
         }
     }
@@ -219,15 +219,15 @@
 
     /// Repeats orders whose calls got no answer.
     pub(crate) fn retry_vm_orders(&mut self, now: Now) {
-        for place in 0..self.vms.len() {
-            let vm = &self.vms[place];
+        for index in 0..self.vms.len() {
+            let vm = &self.vms[index];
             let is_due = !vm.is_call_pending
                 && now.steady_ms >= vm.ordered_ms + VM_ORDER_RETRY_MS
                 && self.vm_order_rate.allows_order();
             if let Some(order) = vm.order.clone()
                 && is_due
             {
-                self.order_vm(place, order, now);
+                self.order_vm(index, order, now);
             }
         }
     }
--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -98,14 +98,14 @@
     }
 
     fn start_draining(&mut self, draining: DrainingVm) {
-        if let Err(place) = self.search_draining(&draining.vm) {
-            self.draining.insert(place, draining);
+        if let Err(index) = self.search_draining(&draining.vm) {
+            self.draining.insert(index, draining);
         }
     }
 
     fn stop_draining(&mut self, vm: &str) {
-        if let Ok(place) = self.search_draining(vm) {
-            self.draining.remove(place);
+        if let Ok(index) = self.search_draining(vm) {
+            self.draining.remove(index);
         }
     }
 
@@ -121,8 +121,8 @@
     /// Notes that a VM could not be emptied, and lets it rest.
     fn abort_drain(&mut self, vm: &CompactString, now: Now) {
         self.stop_draining(vm);
-        let place = self.aborted_drains.iter().position(|known| known.vm == *vm);
-        let place = place.unwrap_or_else(|| {
+        let index = self.aborted_drains.iter().position(|known| known.vm == *vm);
+        let index = index.unwrap_or_else(|| {
             self.aborted_drains.push(AbortedDrain {
                 vm: vm.clone(),
                 until_ms: 0,
@@ -130,7 +130,7 @@
             });
             self.aborted_drains.len() - 1
         });
-        let known = &mut self.aborted_drains[place];
+        let known = &mut self.aborted_drains[index];
         known.until_ms = now.steady_ms + known.pause_ms;
         known.pause_ms *= 2;
     }
@@ -146,23 +146,23 @@
 
 impl Engine {
     pub(crate) fn restore_wave(&mut self, number: u64, stored: StoredWave) {
-        let place = self.wave_or_new(number);
-        self.waves[place].stored = stored;
+        let index = self.wave_or_new(number);
+        self.waves[index].stored = stored;
     }
 
     fn wave_or_new(&mut self, number: u64) -> usize {
         match self.waves.binary_search_by_key(&number, |wave| wave.number) {
-            Ok(place) => place,
-            Err(place) => {
-                self.waves.insert(place, Wave::new(number));
-                place
+            Ok(index) => index,
+            Err(index) => {
+                self.waves.insert(index, Wave::new(number));
+                index
             }
         }
     }
 
     pub(crate) fn wave_ordered(&mut self, order: WaveOrder, now: Now) {
-        let place = self.wave_or_new(order.wave);
-        let wave = &mut self.waves[place];
+        let index = self.wave_or_new(order.wave);
+        let wave = &mut self.waves[index];
         // Stored, so that a later owner does not take the wave for one that has just begun.
         if wave.stored.since_ms == 0 {
             wave.stored.since_ms = now.wall_ms;
@@ -199,16 +199,16 @@
     }
 
     pub(crate) fn maintenance_begun(&mut self, number: u64, vm: &str) {
-        let place = self.wave_or_new(number);
-        let wave = &mut self.waves[place];
+        let index = self.wave_or_new(number);
+        let wave = &mut self.waves[index];
         insert(&mut wave.stored.begun, vm);
         wave.stop_draining(vm);
         wave.is_dirty = true;
     }
 
     pub(crate) fn maintenance_refused(&mut self, number: u64, vm: &str) {
-        let place = self.wave_or_new(number);
-        let wave = &mut self.waves[place];
+        let index = self.wave_or_new(number);
+        let wave = &mut self.waves[index];
         wave.stop_draining(vm);
         if let Ok(at) = wave
             .stored
@@ -225,44 +225,44 @@
         if !self.may_order_vms || self.vms.is_empty() {
             return;
         }
-        for place in 0..self.waves.len() {
-            let wave = &self.waves[place];
+        for index in 0..self.waves.len() {
+            let wave = &self.waves[index];
             if wave.order.is_some() && !wave.stored.is_completed {
-                self.plan_wave(place, now);
+                self.plan_wave(index, now);
             }
         }
     }
 
-    fn plan_wave(&mut self, place: usize, now: Now) {
-        let Some(order) = self.waves[place].order.clone() else {
+    fn plan_wave(&mut self, index: usize, now: Now) {
+        let Some(order) = self.waves[index].order.clone() else {
             return;
         };
         let remaining: Vec<CompactString> = order
             .vms
             .iter()
-            .filter(|vm| !self.waves[place].has_begun(vm) && self.vm_place(vm).is_ok())
+            .filter(|vm| !self.waves[index].has_begun(vm) && self.vm_index(vm).is_ok())
             .cloned()
             .collect();
-        self.cordon_ordered(place, &remaining, now);
-        let down = self.down_in_wave(place, &order);
+        self.cordon_ordered(index, &remaining, now);
+        let down = self.down_in_wave(index, &order);
         if remaining.is_empty() {
-            self.complete_wave(place);
+            self.complete_wave(index);
             return;
         }
         let mut budget = order.max_count.saturating_sub(down);
-        self.order_maintenance(place, &remaining, &mut budget, now);
-        self.drain_more(place, &remaining, budget, now);
-        self.stop_runs_on_draining(place, now);
-        self.abort_stuck_drains(place, now);
+        self.order_maintenance(index, &remaining, &mut budget, now);
+        self.drain_more(index, &remaining, budget, now);
+        self.stop_runs_on_draining(index, now);
+        self.abort_stuck_drains(index, now);
     }
 
     /// Keeps work from VMs whose maintenance was ordered without a known outcome.
     ///
     /// An earlier owner's order may still be carried out, and its successor repeats it; what had
     /// started on the VM meanwhile would be cut off, long-running tasks against their budget.
-    fn cordon_ordered(&mut self, place: usize, remaining: &[CompactString], now: Now) {
+    fn cordon_ordered(&mut self, index: usize, remaining: &[CompactString], now: Now) {
         for name in remaining {
-            let wave = &mut self.waves[place];
+            let wave = &mut self.waves[index];
             if wave.is_ordered(name) && !wave.is_draining(name) {
                 wave.start_draining(DrainingVm::new(name.clone(), 0, now));
             }
@@ -274,8 +274,8 @@
         }
     }
 
-    fn complete_wave(&mut self, place: usize) {
-        let wave = &mut self.waves[place];
+    fn complete_wave(&mut self, index: usize) {
+        let wave = &mut self.waves[index];
         wave.stored.is_completed = true;
         wave.is_dirty = true;
         let number = wave.number;
@@ -286,13 +286,13 @@
     }
 
     /// Counts the wave's VMs that are down for it, or may be.
-    fn down_in_wave(&self, place: usize, order: &WaveOrder) -> usize {
-        let wave = &self.waves[place];
+    fn down_in_wave(&self, index: usize, order: &WaveOrder) -> usize {
+        let wave = &self.waves[index];
         order
             .vms
             .iter()
             .filter(|name| {
-                let Ok(vm) = self.vm_place(name).map(|place| &self.vms[place]) else {
+                let Ok(vm) = self.vm_index(name).map(|index| &self.vms[index]) else {
                     return false;
                 };
                 let is_pending = wave.is_ordered(name) && !wave.has_begun(name);
@@ -304,7 +304,7 @@
     /// Orders maintenance of VMs that run nothing.
     fn order_maintenance(
         &mut self,
-        place: usize,
+        index: usize,
         remaining: &[CompactString],
         budget: &mut usize,
         now: Now,
@@ -312,17 +312,17 @@
         for name in remaining {
             // One that was ordered before counts as down already; only repeating the order brings
             // its outcome.
-            let is_counted = self.waves[place].is_ordered(name);
+            let is_counted = self.waves[index].is_ordered(name);
             if (*budget == 0 && !is_counted)
                 || !self.vm_order_rate.allows_order()
                 || !self.can_begin_maintenance(name, now)
             {
                 continue;
             }
-            let Ok(vm) = self.vm_place(name) else {
+            let Ok(vm) = self.vm_index(name) else {
                 continue;
             };
-            let wave = &mut self.waves[place];
+            let wave = &mut self.waves[index];
             insert(&mut wave.stored.ordered, name);
             wave.is_dirty = true;
             let number = wave.number;
@@ -334,7 +334,7 @@
     }
 
     fn can_begin_maintenance(&self, name: &str, now: Now) -> bool {
-        let Ok(vm) = self.vm_place(name).map(|place| &self.vms[place]) else {
+        let Ok(vm) = self.vm_index(name).map(|index| &self.vms[index]) else {
             return false;
         };
         let is_empty = match self.endpoint_of_vm(name) {
@@ -349,17 +349,17 @@
     }
 
     /// Keeps new work from as many VMs as can be maintained next.
-    fn drain_more(&mut self, place: usize, remaining: &[CompactString], budget: usize, now: Now) {
+    fn drain_more(&mut self, index: usize, remaining: &[CompactString], budget: usize, now: Now) {
         let ahead = self
-            .required_parallelism(place, remaining.len(), now)
+            .required_parallelism(index, remaining.len(), now)
             .min(budget.max(1));
-        let busy = self.waves[place].draining.len();
+        let busy = self.waves[index].draining.len();
         if busy >= ahead {
             return;
         }
         let mut by_load: Vec<(usize, u64, CompactString)> = remaining
             .iter()
-            .filter(|name| self.waves[place].may_drain(name, now))
+            .filter(|name| self.waves[index].may_drain(name, now))
             .filter_map(|name| {
                 let endpoint = self.endpoints.get(self.endpoint_of_vm(name)?);
                 let long_running = endpoint.long_running_runs;
@@ -372,7 +372,7 @@
             if let Some(key) = self.endpoint_of_vm(&name) {
                 self.endpoints.get_mut(key).is_cordoned = true;
             }
-            self.waves[place].start_draining(DrainingVm::new(name, long_running, now));
+            self.waves[index].start_draining(DrainingVm::new(name, long_running, now));
         }
     }
 
@@ -380,8 +380,8 @@
     ///
     /// Emptying more than that takes room from jobs, and from long-running tasks the endpoints on
     /// which they could go on.
-    fn required_parallelism(&self, place: usize, remaining: usize, now: Now) -> usize {
-        let wave = &self.waves[place];
+    fn required_parallelism(&self, index: usize, remaining: usize, now: Now) -> usize {
+        let wave = &self.waves[index];
         let Some(order) = &wave.order else {
             return 1;
         };
@@ -402,8 +402,8 @@
 
     /// Stops what runs on VMs that have been emptied for long: long-running tasks at once, as far
     /// as their budgets allow, the others when the wave would be late otherwise.
-    fn stop_runs_on_draining(&mut self, place: usize, now: Now) {
-        let wave = &self.waves[place];
+    fn stop_runs_on_draining(&mut self, index: usize, now: Now) {
+        let wave = &self.waves[index];
         let is_short_of_time = wave.order.as_ref().is_some_and(|order| {
             let remaining = order.vms.iter().filter(|vm| !wave.has_begun(vm)).count();
             let rounds = remaining.div_ceil(order.max_count.max(1));
@@ -441,25 +441,25 @@
     /// All tasks of a step ran on the only VM that has what they need. One was stopped, could not go
     /// on anywhere but there, and with it away none of the others could be stopped: the VM took no
     /// work for good, and the task was away as long.
-    fn abort_stuck_drains(&mut self, place: usize, now: Now) {
-        for at in (0..self.waves[place].draining.len()).rev() {
-            let vm = self.waves[place].draining[at].vm.clone();
+    fn abort_stuck_drains(&mut self, index: usize, now: Now) {
+        for at in (0..self.waves[index].draining.len()).rev() {
+            let vm = self.waves[index].draining[at].vm.clone();
             let Some(key) = self.endpoint_of_vm(&vm) else {
                 continue;
             };
             let endpoint = self.endpoints.get_mut(key);
             let long_running = endpoint.long_running_runs;
-            let known = &mut self.waves[place].draining[at];
+            let known = &mut self.waves[index].draining[at];
             if known.long_running != long_running {
                 known.long_running = long_running;
                 known.changed_ms = now.steady_ms;
             }
             let changed_ms = known.changed_ms;
             // What was ordered for the VM may still be carried out.
-            let is_ordered = self.waves[place].is_ordered(&vm);
+            let is_ordered = self.waves[index].is_ordered(&vm);
             if long_running > 0 && !is_ordered && now.steady_ms >= changed_ms + DRAIN_TIMEOUT_MS {
                 endpoint.is_cordoned = false;
-                self.waves[place].abort_drain(&vm, now);
+                self.waves[index].abort_drain(&vm, now);
                 self.is_schedule_due = true;
             }
         }
@@ -467,10 +467,10 @@
 
     /// Tells whether a long-running task may be interrupted within its step's budget.
     pub(crate) fn can_interrupt(&self, task: &TaskRef) -> bool {
-        let Ok(place) = self.search(task.job) else {
+        let Ok(index) = self.search(task.job) else {
             return true;
         };
-        let job = &self.jobs[place];
+        let job = &self.jobs[index];
         let Some(spec) = job.step_spec(task) else {
             return true;
         };
@@ -512,7 +512,7 @@
 }
 
 fn insert(sorted_names: &mut Vec<CompactString>, name: &str) {
-    if let Err(place) = sorted_names.binary_search_by(|known| known.as_str().cmp(name)) {
-        sorted_names.insert(place, name.into());
+    if let Err(index) = sorted_names.binary_search_by(|known| known.as_str().cmp(name)) {
+        sorted_names.insert(index, name.into());
     }
 }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -532,9 +532,9 @@
     }
 
     pub fn end(&mut self, task: &TaskRef, run: u32, kind: EndKind) {
-        let place = self.running.iter().position(|known| *known == (*task, run));
-        if let Some(place) = place {
-            self.running.remove(place);
+        let index = self.running.iter().position(|known| *known == (*task, run));
+        if let Some(index) = index {
+            self.running.remove(index);
             self.ends += 1;
             let number = self.ends;
             self.ended.push(EndedTask {
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -76,14 +76,14 @@
 
 impl FakeEndpoint {
     fn end(&mut self, task: TaskRef, run: u32, kind: EndKind) -> bool {
-        let place = self
+        let index = self
             .running
             .iter()
             .position(|known| (known.task, known.run) == (task, run));
-        let Some(place) = place else {
+        let Some(index) = index else {
             return false;
         };
-        self.running.remove(place);
+        self.running.remove(index);
         self.over.push((task, run));
         self.ends += 1;
         self.ended.push(EndedTask {
@@ -214,7 +214,7 @@
                 .iter()
                 .enumerate()
                 .min_by_key(|(_, (at_ms, order, _))| (*at_ms, *order))
-                .map(|(place, _)| place)
+                .map(|(index, _)| index)
                 .expect("ticks");
             let (at_ms, _, due) = self.due.swap_remove(next);
             self.now_ms = at_ms;
@@ -248,12 +248,12 @@
                 self.draw();
                 self.after(100, Due::Tick);
             }
-            Due::End(place, task, run) => {
+            Due::End(index, task, run) => {
                 let kind = match self.random.random_range(0..25) {
                     0 => EndKind::Failed,
                     _ => EndKind::Done,
                 };
-                self.endpoints[place].end(task, run, kind);
+                self.endpoints[index].end(task, run, kind);
             }
             Due::Arrival(effect, given_up_ms) => self.arrive(effect, given_up_ms),
             Due::Report(key, acknowledged, given_up_ms) => {
@@ -358,7 +358,7 @@
         self.after(delay_ms, Due::Event(event));
     }
 
-    fn place_of(&self, key: u32) -> usize {
+    fn index_of(&self, key: u32) -> usize {
         self.endpoints
             .iter()
             .position(|endpoint| endpoint.key == key)
@@ -382,8 +382,8 @@
                 task,
                 run,
             } => {
-                let place = self.place_of(endpoint);
-                let fake = &mut self.endpoints[place];
+                let index = self.index_of(endpoint);
+                let fake = &mut self.endpoints[index];
                 if !fake.end(task, run, EndKind::Stopped) {
                     fake.over.push((task, run));
                 }
@@ -401,11 +401,11 @@
                 acknowledged,
                 wait_ms,
             } => {
-                let place = self.place_of(endpoint);
-                let fake = &mut self.endpoints[place];
+                let index = self.index_of(endpoint);
+                let fake = &mut self.endpoints[index];
                 fake.lease_until_ms = fake.lease_until_ms.max(deadline_ms.unwrap_or_default());
-                self.acknowledge(place, acknowledged);
-                let waits = self.endpoints[place].ended.is_empty();
+                self.acknowledge(index, acknowledged);
+                let waits = self.endpoints[index].ended.is_empty();
                 let ms = if waits { wait_ms } else { 0 };
                 self.after(ms, Due::Report(endpoint, acknowledged, given_up_ms));
             }
@@ -413,8 +413,8 @@
         }
     }
 
-    fn acknowledge(&mut self, place: usize, acknowledged: u64) {
-        let endpoint = &mut self.endpoints[place];
+    fn acknowledge(&mut self, index: usize, acknowledged: u64) {
+        let endpoint = &mut self.endpoints[index];
         let noted = endpoint
             .ended
             .iter()
@@ -432,9 +432,9 @@
             ..
         } = order;
         let (task, run) = (*task, *run);
-        let place = self.place_of(*endpoint);
+        let index = self.index_of(*endpoint);
         let now_ms = self.now_ms;
-        let fake = &mut self.endpoints[place];
+        let fake = &mut self.endpoints[index];
         if now_ms > *deadline_ms {
             return CallOutcome::Refused(Refusal::Late);
         }
@@ -456,7 +456,7 @@
         let used = u64::try_from(fake.running.len()).expect("few runs");
         assert!(
             used < CORES,
-            "endpoint {place} is overdrawn by {task} {run}"
+            "endpoint {index} is overdrawn by {task} {run}"
         );
         let (name, cores) = account_of(task.job);
         let running = self.endpoints.iter().flat_map(|endpoint| &endpoint.running);
@@ -474,25 +474,25 @@
             let twice = endpoint.running.iter().find(|known| known.task == task);
             assert!(
                 twice.is_none(),
-                "{task} runs twice: {run} on {place} and {twice:?} on {other}"
+                "{task} runs twice: {run} on {index} and {twice:?} on {other}"
             );
         }
         let takes_ms = self.random.random_range(200..2_500);
-        self.endpoints[place].running.push(Running {
+        self.endpoints[index].running.push(Running {
             task,
             run,
             begun_ms: now_ms,
             takes_ms,
         });
-        self.after(takes_ms, Due::End(place, task, run));
+        self.after(takes_ms, Due::End(index, task, run));
         CallOutcome::Done(now_ms)
     }
 
     fn report(&mut self, key: u32, acknowledged: u64, given_up_ms: u64) {
-        let place = self.place_of(key);
-        self.acknowledge(place, acknowledged);
+        let index = self.index_of(key);
+        self.acknowledge(index, acknowledged);
         let now_ms = self.now_ms;
-        let fake = &self.endpoints[place];
+        let fake = &self.endpoints[index];
         let running = fake.running.iter().map(|known| RunningTask {
             task: known.task,
             run: known.run,
@@ -516,8 +516,8 @@
 
     /// Kills what runs where the lease is over; ends that were not taken note of may be repeated.
     fn lapse(&mut self) {
-        for place in 0..self.endpoints.len() {
-            let endpoint = &mut self.endpoints[place];
+        for index in 0..self.endpoints.len() {
+            let endpoint = &mut self.endpoints[index];
             if endpoint.lease_until_ms == 0 || self.now_ms <= endpoint.lease_until_ms {
                 continue;
             }
--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -83,11 +83,11 @@
     }
 
     fn change_quotas(&mut self) {
-        for place in 1..ACCOUNTS.len() {
-            self.quotas[place] = self.random.random_range(QUOTAS);
+        for index in 1..ACCOUNTS.len() {
+            self.quotas[index] = self.random.random_range(QUOTAS);
         }
         let accounts: Vec<_> = (1..ACCOUNTS.len())
-            .map(|place| account(ACCOUNTS[place], self.quotas[place]))
+            .map(|index| account(ACCOUNTS[index], self.quotas[index]))
             .collect();
         self.fleet.configure_accounts(&accounts);
     }
@@ -96,9 +96,9 @@
         let endpoints = self.fleet.endpoints.iter();
         let running: Vec<(TaskRef, u32)> = endpoints.flat_map(|one| one.running.clone()).collect();
         for (task, run) in &running {
-            let place = account_of(task.job);
-            let count = self.fleet.running_cores(|job| account_of(job) == place);
-            let quota = usize::try_from(self.quotas[place]).expect("few cores");
+            let index = account_of(task.job);
+            let count = self.fleet.running_cores(|job| account_of(job) == index);
+            let quota = usize::try_from(self.quotas[index]).expect("few cores");
             assert!(
                 quota == 0 || count <= quota || self.running.contains(&(*task, *run)),
                 "{task} {run} starts above a quota of {quota}: {count} run"
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -223,8 +223,8 @@
             }
         }
         if random.random_range(0..12) == 0 {
-            let place = random.random_range(0..fleet.endpoints.len());
-            fleet.endpoints[place].is_silent ^= true;
+            let index = random.random_range(0..fleet.endpoints.len());
+            fleet.endpoints[index].is_silent ^= true;
         }
         if jobs > 0 && random.random_range(0..6) == 0 {
             let job = job_id(random.random_range(1..=jobs));
