--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -87,17 +87,17 @@
 impl ClientAccount {
     /// Tells whether runs that take this room together fit into the quota.
     #[must_use]
-    pub fn may_ever_run(&self, room: &Resources) -> bool {
-        !exceeds_quota(room, &self.quota)
+    pub fn may_ever_run(&self, resources: &Resources) -> bool {
+        !exceeds_quota(resources, &self.quota)
     }
 }
 
 /// Tells whether a room is larger than a quota, of which 0 is no limit.
-pub(crate) fn exceeds_quota(room: &Resources, quota: &Resources) -> bool {
-    let exceeds = |room: u64, quota: u64| quota > 0 && room > quota;
-    exceeds(room.cpu_millis, quota.cpu_millis)
-        || exceeds(room.memory_mb, quota.memory_mb)
-        || exceeds(room.gpus, quota.gpus)
+pub(crate) fn exceeds_quota(resources: &Resources, quota: &Resources) -> bool {
+    let exceeds = |amount: u64, quota: u64| quota > 0 && amount > quota;
+    exceeds(resources.cpu_millis, quota.cpu_millis)
+        || exceeds(resources.memory_mb, quota.memory_mb)
+        || exceeds(resources.gpus, quota.gpus)
 }
 
 /// A key that two accounts hold.
--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -97,7 +97,7 @@
             return Resources::default();
         }
         let share = |work: u64| work / WINDOW_MS * (jobs - 1) / jobs;
-        let capped = |room: u64, quota: u64| if quota == 0 { room } else { room.min(quota) };
+        let capped = |need: u64, quota: u64| if quota == 0 { need } else { need.min(quota) };
         let mut load = Resources::default();
         for (account, work) in works {
             let quota = quota_of(account);
--- a/crates/engine/src/balance.rs
+++ b/crates/engine/src/balance.rs
@@ -41,13 +41,13 @@
     }
 
     /// Returns the room in which it is counted: accelerators by themselves, the rest as usual.
-    pub(crate) fn counted(&self, room: &Resources) -> Resources {
+    pub(crate) fn counted(&self, resources: &Resources) -> Resources {
         match self {
             Self::Accelerators => Resources {
-                cpu_millis: room.gpus * ACCELERATOR_MILLIS,
+                cpu_millis: resources.gpus * ACCELERATOR_MILLIS,
                 ..Resources::default()
             },
-            Self::Label(_) | Self::DataRack(_) => *room,
+            Self::Label(_) | Self::DataRack(_) => *resources,
         }
     }
 
@@ -76,11 +76,11 @@
     /// Work that waits: room times milliseconds.
     waiting: Resources,
     /// Room that all of it takes at once.
-    waiting_room: Resources,
+    waiting_peak: Resources,
     /// Work of jobs that are late, as far as it waits; it counts when no pool misses room for others.
     late: Resources,
     /// Room that all of that takes at once.
-    late_room: Resources,
+    late_peak: Resources,
     /// Work that waits of long-running tasks of which only so many of a step may share an endpoint.
     waiting_exclusive: Resources,
     /// Endpoints that take starts.
@@ -126,7 +126,7 @@
         if self.missing_members() == 0 {
             waiting.add(&self.waiting_exclusive);
         }
-        let at_once = |work: u64, room: u64| (work / BACKLOG_TARGET_MS).min(room);
+        let at_once = |work: u64, limit: u64| (work / BACKLOG_TARGET_MS).min(limit);
         // What is handed in at the moment counts before it waits: a VM comes 1.6 s after it was asked
         // for, more than most callers can spare.
         let long_running = self.used_long_running;
@@ -134,49 +134,49 @@
         let incoming = self.incoming;
         let cpu = long_running.cpu_millis
             + finite.cpu_millis.max(incoming.cpu_millis)
-            + at_once(waiting.cpu_millis, self.waiting_room.cpu_millis);
+            + at_once(waiting.cpu_millis, self.waiting_peak.cpu_millis);
         let memory_mb = long_running.memory_mb
             + finite.memory_mb.max(incoming.memory_mb)
-            + at_once(waiting.memory_mb, self.waiting_room.memory_mb);
+            + at_once(waiting.memory_mb, self.waiting_peak.memory_mb);
         cpu.max(memory_mb * self.cpu_micros_per_mb / MICROS_PER_MILLI)
     }
 
     pub(crate) fn missing(&self) -> u64 {
         let members = u64::try_from(self.missing_members()).unwrap_or_default();
-        let room = self.wanted().saturating_sub(self.supply + self.arriving);
-        room.max(members * self.vm_cpu_millis.max(1))
+        let cpu_millis = self.wanted().saturating_sub(self.supply + self.arriving);
+        cpu_millis.max(members * self.vm_cpu_millis.max(1))
     }
 
-    pub(crate) fn has_surplus(&self, room: u64) -> bool {
-        self.supply >= self.wanted() + room
+    pub(crate) fn has_surplus(&self, cpu_millis: u64) -> bool {
+        self.supply >= self.wanted() + cpu_millis
     }
 
     /// Takes in work of waiting tasks.
     pub(crate) fn add_work(
         &mut self,
         spec: &StepSpec,
-        room: &Resources,
+        resources: &Resources,
         work_ms: u64,
         waiting: Waiting,
     ) {
-        let work = room.scaled(work_ms * waiting.count);
-        let at_once = room.scaled(waiting.count);
+        let work = resources.scaled(work_ms * waiting.count);
+        let at_once = resources.scaled(waiting.count);
         if needs_members(spec) {
             self.waiting_exclusive.add(&work);
-            self.waiting_room.add(&at_once);
+            self.waiting_peak.add(&at_once);
         } else if waiting.is_late {
             self.late.add(&work);
-            self.late_room.add(&at_once);
+            self.late_peak.add(&at_once);
         } else {
             self.waiting.add(&work);
-            self.waiting_room.add(&at_once);
+            self.waiting_peak.add(&at_once);
         }
     }
 
     /// Counts the work of late jobs from now on.
     pub(crate) fn include_late(&mut self) {
         self.waiting.add(&std::mem::take(&mut self.late));
-        self.waiting_room.add(&std::mem::take(&mut self.late_room));
+        self.waiting_peak.add(&std::mem::take(&mut self.late_peak));
     }
 
     /// Takes in that a step, with tasks at work or not, needs so many endpoints.
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -22,7 +22,7 @@
 pub(crate) struct PoolLoad {
     pub(crate) name: CompactString,
     pub(crate) is_standby: bool,
-    room: Balance,
+    total: Balance,
     /// The same for what only some VMs have, as far as waiting work asks for it.
     features: Vec<(VmFeature, Balance)>,
     /// VMs ordered into the pool at this planning.
@@ -41,13 +41,13 @@
     pub(crate) fn plan(&self) -> PoolPlan {
         PoolPlan {
             pool: self.name.clone(),
-            members: self.room.members,
-            pinned: self.room.pinned,
-            arriving: self.room.arriving_vms,
-            supply_cpu_millis: self.room.supply,
-            used_cpu_millis: self.room.used.cpu_millis,
-            used_memory_mb: self.room.used.memory_mb,
-            wanted_cpu_millis: self.room.wanted(),
+            members: self.total.members,
+            pinned: self.total.pinned,
+            arriving: self.total.arriving_vms,
+            supply_cpu_millis: self.total.supply,
+            used_cpu_millis: self.total.used.cpu_millis,
+            used_memory_mb: self.total.used.memory_mb,
+            wanted_cpu_millis: self.total.wanted(),
             moved_in: self.moved_in,
             moved_out: self.moved_out,
         }
@@ -69,16 +69,16 @@
     /// Tells whether a VM of the pool can leave.
     pub(crate) fn can_spare(&self, vm: &Vm) -> bool {
         let entry = &vm.entry;
-        let min_members = MIN_VMS.max(self.room.needed_members);
+        let min_members = MIN_VMS.max(self.total.needed_members);
         let mut features = self
             .features
             .iter()
             .filter(|(kind, _)| kind.is_required() && kind.is_of(&entry.labels, &entry.capacity));
-        self.room.members > min_members
-            && self.room.has_surplus(entry.capacity.cpu_millis)
+        self.total.members > min_members
+            && self.total.has_surplus(entry.capacity.cpu_millis)
             && features.all(|(kind, balance)| {
-                let room = kind.counted(&entry.capacity).cpu_millis;
-                balance.members > balance.needed_members && balance.has_surplus(room)
+                let cpu_millis = kind.counted(&entry.capacity).cpu_millis;
+                balance.members > balance.needed_members && balance.has_surplus(cpu_millis)
             })
     }
 
@@ -99,8 +99,8 @@
     /// Takes in that a VM is on its way here.
     pub(crate) fn add_arriving_vm(&mut self, vm: &Vm) {
         let entry = &vm.entry;
-        self.room.arriving += entry.capacity.cpu_millis.max(1);
-        self.room.arriving_vms += 1;
+        self.total.arriving += entry.capacity.cpu_millis.max(1);
+        self.total.arriving_vms += 1;
         for (kind, balance) in &mut self.features {
             if kind.is_of(&entry.labels, &entry.capacity) {
                 balance.arriving += kind.counted(&entry.capacity).cpu_millis.max(1);
@@ -119,26 +119,26 @@
     pub(crate) fn remove_vm(&mut self, vm: &Vm) {
         self.moved_out += 1;
         let cpu = vm.entry.capacity.cpu_millis;
-        self.room.supply = self.room.supply.saturating_sub(cpu);
-        self.room.members = self.room.members.saturating_sub(1);
+        self.total.supply = self.total.supply.saturating_sub(cpu);
+        self.total.members = self.total.members.saturating_sub(1);
     }
 
     /// Counts the work of late jobs from now on.
     pub(crate) fn include_late(&mut self) {
-        self.room.include_late();
+        self.total.include_late();
         for (_, balance) in &mut self.features {
             balance.include_late();
         }
     }
 
     fn add_step(&mut self, spec: &StepSpec, waiting: Waiting, vm: &Resources) {
-        self.room.need_members(spec);
+        self.total.need_members(spec);
         let work_ms = spec.estimated_ms.max(BACKLOG_TARGET_MS / 2);
         let charged = spec.reserved_resources();
         // What only some VMs can run is no reason for others: a pool that misses a kind of VM took
         // all the others in for nothing, and kept them.
         if !VmFeature::of_step(spec).any(|kind| kind.is_required()) {
-            self.room.add_work(spec, &charged, work_ms, waiting);
+            self.total.add_work(spec, &charged, work_ms, waiting);
         }
         if waiting.count == 0 && !needs_members(spec) {
             return;
@@ -194,8 +194,8 @@
             .missing_feature()
             .filter(|(kind, _)| !unmet.contains(&(index, (*kind).clone())));
         match special {
-            Some((kind, cpu)) if cpu >= load.room.missing() => (cpu, Some(kind.clone())),
-            _ => (load.room.missing(), None),
+            Some((kind, cpu)) if cpu >= load.total.missing() => (cpu, Some(kind.clone())),
+            _ => (load.total.missing(), None),
         }
     };
     (0..loads.len())
@@ -220,12 +220,12 @@
             .map(|pool| PoolLoad {
                 name: pool.name.clone(),
                 is_standby: pool.is_standby,
-                room: Balance::new(&vm),
+                total: Balance::new(&vm),
                 ..PoolLoad::default()
             })
             .collect();
         for load in &mut loads {
-            load.room.incoming = self
+            load.total.incoming = self
                 .arrivals
                 .load(&load.name, now, |account| self.quotas.quota(account));
         }
@@ -246,8 +246,10 @@
 
     /// Returns the room of the largest VM, by which memory is weighed against processor.
     fn largest_vm(&self) -> Resources {
-        let rooms = self.vms.iter().map(|vm| vm.entry.capacity);
-        rooms.max_by_key(|room| room.cpu_millis).unwrap_or_default()
+        let capacities = self.vms.iter().map(|vm| vm.entry.capacity);
+        capacities
+            .max_by_key(|capacity| capacity.cpu_millis)
+            .unwrap_or_default()
     }
 
     fn add_endpoints(&self, loads: &mut [PoolLoad], now: Now) {
@@ -260,14 +262,16 @@
             }
             let load = &mut loads[index];
             let takes_starts = endpoint.takes_starts(now.steady_ms);
-            load.room.used.add(&endpoint.used);
-            load.room.used_long_running.add(&endpoint.used_long_running);
+            load.total.used.add(&endpoint.used);
+            load.total
+                .used_long_running
+                .add(&endpoint.used_long_running);
             if endpoint.long_running_runs > 0 {
-                load.room.pinned += 1;
+                load.total.pinned += 1;
             }
             if takes_starts {
-                load.room.supply += endpoint.capacity.cpu_millis;
-                load.room.members += 1;
+                load.total.supply += endpoint.capacity.cpu_millis;
+                load.total.members += 1;
             }
             for (kind, balance) in &mut load.features {
                 if kind.is_of(&endpoint.labels, &endpoint.capacity) {
@@ -292,7 +296,7 @@
             let index = load_index(loads, &job.queue.pool);
             if let Some((index, spec)) = index.zip(job.step_spec(&step.first_task)) {
                 let waiting = Waiting {
-                    count: remaining.take(step.account, &step.quota_room, step.waiting),
+                    count: remaining.take(step.account, &step.requested, step.waiting),
                     is_late: step.waiting > 0 && step.is_late(now),
                 };
                 loads[index].add_step(spec, waiting, vm);
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -36,7 +36,7 @@
     /// Run.
     pub run: u32,
     /// Room taken.
-    pub room: Resources,
+    pub resources: Resources,
     /// Whether it serves users of its own.
     pub is_serving: bool,
     /// Whether it uses only what others leave.
@@ -56,7 +56,7 @@
         Self {
             task,
             run,
-            room: spec.reserved_resources(),
+            resources: spec.reserved_resources(),
             is_serving: spec.is_serving(),
             is_filler: spec.fills,
             is_long_running: spec.long_running,
@@ -308,9 +308,9 @@
 
     /// Takes room for a run.
     pub fn add_run(&mut self, placed: PlacedRun) {
-        self.used.add(&placed.room);
+        self.used.add(&placed.resources);
         if placed.is_long_running {
-            self.used_long_running.add(&placed.room);
+            self.used_long_running.add(&placed.resources);
             self.long_running_runs += 1;
         }
         self.placed_runs.push(placed);
@@ -324,9 +324,9 @@
             .position(|placed| placed.task == *task && placed.run == run);
         if let Some(index) = index {
             let placed = self.placed_runs.swap_remove(index);
-            self.used = self.used.saturating_sub(&placed.room);
+            self.used = self.used.saturating_sub(&placed.resources);
             if placed.is_long_running {
-                self.used_long_running = self.used_long_running.saturating_sub(&placed.room);
+                self.used_long_running = self.used_long_running.saturating_sub(&placed.resources);
                 self.long_running_runs -= 1;
             }
             if self.placed_runs.is_empty() {
--- a/crates/engine/src/open_steps.rs
+++ b/crates/engine/src/open_steps.rs
@@ -22,9 +22,9 @@
     /// Tasks that wait.
     pub(crate) waiting: u64,
     /// Room that each of them takes of an endpoint.
-    pub(crate) room: Resources,
+    pub(crate) reserved: Resources,
     /// Room that each of them takes of its account's quota.
-    pub(crate) quota_room: Resources,
+    pub(crate) requested: Resources,
     pub(crate) account: AccountNumber,
     priority: u32,
     is_long_running: bool,
@@ -44,8 +44,8 @@
             },
             pool,
             waiting: waiting_tasks(&run.steps[step]),
-            room: spec.reserved_resources(),
-            quota_room: spec.room,
+            reserved: spec.reserved_resources(),
+            requested: spec.room,
             account: job.account_number,
             priority: job.queue.priority,
             is_long_running: spec.long_running,
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -47,25 +47,25 @@
 }
 
 impl RemainingQuota {
-    fn startable_runs(&self, room: &Resources) -> u64 {
+    fn startable_runs(&self, resources: &Resources) -> u64 {
         let dimensions = [
-            (self.cpu_millis, room.cpu_millis),
-            (self.memory_mb, room.memory_mb),
-            (self.gpus, room.gpus),
+            (self.cpu_millis, resources.cpu_millis),
+            (self.memory_mb, resources.memory_mb),
+            (self.gpus, resources.gpus),
         ];
         dimensions
             .into_iter()
-            .filter_map(|(left, room)| left?.checked_div(room))
+            .filter_map(|(left, amount)| left?.checked_div(amount))
             .min()
             .unwrap_or(u64::MAX)
     }
 
-    fn take(&mut self, room: &Resources) {
+    fn take(&mut self, resources: &Resources) {
         let less =
-            |left: &mut Option<u64>, room| *left = left.map(|left| left.saturating_sub(room));
-        less(&mut self.cpu_millis, room.cpu_millis);
-        less(&mut self.memory_mb, room.memory_mb);
-        less(&mut self.gpus, room.gpus);
+            |left: &mut Option<u64>, amount| *left = left.map(|left| left.saturating_sub(amount));
+        less(&mut self.cpu_millis, resources.cpu_millis);
+        less(&mut self.memory_mb, resources.memory_mb);
+        less(&mut self.gpus, resources.gpus);
     }
 }
 
@@ -77,10 +77,10 @@
 
 impl RemainingQuotas {
     /// Takes runs of this room as far as the quota lets them start, at most `count`; returns how many.
-    pub fn take(&mut self, number: AccountNumber, room: &Resources, count: u64) -> u64 {
+    pub fn take(&mut self, number: AccountNumber, resources: &Resources, count: u64) -> u64 {
         let left = &mut self.rows[row_index(number)];
-        let taken = left.startable_runs(room).min(count);
-        left.take(&room.scaled(taken));
+        let taken = left.startable_runs(resources).min(count);
+        left.take(&resources.scaled(taken));
         taken
     }
 }
@@ -187,20 +187,20 @@
     }
 
     /// Counts a run from its decision on.
-    pub fn charge(&mut self, number: AccountNumber, room: &Resources) {
-        self.row_mut(number).running.add(room);
+    pub fn charge(&mut self, number: AccountNumber, resources: &Resources) {
+        self.row_mut(number).running.add(resources);
     }
 
     /// Counts a run no more, as its end is known.
-    pub fn release(&mut self, number: AccountNumber, room: &Resources) {
+    pub fn release(&mut self, number: AccountNumber, resources: &Resources) {
         let row = self.row_mut(number);
-        row.running = row.running.saturating_sub(room);
+        row.running = row.running.saturating_sub(resources);
     }
 
     /// Returns how many runs of this room the account may start now.
     #[must_use]
-    pub fn startable_runs(&self, number: AccountNumber, room: &Resources) -> u64 {
-        self.row(number).remaining().startable_runs(room)
+    pub fn startable_runs(&self, number: AccountNumber, resources: &Resources) -> u64 {
+        self.row(number).remaining().startable_runs(resources)
     }
 
     /// Returns what is left of every quota.
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -49,13 +49,19 @@
             index += 1;
             if self.has_reached_share(step.account) {
                 over_share.push(step.clone());
-            } else if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
+            } else if self
+                .free_capacity
+                .has_slot(step.pool, step.reserved.cpu_millis)
+            {
                 let step = step.clone();
                 self.place_within_quota(&step, now);
             }
         }
         for step in over_share {
-            if self.free_capacity.has_slot(step.pool, step.room.cpu_millis) {
+            if self
+                .free_capacity
+                .has_slot(step.pool, step.reserved.cpu_millis)
+            {
                 self.place_within_quota(&step, now);
             }
             self.log_share_wait(&step, now);
@@ -63,7 +69,7 @@
     }
 
     fn place_within_quota(&mut self, step: &OpenStep, now: Now) {
-        if self.quotas.startable_runs(step.account, &step.quota_room) > 0 {
+        if self.quotas.startable_runs(step.account, &step.requested) > 0 {
             self.place_step(step, now);
         } else {
             self.log_quota_wait(step, now);
@@ -79,7 +85,7 @@
         let mut waiting = Vec::new();
         let mut pools = Vec::new();
         for step in self.open_steps.iter().filter(|step| step.waiting > 0) {
-            waiting.push((step.account, step.quota_room.cpu_millis * step.waiting));
+            waiting.push((step.account, step.requested.cpu_millis * step.waiting));
             if !pools.contains(&step.pool) {
                 pools.push(step.pool);
             }
@@ -110,7 +116,7 @@
             self.log_events.push(LogEvent::QuotaReached(QuotaWait {
                 account: self.quotas.name(step.account).clone(),
                 job: step.first_task.job,
-                wanted: step.quota_room,
+                wanted: step.requested,
                 running: self.quotas.running(step.account),
                 quota: self.quotas.quota(step.account),
             }));
@@ -196,7 +202,7 @@
             let avoided = self.avoided_endpoint(&task);
             let slots = self
                 .free_capacity
-                .slots_with(step.pool, step.room.cpu_millis);
+                .slots_with(step.pool, step.reserved.cpu_millis);
             let Some(key) = best_fit(&self.endpoints, slots, &task, &spec, avoided) else {
                 break;
             };
@@ -206,7 +212,7 @@
 
     /// Returns how many tasks of a step its account's quota lets start now.
     fn startable_runs(&self, step: &OpenStep) -> usize {
-        let startable = self.quotas.startable_runs(step.account, &step.quota_room);
+        let startable = self.quotas.startable_runs(step.account, &step.requested);
         usize::try_from(startable).unwrap_or(usize::MAX)
     }
 
