--- a/crates/controller/tests/encodings.rs
+++ b/crates/controller/tests/encodings.rs
@@ -112,12 +112,12 @@
     }
 }
 
-fn step(after: Vec<u16>) -> StepSpec {
+fn step(depends_on: Vec<u16>) -> StepSpec {
     StepSpec {
         count: 300,
-        room: resources(1_500),
+        resources: resources(1_500),
         estimated_ms: 90_000,
-        after,
+        depends_on,
         saves_progress: true,
         gang: true,
         same_rack: true,
@@ -128,7 +128,7 @@
         long_running: true,
         image: "tiles".into(),
         target_ms: 40,
-        fills: true,
+        filler: true,
         max_unavailable: 5,
     }
 }
--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -70,7 +70,7 @@
 fn submit(engine: &mut Engine, number: u64, accounts: u64) {
     let step = StepSpec {
         count: TASKS,
-        room: Resources {
+        resources: Resources {
             cpu_millis: CPU_MILLIS / 4,
             memory_mb: 100,
             gpus: 0,
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -71,7 +71,7 @@
         let attempt = known.attempts.remove(at);
         job.is_dirty = true;
         if let Some(spec) = job.step_spec(task) {
-            self.quotas.release(job.account_number, &spec.room);
+            self.quotas.release(job.account_number, &spec.resources);
         }
         let endpoint = self.endpoints.get_mut(attempt.endpoint);
         endpoint.remove_run(task, run, now.steady_ms);
--- a/crates/engine/src/balance.rs
+++ b/crates/engine/src/balance.rs
@@ -53,7 +53,7 @@
 
     pub(crate) fn of_step(spec: &StepSpec) -> impl Iterator<Item = Self> {
         let label = |text: &CompactString| (!text.is_empty()).then(|| text.clone());
-        let accelerators = (spec.room.gpus > 0).then_some(Self::Accelerators);
+        let accelerators = (spec.resources.gpus > 0).then_some(Self::Accelerators);
         let required = label(&spec.required_label).map(Self::Label);
         let rack = label(&spec.data_rack).map(Self::DataRack);
         accelerators.into_iter().chain(required).chain(rack)
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -58,7 +58,7 @@
             run,
             resources: spec.reserved_resources(),
             is_serving: spec.is_serving(),
-            is_filler: spec.fills,
+            is_filler: spec.filler,
             is_long_running: spec.long_running,
             target_ms: spec.target_ms,
             tail_latency_ms: 0,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -315,7 +315,7 @@
         account.is_none_or(|account| {
             job.spec.steps.iter().all(|step| {
                 let together = if step.gang { u64::from(step.count) } else { 1 };
-                account.may_ever_run(&step.room.scaled(together))
+                account.may_ever_run(&step.resources.scaled(together))
             })
         })
     }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -175,11 +175,13 @@
     /// Number of tasks.
     pub count: u16,
     /// Room that each task asks for.
-    pub room: Resources,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     /// Caller's rough estimate of a task's duration, in milliseconds.
     pub estimated_ms: u64,
     /// Steps of which every task must be done first.
-    pub after: Vec<u16>,
+    #[serde(rename = "after")]
+    pub depends_on: Vec<u16>,
     /// Whether tasks write checkpoints as they go.
     pub saves_progress: bool,
     /// Whether the tasks work only when all of one run are present.
@@ -201,7 +203,8 @@
     /// Bound of the tail of response times of a serving task, in milliseconds; 0 for none.
     pub target_ms: u64,
     /// Whether the tasks use only what other tasks leave unused.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub filler: bool,
     /// Tasks that may be away at once by orders of ours; 0 for any number.
     pub max_unavailable: u16,
 }
@@ -210,13 +213,13 @@
     /// Returns the room that a task takes of its endpoint.
     #[must_use]
     pub fn reserved_resources(&self) -> Resources {
-        if self.fills {
+        if self.filler {
             return Resources {
                 cpu_millis: 0,
-                ..self.room
+                ..self.resources
             };
         }
-        self.room
+        self.resources
     }
 
     /// Tells whether the tasks serve users of their own.
@@ -263,7 +266,7 @@
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let start = step
-                .after
+                .depends_on
                 .iter()
                 .filter_map(|&before| ends.get(usize::from(before)))
                 .max();
@@ -283,7 +286,7 @@
                 return Some("count: a step needs one task or more");
             }
             if step
-                .after
+                .depends_on
                 .iter()
                 .any(|&before| usize::from(before) >= index)
             {
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -402,7 +402,7 @@
                 for attempt in &task.attempts {
                     let placed = PlacedRun::new(task_ref, attempt.run, spec);
                     self.endpoints.get_mut(attempt.endpoint).add_run(placed);
-                    self.quotas.charge(job.account_number, &spec.room);
+                    self.quotas.charge(job.account_number, &spec.resources);
                     if attempt.is_stop_stored {
                         unanswered.push((task_ref, attempt.run));
                     }
--- a/crates/engine/src/open_steps.rs
+++ b/crates/engine/src/open_steps.rs
@@ -45,7 +45,7 @@
             pool,
             waiting: waiting_tasks(&run.steps[step]),
             reserved: spec.reserved_resources(),
-            requested: spec.room,
+            requested: spec.resources,
             account: job.account_number,
             priority: job.queue.priority,
             is_long_running: spec.long_running,
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -275,7 +275,7 @@
         let run = known.run;
         known.attempts.push(Attempt::new(run, key, now.steady_ms));
         job.is_dirty = true;
-        self.quotas.charge(job.account_number, &spec.room);
+        self.quotas.charge(job.account_number, &spec.resources);
         let order = start_order(job, key, task, run, 0);
         self.pending_effects.push(Effect::Start(Box::new(order)));
         let endpoint = self.endpoints.get_mut(key);
@@ -352,7 +352,7 @@
 fn mismatch(endpoint: &Endpoint, spec: &StepSpec, avoided: Option<EndpointKey>) -> Mismatch {
     let is_suspect = endpoint.failed_runs > 0 || avoided == Some(endpoint.key);
     let is_remote = !spec.data_rack.is_empty() && !endpoint.has_label(&spec.data_rack);
-    let conflicts = if spec.fills {
+    let conflicts = if spec.filler {
         endpoint
             .placed_runs
             .iter()
--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -149,7 +149,7 @@
     /// Tells whether every step before one is done.
     #[must_use]
     pub fn is_open(&self, spec: &StepSpec) -> bool {
-        spec.after
+        spec.depends_on
             .iter()
             .all(|&before| self.steps[usize::from(before)].is_done())
     }
--- a/crates/engine/src/timing.rs
+++ b/crates/engine/src/timing.rs
@@ -85,7 +85,7 @@
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for (step, spec) in steps.iter().zip(&job.spec.steps) {
         let start = spec
-            .after
+            .depends_on
             .iter()
             .filter_map(|&before| ends.get(usize::from(before)))
             .max();
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -44,7 +44,7 @@
 pub fn step(count: u16) -> StepSpec {
     StepSpec {
         count,
-        room: Resources {
+        resources: Resources {
             cpu_millis: 1_000,
             memory_mb: 100,
             gpus: 0,
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -269,7 +269,7 @@
             self.jobs += 1;
             let first = step(self.random.random_range(1..6));
             let second = StepSpec {
-                after: vec![0],
+                depends_on: vec![0],
                 ..step(self.random.random_range(1..4))
             };
             let event = Event::Submit {
--- a/crates/engine/tests/demand.rs
+++ b/crates/engine/tests/demand.rs
@@ -114,7 +114,7 @@
 
     /// Tasks with accelerators wait while VMs without any come one after the other.
     accelerators_are_looked_for:
-        StepSpec { room: Resources { gpus: 1, ..step(1).room }, ..step(1) },
+        StepSpec { resources: Resources { gpus: 1, ..step(1).resources }, ..step(1) },
         vec![spare("vm-a", "a", "r1", 0), spare("vm-g", "a", "r1", 4)] => ["vm-g"];
 
     /// Tasks take twice as long away from their data, and any VM that was off came first.
@@ -124,7 +124,7 @@
 
     /// Memory is used up and the processor is not: the pool was taken to have room.
     memory_that_is_short_brings_a_vm:
-        StepSpec { room: Resources { memory_mb: 16_000, cpu_millis: 100, gpus: 0 }, ..step(6) },
+        StepSpec { resources: Resources { memory_mb: 16_000, cpu_millis: 100, gpus: 0 }, ..step(6) },
         vec![spare("vm-1", "a", "r1", 0)] => ["vm-1"];
 
     /// One large job: 60 tasks of one core for 3 s. Asked for by its work, it took seven times the VMs
--- a/crates/engine/tests/encodings.rs
+++ b/crates/engine/tests/encodings.rs
@@ -62,7 +62,7 @@
     "5c0e7a21d94b36f8.3.1.300".parse().expect("a task's name")
 }
 
-fn room(cpu_millis: u64) -> Resources {
+fn resources(cpu_millis: u64) -> Resources {
     Resources {
         cpu_millis,
         memory_mb: 2_048,
@@ -86,12 +86,12 @@
 }
 
 /// A step of which every field is set, if it comes after others.
-fn full_step(after: Vec<u16>) -> StepSpec {
+fn full_step(depends_on: Vec<u16>) -> StepSpec {
     StepSpec {
         count: 300,
-        room: room(1_500),
+        resources: resources(1_500),
         estimated_ms: 90_000,
-        after,
+        depends_on,
         saves_progress: true,
         gang: true,
         same_rack: true,
@@ -102,7 +102,7 @@
         long_running: true,
         image: "tiles".into(),
         target_ms: 40,
-        fills: true,
+        filler: true,
         max_unavailable: 5,
     }
 }
@@ -123,7 +123,7 @@
         name: name.into(),
         keys: vec![KeyDigest::new(name.as_bytes())],
         weight: 2.5,
-        quota: room(64_000),
+        quota: resources(64_000),
     };
     FleetConfig {
         version: 12,
@@ -412,7 +412,7 @@
         steps: vec![
             step(2),
             StepSpec {
-                after: vec![0],
+                depends_on: vec![0],
                 ..step(1)
             },
         ],
--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -111,7 +111,7 @@
         self.jobs += 1;
         let first = step(self.random.random_range(1..5));
         let second = StepSpec {
-            after: vec![0],
+            depends_on: vec![0],
             max_per_endpoint: 1,
             ..step(self.random.random_range(1..4))
         };
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -160,8 +160,8 @@
 
 fn drawn_step(random: &mut ChaCha8Rng) -> StepSpec {
     let mut spec = step(random.random_range(1..7));
-    spec.room.cpu_millis = random.random_range(1..5) * 500;
-    spec.room.memory_mb = random.random_range(1..20) * 1_000;
+    spec.resources.cpu_millis = random.random_range(1..5) * 500;
+    spec.resources.memory_mb = random.random_range(1..20) * 1_000;
     match random.random_range(0..6) {
         0 => spec.required_label = "even".into(),
         1 => spec.data_rack = format!("rack-i-{}", random.random_range(0..ENDPOINTS)).into(),
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -154,7 +154,7 @@
         fleet.submit_as("maps", 1, wide(true));
         fleet.submit_as("maps", 2, wide(false));
         let large = Resources { cpu_millis: 3_001, memory_mb: 1, gpus: 0 };
-        fleet.submit_as("maps", 3, StepSpec { room: large, ..step(1) });
+        fleet.submit_as("maps", 3, StepSpec { resources: large, ..step(1) });
         fleet.settle();
         assert_eq!(answer(&fleet, 1), Some(CallerAnswer::OverQuota));
         assert_eq!(answer(&fleet, 2), Some(CallerAnswer::Accepted));
@@ -178,7 +178,7 @@
     /// Guards against filling tasks, which take no room of an endpoint, passing the quota.
     filling_and_long_running_tasks_count: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
-        fleet.submit_as("maps", 1, StepSpec { fills: true, long_running: true, ..step(5) });
+        fleet.submit_as("maps", 1, StepSpec { filler: true, long_running: true, ..step(5) });
         fleet.settle();
         assert_eq!(all(&fleet), 3);
     };
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -287,13 +287,13 @@
     };
     let steps = (0..count).map(|step| StepSpec {
         count: random.random_range(1..5),
-        room: Resources {
+        resources: Resources {
             cpu_millis: random.random_range(200..1_500),
             memory_mb: 64,
             gpus: 0,
         },
         estimated_ms: 300,
-        after: if step == 0 {
+        depends_on: if step == 0 {
             Vec::new()
         } else {
             vec![step - 1]
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -66,7 +66,7 @@
 
     fn cpu_millis(&self, task: &TaskRef) -> u64 {
         let step = self.spec.steps.get(usize::from(task.step));
-        step.map_or(0, |step| step.room.cpu_millis)
+        step.map_or(0, |step| step.resources.cpu_millis)
     }
 }
 
@@ -409,7 +409,7 @@
             mistakes.push(format!("{name}: its job was cancelled long ago"));
         }
         let step = job.spec.steps.get(usize::from(task.step));
-        let after = step.map(|step| step.after.clone()).unwrap_or_default();
+        let after = step.map(|step| step.depends_on.clone()).unwrap_or_default();
         if !after.iter().all(|&before| job.is_step_done(before)) {
             mistakes.push(format!("{name}: an earlier step is not done"));
         }
