--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -202,7 +202,7 @@
 }
 
 /// Returns runs as an endpoint tells of them.
-fn told(runs: &[(TaskRef, u32)]) -> Vec<RunningTask> {
+fn reported(runs: &[(TaskRef, u32)]) -> Vec<RunningTask> {
     let running = runs.iter().map(|&(task, run)| RunningTask {
         task,
         run,
@@ -220,7 +220,7 @@
     let mut next = 0;
     bencher.bench_local(|| {
         next = (next + 1) % u32::from(endpoints);
-        let running = told(&running(&engine, next));
+        let running = reported(&running(&engine, next));
         let report = EndpointReport {
             clock_ms: 1_000,
             running,
@@ -261,7 +261,7 @@
             kind: EndKind::Done,
             checkpoint: "".into(),
         };
-        let running = told(&runs[1..]);
+        let running = reported(&runs[1..]);
         let report = EndpointReport {
             clock_ms: 1_000,
             running,
@@ -275,7 +275,7 @@
 
 /// A job is handed in and has to wait.
 #[divan::bench(args = SIZES, sample_count = 60)]
-fn hand_in(bencher: Bencher, (endpoints, waiting): (u16, u64)) {
+fn submission(bencher: Bencher, (endpoints, waiting): (u16, u64)) {
     let mut engine = busy(endpoints, waiting);
     let mut number = 2_000_000;
     bencher.bench_local(|| {
@@ -287,7 +287,7 @@
 
 /// The same with client accounts.
 #[divan::bench(args = ACCOUNTS, sample_count = 60)]
-fn hand_in_for_accounts(bencher: Bencher, accounts: u64) {
+fn submission_for_accounts(bencher: Bencher, accounts: u64) {
     let mut engine = busy_for(ACCOUNTS_ENDPOINTS, ACCOUNTS_WAITING, accounts);
     let mut number = 2_000_000;
     bencher.bench_local(|| {
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -229,8 +229,8 @@
             return;
         };
         if job.queue.advised {
-            let with_room: Vec<EndpointKey> = slots.iter().map(|slot| slot.key).collect();
-            let usable = self.endpoints_with_ticket(&step_ref, &with_room, now);
+            let candidates: Vec<EndpointKey> = slots.iter().map(|slot| slot.key).collect();
+            let usable = self.endpoints_with_ticket(&step_ref, &candidates, now);
             slots.retain(|slot| usable.contains(&slot.key));
         }
         let Some(job) = self.jobs.get(step_ref.job) else {
--- a/crates/engine/tests/advice.rs
+++ b/crates/engine/tests/advice.rs
@@ -27,7 +27,7 @@
     fleet.settle();
 }
 
-fn asked(fleet: &Fleet) -> Vec<Vec<String>> {
+fn requested(fleet: &Fleet) -> Vec<Vec<String>> {
     let asks = fleet.orders.iter().filter_map(|order| match order {
         Effect::Advise { endpoints, .. } => {
             Some(endpoints.iter().map(ToString::to_string).collect())
@@ -60,7 +60,7 @@
 #[test]
 fn step_waits_for_its_tickets_and_starts_with_one() {
     let mut fleet = two_endpoints();
-    assert_eq!(asked(&fleet), [["i-1", "i-2"]]);
+    assert_eq!(requested(&fleet), [["i-1", "i-2"]]);
     assert!(
         fleet
             .endpoints
@@ -82,22 +82,22 @@
 
 /// A job never starts. The service that chooses was down when it was asked, and nobody asked again.
 #[test]
-fn ask_without_answer_is_repeated() {
+fn failed_ticket_request_is_repeated() {
     let mut fleet = two_endpoints();
     fleet.handle(Event::Advised {
         step: format!("{}.0.0.0", job_id(1)).parse().expect("a name"),
         answer: None,
     });
     fleet.advance(600);
-    assert_eq!(asked(&fleet).len(), 2);
+    assert_eq!(requested(&fleet).len(), 2);
 }
 
 /// The service is asked about the same endpoints over and over, which costs it time for each; what
 /// it refused once it always refuses.
 #[test]
-fn refused_endpoints_are_not_asked_about_again() {
+fn refused_endpoints_are_not_requested_again() {
     let mut fleet = two_endpoints();
     answer(&mut fleet, &[]);
     fleet.advance(1_000);
-    assert_eq!(asked(&fleet).len(), 1);
+    assert_eq!(requested(&fleet).len(), 1);
 }
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -70,7 +70,7 @@
     ended: Vec<EndedTask>,
     ends: u64,
     /// Runs that were stopped or have ended here: no run up to these begins any more.
-    over: Vec<(TaskRef, u32)>,
+    ended_runs: Vec<(TaskRef, u32)>,
     lease_until_ms: u64,
 }
 
@@ -84,7 +84,7 @@
             return false;
         };
         self.running.remove(index);
-        self.over.push((task, run));
+        self.ended_runs.push((task, run));
         self.ends += 1;
         self.ended.push(EndedTask {
             number: self.ends,
@@ -385,7 +385,7 @@
                 let index = self.index_of(endpoint);
                 let fake = &mut self.endpoints[index];
                 if !fake.end(task, run, EndKind::Stopped) {
-                    fake.over.push((task, run));
+                    fake.ended_runs.push((task, run));
                 }
                 let event = Event::Stopped {
                     endpoint,
@@ -447,7 +447,7 @@
             return CallOutcome::Done(now_ms);
         }
         if fake
-            .over
+            .ended_runs
             .iter()
             .any(|(known, over)| *known == task && *over >= run)
         {
@@ -622,7 +622,7 @@
 }
 
 histories! {
-    late_orders_and_answers: 0..16, 0;
-    owner_that_falls_behind: 100..116, 4_000;
-    owner_that_falls_behind_its_leases: 200..216, 12_000;
+    delayed_orders_and_answers: 0..16, 0;
+    delayed_owner: 100..116, 4_000;
+    owner_delayed_beyond_its_leases: 200..216, 12_000;
 }
--- a/crates/engine/tests/demand.rs
+++ b/crates/engine/tests/demand.rs
@@ -74,8 +74,8 @@
 }
 
 macro_rules! loads {
-    ($($(#[$story:meta])* $name:ident: $jobs:expr, $every_ms:expr, $within_ms:expr => $moved:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() {
+    ($($(#[$doc:meta])* $name:ident: $jobs:expr, $every_ms:expr, $within_ms:expr => $moved:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() {
             let moved = moved_while($jobs, $every_ms, $within_ms);
             assert!($moved.contains(&moved), "{moved}");
         })*
@@ -85,14 +85,14 @@
 loads! {
     /// A queue's turn begins: ten jobs a second, 40 cores in all. The first jobs still found room, so
     /// nothing waited, and VMs were asked for only when callers had no time left for them.
-    vms_are_asked_for_as_work_comes_in_faster: 4, 100, 400 => 1..=3;
+    growing_load_orders_vms_early: 4, 100, 400 => 1..=3;
 
-    single_job_with_room_takes_none: 1, 0, 1_000 => 0..=0;
+    single_job_within_the_capacity_orders_none: 1, 0, 1_000 => 0..=0;
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $step:expr, $spares:expr => $moved:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() {
+    ($($(#[$doc:meta])* $name:ident: $step:expr, $spares:expr => $moved:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() {
             assert_eq!(moved_for($step, $spares), $moved);
         })*
     };
@@ -101,19 +101,19 @@
 cases! {
     /// Work for a label waits for good. The pool has room enough on VMs without the label, so none
     /// is asked for.
-    label_that_the_pool_lacks_brings_a_vm_with_it:
+    label_missing_from_the_pool_orders_a_matching_vm:
         StepSpec { required_label: "b".into(), ..step(2) },
         vec![spare("vm-a", "a", "r1", 0), spare("vm-b", "b", "r1", 0)] => ["vm-b"];
 
     /// A burst of work for a label that no VM has. The pool takes all others in for nothing and
     /// keeps them, and every other pool starves (0.13 to 0.33 of a calm day's worth where 0.37 to
     /// 0.47 is reached otherwise).
-    label_that_no_vm_has_brings_none:
+    label_of_no_vm_orders_none:
         StepSpec { required_label: "c".into(), ..step(60) },
         vec![spare("vm-a", "a", "r1", 0), spare("vm-b", "b", "r1", 0)] => [] as [&str; 0];
 
     /// Tasks with accelerators wait while VMs without any come one after the other.
-    accelerators_are_looked_for:
+    accelerator_tasks_order_a_vm_with_accelerators:
         StepSpec { resources: Resources { gpus: 1, ..step(1).resources }, ..step(1) },
         vec![spare("vm-a", "a", "r1", 0), spare("vm-g", "a", "r1", 4)] => ["vm-g"];
 
@@ -123,20 +123,20 @@
         vec![spare("vm-1", "a", "r1", 0), spare("vm-2", "a", "r2", 0)] => ["vm-2"];
 
     /// Memory is used up and the processor is not: the pool was taken to have room.
-    memory_that_is_short_brings_a_vm:
+    memory_shortage_orders_a_vm:
         StepSpec { resources: Resources { memory_mb: 16_000, cpu_millis: 100, gpus: 0 }, ..step(6) },
         vec![spare("vm-1", "a", "r1", 0)] => ["vm-1"];
 
     /// One large job: 60 tasks of one core for 3 s. Asked for by its work, it took seven times the VMs
     /// that run all of it at once, and other pools went without.
-    large_job_takes_no_more_vms_than_run_it_at_once:
+    large_job_orders_no_more_vms_than_it_can_use:
         StepSpec { estimated_ms: 3_000, ..step(60) },
         (1..20).map(|number| spare(&format!("vm-{number:02}"), "a", "r1", 0)).collect()
             => ["vm-01", "vm-02", "vm-03"];
 
     /// Long-running tasks of which one may be on an endpoint ask for endpoints. Counted as work,
     /// they took every VM in while they waited.
-    tasks_that_may_not_share_bring_one_vm_each:
+    tasks_that_may_not_share_order_one_vm_each:
         StepSpec { long_running: true, max_per_endpoint: 1, ..step(3) },
         (1..8).map(|number| spare(&format!("vm-{number}"), "a", "r1", 0)).collect()
             => ["vm-1", "vm-2"];
@@ -144,7 +144,7 @@
 
 /// Guards against VMs that are fetched for tasks which their account's quota keeps from starting.
 #[test]
-fn tasks_that_wait_for_a_quota_bring_no_vms() {
+fn tasks_that_wait_for_a_quota_order_no_vms() {
     for (cores, wanted) in [(16, 0), (0, 1)] {
         let mut fleet = Fleet::new();
         fleet.configure_accounts(&[account("hot", cores)]);
--- a/crates/engine/tests/fair_shares.rs
+++ b/crates/engine/tests/fair_shares.rs
@@ -36,7 +36,7 @@
 }
 
 /// Returns a full fleet of two accounts, of which the first has handed in far more than its usual.
-fn flooded_fleet() -> Fleet {
+fn fleet_with_excess_demand() -> Fleet {
     let mut fleet = fleet_of_two();
     for number in 1..=10 {
         fleet.submit_as("hot", number, step(8));
@@ -56,18 +56,18 @@
 }
 
 levels! {
-    nobody_waits: [claim(1.0, 5.0, 5.0), claim(2.0, 3.0, 3.0)], 0.0 => f64::INFINITY;
-    what_is_free_suffices: [claim(1.0, 5.0, 7.0), claim(2.0, 3.0, 4.0)], 3.0 => f64::INFINITY;
-    alike_accounts_get_the_same: [claim(1.0, 9.0, 20.0), claim(1.0, 1.0, 20.0)], 0.0 => 5.0;
-    what_one_leaves_goes_to_the_others:
+    all_demand_is_met: [claim(1.0, 5.0, 5.0), claim(2.0, 3.0, 3.0)], 0.0 => f64::INFINITY;
+    free_capacity_meets_all_demand: [claim(1.0, 5.0, 7.0), claim(2.0, 3.0, 4.0)], 3.0 => f64::INFINITY;
+    equal_accounts_get_equal_shares: [claim(1.0, 9.0, 20.0), claim(1.0, 1.0, 20.0)], 0.0 => 5.0;
+    unused_share_goes_to_the_others:
         [claim(1.0, 2.0, 2.0), claim(1.0, 8.0, 30.0), claim(1.0, 2.0, 30.0)], 0.0 => 5.0;
-    weight_counts: [claim(3.0, 6.0, 100.0), claim(1.0, 6.0, 100.0)], 4.0 => 4.0;
+    shares_follow_weights: [claim(3.0, 6.0, 100.0), claim(1.0, 6.0, 100.0)], 4.0 => 4.0;
     an_account_without_weight_gets_nothing: [claim(0.0, 4.0, 9.0), claim(1.0, 4.0, 9.0)], 0.0 => 4.0;
 }
 
 /// Guards against demand that varies being taken for demand that floods.
 #[test]
-fn an_account_floods_by_twice_its_share() {
+fn excess_demand_begins_at_twice_the_share() {
     assert!(!claim(1.0, 4.0, 7.9).has_excess_demand(4.0));
     assert!(claim(1.0, 4.0, 8.0).has_excess_demand(4.0));
     assert!(!claim(1.0, 4.0, 8.0).has_excess_demand(f64::INFINITY));
@@ -75,8 +75,8 @@
 
 /// Guards against an account whose jobs came first keeping all room that becomes free.
 #[test]
-fn room_that_becomes_free_goes_to_the_account_below_its_share() {
-    let mut fleet = flooded_fleet();
+fn freed_capacity_goes_to_the_account_below_its_share() {
+    let mut fleet = fleet_with_excess_demand();
     assert_eq!(fleet.running_cores(|_| true), CORES);
     fleet.advance(100);
     fleet.submit_as("usual", 90, step(8));
@@ -90,7 +90,7 @@
 
 /// Guards against an account whose demand rises a little being held back for others.
 #[test]
-fn demand_that_varies_starts_in_its_usual_order() {
+fn moderate_demand_starts_in_the_usual_order() {
     let mut fleet = fleet_of_two();
     for number in 1..=3 {
         fleet.submit_as("hot", number, step(8));
@@ -102,8 +102,8 @@
 
 /// Guards against room kept idle for accounts that do not want it.
 #[test]
-fn room_is_never_kept_from_the_flooding_account() {
-    let mut fleet = flooded_fleet();
+fn idle_capacity_goes_to_the_account_with_excess_demand() {
+    let mut fleet = fleet_with_excess_demand();
     fleet.end_all_done();
     fleet.settle();
     assert_eq!(fleet.running_cores(|_| true), CORES);
@@ -111,8 +111,8 @@
 
 /// Guards against a job that waits behind others without a word in the log.
 #[test]
-fn waiting_behind_others_is_noted() {
-    let mut fleet = flooded_fleet();
+fn waiting_for_other_accounts_is_logged() {
+    let mut fleet = fleet_with_excess_demand();
     fleet.engine.take_log_events();
     fleet.submit_as("usual", 90, step(14));
     fleet.end_all_done();
--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -36,7 +36,7 @@
     running: Vec<(TaskRef, u32)>,
     random: ChaCha8Rng,
     jobs: u64,
-    lives: usize,
+    incarnations: usize,
     done: Vec<TaskRef>,
 }
 
@@ -53,7 +53,7 @@
             running: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             jobs: 0,
-            lives: ENDPOINTS,
+            incarnations: ENDPOINTS,
             done: Vec::new(),
         }
     }
@@ -141,8 +141,8 @@
 
     /// Ends a life; another begins at the same address.
     fn crash(&mut self, endpoint: usize) {
-        self.lives += 1;
-        let id = format!("i-{}", self.lives);
+        self.incarnations += 1;
+        let id = format!("i-{}", self.incarnations);
         let fake = &mut self.fleet.endpoints[endpoint];
         // What was done and not told is lost with the life.
         let lost: Vec<TaskRef> = fake.ended.iter().map(|ended| ended.task).collect();
@@ -256,5 +256,5 @@
 histories! {
     first_seeds: 0..12;
     further_seeds: 1_000..1_012;
-    orders_to_a_life_that_is_over: [5_149];
+    orders_to_an_ended_incarnation: [5_149];
 }
--- a/crates/engine/tests/lives.rs
+++ b/crates/engine/tests/incarnations.rs
@@ -24,7 +24,7 @@
 /// VMs move all day, and each move ends a life of an endpoint. The owner grows and slows down by
 /// the hour, as it keeps them all and looks at all of them again and again.
 #[test]
-fn lives_that_ended_long_ago_are_forgotten() {
+fn ended_incarnations_are_removed() {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-0", 16_000);
     for number in 1..50 {
@@ -39,7 +39,7 @@
 /// An answer that comes after all that time names a life that has been forgotten. It concerns
 /// nobody, and work goes on.
 #[test]
-fn late_answer_of_a_forgotten_life_changes_nothing() {
+fn late_answer_of_a_removed_incarnation_is_ignored() {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-0", 16_000);
     let forgotten = fleet.engine.endpoints().keys()[0];
--- a/crates/engine/tests/latency.rs
+++ b/crates/engine/tests/latency.rs
@@ -11,7 +11,7 @@
 /// second; a job started there right after such a question, and its end was told only when
 /// the next one was due.
 #[test]
-fn first_run_on_an_idle_endpoint_has_a_renewal_waiting_for_its_end() {
+fn first_run_on_an_idle_endpoint_has_a_renewal_in_flight() {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", 16_000);
     fleet.advance(500);
--- a/crates/engine/tests/origins.rs
+++ b/crates/engine/tests/origins.rs
@@ -64,7 +64,7 @@
 /// Tasks of a job never start. The node that took the job is gone with its payload, and a sound endpoint
 /// is blamed for each start that could not be sent.
 #[test]
-fn start_that_lacked_its_payload_carries_it_the_next_time() {
+fn start_without_its_payload_includes_it_when_retried() {
     let (mut fleet, start) = fleet_with_a_start();
     unsent(&mut fleet, start.endpoint, start.task);
     let endpoint = fleet.engine.endpoints().get(start.endpoint);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn endpoint_that_cannot_be_reached_is_blamed_with_the_payload_at_hand() {
+fn unreachable_endpoint_counts_as_failed_if_the_payload_was_sent() {
     let (mut fleet, start) = fleet_with_a_start();
     unsent(&mut fleet, start.endpoint, start.task);
     let again = starts(&mut fleet).remove(0);
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -258,5 +258,5 @@
 }
 
 histories! {
-    indexes_decide_as_a_search_through_everything: 0..24;
+    indexed_placement_matches_an_exhaustive_search: 0..24;
 }
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -45,7 +45,7 @@
 
 cases! {
     /// Guards against a step wider than its account's quota being started whole.
-    a_wide_step_runs_in_waves: {
+    a_step_above_the_quota_runs_in_parts: {
         let mut fleet = fleet_at_the_quota();
         for expected in [3, 3, 2] {
             assert_eq!(all(&fleet), expected);
@@ -67,7 +67,7 @@
     };
 
     /// Guards against a new owner that starts a quota's worth beside the runs of the one before.
-    a_new_owner_counts_what_the_earlier_one_started: {
+    a_new_owner_counts_the_runs_of_the_previous_one: {
         let mut fleet = fleet_at_the_quota();
         for endpoint in &mut fleet.endpoints {
             endpoint.is_silent = true;
@@ -93,7 +93,7 @@
     };
 
     /// Guards against a cut that stops runs, and against starts above the cut quota.
-    a_cut_quota_stops_nothing_and_starts_nothing: {
+    a_reduced_quota_stops_nothing_and_starts_nothing: {
         let mut fleet = fleet_at_the_quota();
         fleet.configure_accounts(&[account("maps", 1)]);
         fleet.advance(1_000);
@@ -104,7 +104,7 @@
     };
 
     /// Guards against orders that were decided by the higher quota and go out after the cut.
-    decisions_that_are_not_stored_when_the_quota_is_cut_are_taken_back: {
+    unstored_decisions_are_reverted_when_the_quota_is_reduced: {
         let mut fleet = fleet_with(&[account("maps", 6)]);
         fleet.submit_as("maps", 1, step(6));
         let batch = fleet.engine.take_batch(fleet.now);
@@ -115,7 +115,7 @@
     };
 
     /// Guards against an order without answer that is repeated, and first carried out, after the cut.
-    orders_without_answer_are_not_repeated_above_the_quota: {
+    unanswered_orders_are_not_retried_above_the_quota: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, step(2));
         fleet.settle();
@@ -148,7 +148,7 @@
     };
 
     /// Guards against a job that waits for good, as no quota lets it run.
-    what_can_never_fit_is_refused_at_once: {
+    jobs_above_the_quota_are_refused: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         let wide = |gang| StepSpec { gang, ..step(4) };
         fleet.submit_as("maps", 1, wide(true));
@@ -176,7 +176,7 @@
     };
 
     /// Guards against filling tasks, which take no room of an endpoint, passing the quota.
-    filling_and_long_running_tasks_count: {
+    filler_and_long_running_tasks_count: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, StepSpec { filler: true, long_running: true, ..step(5) });
         fleet.settle();
@@ -198,7 +198,7 @@
     };
 
     /// Guards against a job that waits without a word: the log has to say for what.
-    waiting_for_a_quota_is_noted_with_its_figures: {
+    waiting_for_a_quota_is_logged_with_its_values: {
         let mut fleet = fleet_at_the_quota();
         fleet.advance(900);
         let notes = fleet.engine.take_log_events();
@@ -223,7 +223,7 @@
     };
 
     /// Guards against a stranger that reads, cancels or hands in again the job of another account.
-    a_job_is_closed_to_other_accounts: {
+    a_job_is_inaccessible_to_other_accounts: {
         let mut fleet = fleet_at_the_quota();
         let cancel = |account: &str, token| Event::Cancel {
             job: job_id(1),
@@ -256,7 +256,7 @@
     };
 
     /// Guards against state that grows with every account that ever was.
-    accounts_that_are_gone_are_forgotten: {
+    unused_accounts_are_removed: {
         let mut tracker = QuotaTracker::default();
         for round in 0..100 {
             let name = format!("account-{round}");
@@ -272,7 +272,7 @@
     };
 
     /// Guards against nodes that give one key to different accounts.
-    a_key_of_two_accounts_stands_for_the_first_by_name: {
+    a_key_of_two_accounts_identifies_the_first_by_name: {
         let key = KeyDigest::new(b"shared");
         let holding = |name| ClientAccount { keys: vec![key], ..account(name, 0) };
         for accounts in [["post", "maps"], ["maps", "post"]] {
@@ -297,18 +297,18 @@
     let mut tracker = QuotaTracker::default();
     tracker.configure(&ClientAccounts::new(vec![account("maps", 2)]));
     let number = tracker.number("maps");
-    let room = |cpu_millis, memory_mb| Resources {
+    let resources = |cpu_millis, memory_mb| Resources {
         cpu_millis,
         memory_mb,
         gpus: 1,
     };
-    assert_eq!(tracker.startable_runs(number, &room(500, 1 << 40)), 4);
-    tracker.charge(number, &room(1_800, 7));
-    assert_eq!(tracker.startable_runs(number, &room(500, 7)), 0);
-    assert_eq!(tracker.startable_runs(number, &room(0, 7)), u64::MAX);
+    assert_eq!(tracker.startable_runs(number, &resources(500, 1 << 40)), 4);
+    tracker.charge(number, &resources(1_800, 7));
+    assert_eq!(tracker.startable_runs(number, &resources(500, 7)), 0);
+    assert_eq!(tracker.startable_runs(number, &resources(0, 7)), u64::MAX);
     assert!(!tracker.is_exceeded(number));
     assert_eq!(
-        tracker.startable_runs(tracker.clone().number(""), &room(500, 7)),
+        tracker.startable_runs(tracker.clone().number(""), &resources(500, 7)),
         u64::MAX
     );
 }
--- a/crates/engine/tests/renewals.rs
+++ b/crates/engine/tests/renewals.rs
@@ -26,8 +26,8 @@
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $step:expr => $wait_ms:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() {
+    ($($(#[$doc:meta])* $name:ident: $step:expr => $wait_ms:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() {
             assert_eq!(wait_with($step), Some($wait_ms));
         })*
     };
@@ -36,8 +36,8 @@
 cases! {
     /// Callers wait for jobs whose tasks ended long ago. The answer that told of the ends was lost,
     /// and the next one came only when the whole wait of the lost one was over.
-    task_that_comes_to_an_end_is_asked_about_often: step(1) => 300;
+    finite_task_has_a_short_hold_time: step(1) => 300;
 
-    task_that_lasts_is_asked_about_at_leisure:
+    long_running_task_has_a_long_hold_time:
         StepSpec { long_running: true, ..step(1) } => 1_000;
 }
--- a/crates/engine/tests/restore.rs
+++ b/crates/engine/tests/restore.rs
@@ -11,7 +11,7 @@
 /// no such job. The new owner found the job's details still stored, wrote its end once more, and
 /// took the end for one of long ago, as it had no time for it.
 #[test]
-fn job_that_ended_before_a_take_over_stays_known() {
+fn job_that_ended_before_a_takeover_stays_known() {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", 16_000);
     fleet.submit(1, 1);
@@ -32,7 +32,7 @@
 /// on which the task runs. The new owner had heard of the ended life later, from the jobs'
 /// records, took it for the successor, and started the task again elsewhere.
 #[test]
-fn stale_list_of_vms_after_a_take_over_ends_no_sound_life() {
+fn outdated_vm_list_after_a_takeover_ends_no_current_incarnation() {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-sound", 16_000);
     fleet.list_endpoint("i-ended", 16_000);
@@ -55,7 +55,7 @@
 /// a new life. The successor knows the old life only from the job's record, cannot tell that the
 /// new one replaces it, and waits for leases.
 #[test]
-fn life_that_answers_ends_an_older_one_at_its_address() {
+fn answering_incarnation_ends_an_older_one_at_its_address() {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-old", 16_000);
     fleet.list_endpoint("i-other", 16_000);
@@ -77,7 +77,7 @@
 /// was written late; it was taken for a new life in the place of the sound one, whose runs were
 /// started again elsewhere.
 #[test]
-fn late_entry_of_an_ended_life_ends_no_sound_one() {
+fn late_entry_of_an_ended_incarnation_ends_no_current_one() {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", 16_000);
     fleet.list_endpoint("i-2", 16_000);
--- a/crates/engine/tests/shortage.rs
+++ b/crates/engine/tests/shortage.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn late_work_gets_the_vms_that_are_left() {
+fn late_work_gets_the_remaining_vms() {
     let mut fleet = two_pools();
     submit(&mut fleet, 1, queue(), 60);
     fleet.advance(4_000);
@@ -79,11 +79,11 @@
 #[test]
 fn long_running_work_is_never_late() {
     let mut fleet = two_pools();
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         ..step(60)
     };
-    submit_step(&mut fleet, 1, queue(), lasting);
+    submit_step(&mut fleet, 1, queue(), long_running);
     fleet.advance(4_000);
     submit(&mut fleet, 2, other_queue(), 8);
     fleet.handle(Event::VmsListed(vec![spare("vm-1")]));
--- a/crates/engine/tests/store_away.rs
+++ b/crates/engine/tests/store_unavailable.rs
@@ -24,7 +24,7 @@
     fleet
 }
 
-fn learn(fleet: &mut Fleet, is_store_unavailable: bool) {
+fn set_store_unavailable(fleet: &mut Fleet, is_store_unavailable: bool) {
     fleet.engine.set_store_unavailable(is_store_unavailable);
     fleet.advance(100);
 }
@@ -32,10 +32,10 @@
 /// A shop's order is lost: its caller was kept until its deadline while the store was away, was told
 /// that the outcome is not known, and may not hand the order in a second time.
 #[test]
-fn job_of_which_nothing_was_sent_is_refused_when_the_store_is_away() {
+fn unsent_job_is_refused_while_the_store_is_unavailable() {
     let mut fleet = fleet_without_store();
     fleet.submit(2, 1);
-    learn(&mut fleet, true);
+    set_store_unavailable(&mut fleet, true);
     assert_eq!(answers(&fleet, 2), [CallerAnswer::Refused]);
     fleet.submit(3, 1);
     fleet.advance(100);
@@ -46,20 +46,20 @@
 #[test]
 fn job_that_may_be_stored_is_not_refused() {
     let mut fleet = fleet_without_store();
-    learn(&mut fleet, true);
+    set_store_unavailable(&mut fleet, true);
     assert_eq!(answers(&fleet, 1), []);
     fleet.is_store_down = false;
-    learn(&mut fleet, false);
+    set_store_unavailable(&mut fleet, false);
     assert_eq!(answers(&fleet, 1), [CallerAnswer::Accepted]);
 }
 
 #[test]
-fn refused_job_does_not_run_and_may_come_back() {
+fn refused_job_does_not_run_and_may_be_resubmitted() {
     let mut fleet = fleet_without_store();
     fleet.submit(2, 1);
-    learn(&mut fleet, true);
+    set_store_unavailable(&mut fleet, true);
     fleet.is_store_down = false;
-    learn(&mut fleet, false);
+    set_store_unavailable(&mut fleet, false);
     assert_eq!(fleet.job_state(2), None);
     assert_eq!(fleet.endpoints[0].running.len(), 1);
     fleet.submit(2, 1);
@@ -72,11 +72,11 @@
 }
 
 #[test]
-fn job_handed_in_again_while_the_store_is_away_stays_accepted() {
+fn resubmitted_job_stays_accepted_while_the_store_is_unavailable() {
     let mut fleet = fleet_without_store();
     fleet.is_store_down = false;
     fleet.advance(100);
-    learn(&mut fleet, true);
+    set_store_unavailable(&mut fleet, true);
     fleet.submit(1, 1);
     fleet.advance(100);
     assert_eq!(
--- a/crates/engine/tests/stragglers.rs
+++ b/crates/engine/tests/stragglers.rs
@@ -23,7 +23,7 @@
 /// Crews wait for a map that never comes. Tasks on one worker stand still for seconds while it
 /// answers every renewal and calls itself healthy, and nobody looked at their progress.
 #[test]
-fn run_that_stands_still_goes_on_elsewhere() {
+fn stuck_run_restarts_elsewhere() {
     let mut fleet = fleet_with_a_run();
     fleet.endpoints[0].percent = Some(30);
     fleet.advance(5_000);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn run_that_progresses_is_left_alone() {
+fn run_with_progress_is_not_stopped() {
     let mut fleet = fleet_with_a_run();
     for percent in 1..50 {
         fleet.endpoints[0].percent = Some(percent);
@@ -44,7 +44,7 @@
 /// Sound runs are stopped by the hundred and begin again from nothing. The owner has fallen seconds
 /// behind, and reads several reports of the same moment one after the other.
 #[test]
-fn owner_that_reads_reports_late_stops_no_sound_run() {
+fn owner_with_delayed_reports_stops_no_progressing_run() {
     let mut fleet = fleet_with_a_run();
     let key = fleet.engine.endpoints().find("i-1").expect("an endpoint");
     let (task, run) = fleet.endpoints[0].running[0];
--- a/crates/engine/tests/vm_rests.rs
+++ b/crates/engine/tests/vm_cooldowns.rs
@@ -56,8 +56,8 @@
 }
 
 macro_rules! cases {
-    ($($(#[$story:meta])* $name:ident: $is_answered:expr, $prepare:expr, $within_ms:expr => $is_ordered:expr;)*) => {
-        $($(#[$story])* #[test] fn $name() {
+    ($($(#[$doc:meta])* $name:ident: $is_answered:expr, $prepare:expr, $within_ms:expr => $is_ordered:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() {
             let mut fleet = after_loss($is_answered);
             let prepare: fn(&mut Fleet) = $prepare;
             prepare(&mut fleet);
@@ -68,23 +68,23 @@
 
 cases! {
     /// An owner that may still live gives an order for the same VM right after its successor's.
-    vm_of_an_owner_that_may_live_rests: true, |_| {}, 2_500 => false;
+    vm_of_a_possibly_live_owner_is_in_cooldown: true, |_| {}, 2_500 => false;
 
-    vm_of_an_owner_that_may_live_rests_no_longer_than_needed: true, |_| {}, 3_400 => true;
+    cooldown_of_a_possibly_live_owner_ends: true, |_| {}, 3_400 => true;
 
     /// All nodes are lost in the turn of a pool and come back at once. Its jobs wait: every VM
     /// rests for 3 s for fear of an owner whose process is known to be over.
-    vm_of_an_ended_owner_is_free_at_once:
+    vm_of_an_ended_owner_is_available_immediately:
         true, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 200 => true;
 
     /// The order of the ended owner may be on its way still; carried out after the successor's, it
     /// would take the VM away from where that sent it.
-    vm_with_an_order_under_way_rests_until_that_is_over:
+    vm_with_an_order_in_flight_is_in_cooldown:
         false, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 1_000 => false;
 
-    vm_with_an_order_under_way_rests_no_longer:
+    cooldown_of_an_order_in_flight_ends:
         false, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 1_500 => true;
 
     /// Two owners were lost within three seconds, and only the later one is known to be over.
-    vm_of_another_epoch_rests: true, |fleet| fleet.engine.end_vm_cooldowns(EPOCH + 1, 0), 2_500 => false;
+    vm_of_another_epoch_is_in_cooldown: true, |fleet| fleet.engine.end_vm_cooldowns(EPOCH + 1, 0), 2_500 => false;
 }
--- a/crates/engine/tests/vm_orders.rs
+++ b/crates/engine/tests/vm_orders.rs
@@ -66,7 +66,7 @@
 /// given twice; the second call was refused and the VM took work again, and then the first call was
 /// carried out and ended that work.
 #[test]
-fn vm_of_an_order_that_may_be_carried_out_yet_takes_no_work() {
+fn vm_with_an_order_that_may_take_effect_gets_no_work() {
     let mut fleet = idle_fleet();
     let vm = first_moved(&fleet);
     answer(&mut fleet, &vm, VmOutcome::Unknown);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn vm_whose_order_was_refused_at_once_takes_work_again() {
+fn vm_whose_first_order_was_refused_gets_work_again() {
     let mut fleet = idle_fleet();
     let vm = first_moved(&fleet);
     answer(&mut fleet, &vm, VmOutcome::Refused);
@@ -87,7 +87,7 @@
 /// One task runs on two sound VMs. A call took long, and its order was given once more beside it; the
 /// late answer was taken for that to the next order for the VM, whose runs then counted as lost.
 #[test]
-fn order_is_not_given_again_beside_a_call_under_way() {
+fn order_is_not_retried_while_a_call_is_in_flight() {
     let mut fleet = idle_fleet();
     let vm = first_moved(&fleet);
     fleet.advance(6_000);
@@ -132,7 +132,7 @@
 /// A turn asks for hundreds of VMs at once, and the service refuses what goes beyond its rate. Which
 /// orders got through was left to chance, and the VMs of the others rested for seconds.
 #[test]
-fn orders_keep_to_the_rate_of_the_service() {
+fn orders_respect_the_rate_limit_of_the_service() {
     assert!((30..=42).contains(&fetched_within(1_000, 32)));
     assert!(fetched_within(1_000, 1_000) >= 249);
 }
--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -50,7 +50,7 @@
 }
 
 /// Hands in a job whose tasks last, of which one may be unavailable.
-fn submit_lasting(fleet: &mut Fleet, count: u16, max_per_endpoint: u16) {
+fn submit_long_running(fleet: &mut Fleet, count: u16, max_per_endpoint: u16) {
     let spec = StepSpec {
         long_running: true,
         max_per_endpoint,
@@ -85,7 +85,7 @@
 /// Two VMs of a wave are down where one is allowed. The list of VMs was asked for before the first
 /// maintenance began and came after; it shows the VM as up, and the next one was ordered.
 #[test]
-fn stale_list_of_vms_does_not_end_a_maintenance() {
+fn outdated_vm_list_does_not_end_a_maintenance() {
     let (mut fleet, vms) = three_vms();
     fleet.handle(wave(&["vm-1", "vm-2"], 1));
     fleet.advance(100);
@@ -103,9 +103,9 @@
 /// A long-running task is cut off though its budget is spent. One of its siblings sits on an
 /// endpoint that has fallen silent; what it told last, at work, was taken for how it stands.
 #[test]
-fn silent_sibling_counts_as_unavailable() {
+fn unresponsive_sibling_counts_as_unavailable() {
     let (mut fleet, _) = three_vms();
-    submit_lasting(&mut fleet, 3, 1);
+    submit_long_running(&mut fleet, 3, 1);
     fleet.settle();
     fleet.advance(1_500);
     fleet.endpoints[0].is_silent = true;
@@ -123,7 +123,7 @@
 /// A wave ends late. Its owner is lost in the middle, and the successor, which reads the order
 /// anew, takes the wave for one that has just begun and leaves busy VMs alone.
 #[test]
-fn wave_keeps_its_time_over_a_take_over() {
+fn wave_keeps_its_start_time_after_a_takeover() {
     let (mut fleet, vms) = three_vms();
     fleet.submit(1, 40);
     fleet.settle();
@@ -146,7 +146,7 @@
 /// Two owners order the same VM within seconds, and the platform sees them take turns. A
 /// successor waits with VMs that its predecessor ordered lately, and only with these.
 #[test]
-fn successor_waits_only_for_vms_ordered_lately() {
+fn successor_waits_only_for_recently_ordered_vms() {
     let (mut fleet, vms) = three_vms();
     fleet.handle(wave(&["vm-1"], 1));
     fleet.advance(100);
@@ -169,7 +169,7 @@
 #[test]
 fn stop_that_is_not_stored_is_not_repeated() {
     let (mut fleet, _) = three_vms();
-    submit_lasting(&mut fleet, 2, 0);
+    submit_long_running(&mut fleet, 2, 0);
     fleet.settle();
     fleet.advance(1_500);
     fleet.is_store_down = true;
@@ -186,7 +186,7 @@
 /// the VM had come back with a new life that ran tasks when the repeat was answered as done. The
 /// new life was taken for the one that had ended, and its tasks were started elsewhere.
 #[test]
-fn late_answer_to_an_order_spares_the_next_life() {
+fn late_answer_to_an_order_does_not_end_the_next_incarnation() {
     let (mut fleet, _) = three_vms();
     fleet.handle(wave(&["vm-1"], 1));
     fleet.advance(100);
@@ -221,9 +221,9 @@
 /// wave while the store was down; before the decision could be stored the endpoint of the second
 /// crashed, and the order went out all the same when the store came back.
 #[test]
-fn stop_is_taken_back_when_a_sibling_went_before_it_was_stored() {
+fn stop_is_reverted_when_a_sibling_is_lost_before_it_is_stored() {
     let (mut fleet, _) = three_vms();
-    submit_lasting(&mut fleet, 2, 1);
+    submit_long_running(&mut fleet, 2, 1);
     fleet.settle();
     fleet.advance(1_500);
     fleet.is_store_down = true;
@@ -241,7 +241,7 @@
 /// only VM with their label. One was stopped for maintenance and could go on nowhere else; with it
 /// away the budget allowed no other to be stopped.
 #[test]
-fn vm_that_cannot_be_emptied_is_given_back() {
+fn drain_without_progress_is_aborted() {
     let (mut fleet, _) = three_vms();
     let step = StepSpec {
         long_running: true,
