--- a/crates/engine/benches/events.rs
+++ b/crates/engine/benches/events.rs
@@ -1,4 +1,4 @@
-//! Cost of an event and of a tick, by endpoints and by tasks that wait.
+//! Cost of events and ticks by the numbers of endpoints and waiting tasks.
 
 use {
     divan::{Bencher, black_box},
@@ -9,7 +9,7 @@
     },
 };
 
-/// Endpoints, and tasks that wait because every endpoint is full.
+/// Numbers of endpoints and of waiting tasks.
 const SIZES: [(u16, u64); 8] = [
     (50, 0),
     (350, 0),
@@ -21,7 +21,7 @@
     (5_600, 3_000),
 ];
 
-/// Client accounts among which the jobs are spread, at 1,400 endpoints with 3,000 tasks that wait.
+/// Numbers of client accounts that share the jobs.
 const ACCOUNTS: [u64; 4] = [0, 1, 20, 300];
 
 const ACCOUNTS_ENDPOINTS: u16 = 1_400;
@@ -33,7 +33,7 @@
 /// Processor of an endpoint, in thousandths of a core.
 const CPU_MILLIS: u64 = 16_000;
 
-/// Tasks of a job.
+/// Tasks of each job.
 const TASKS: u16 = 10;
 
 fn main() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Stores a batch at once.
+/// Takes and commits a batch.
 fn store(engine: &mut Engine, ms: u64) {
     let batch = engine.take_batch(now(ms));
     black_box(engine.committed(batch, now(ms)));
@@ -116,12 +116,12 @@
     black_box(engine.take_log_events());
 }
 
-/// Returns an engine with endpoints that are full, four tasks on each, and tasks that wait.
+/// Returns an engine with four tasks on each endpoint, all full, and waiting tasks.
 fn busy(endpoints: u16, waiting: u64) -> Engine {
     busy_for(endpoints, waiting, 0)
 }
 
-/// Returns such an engine whose jobs are those of so many client accounts.
+/// Returns such an engine whose jobs are distributed among client accounts.
 fn busy_for(endpoints: u16, waiting: u64, accounts: u64) -> Engine {
     let mut engine = Engine::new(EngineSettings::default());
     let pool = |name: &str, is_standby| Pool {
@@ -201,7 +201,7 @@
         .collect()
 }
 
-/// Returns runs as an endpoint tells of them.
+/// Returns runs as reported by an endpoint.
 fn reported(runs: &[(TaskRef, u32)]) -> Vec<RunningTask> {
     let running = runs.iter().map(|&(task, run)| RunningTask {
         task,
@@ -213,7 +213,7 @@
     running.collect()
 }
 
-/// An endpoint tells of its runs, none of which has ended.
+/// An endpoint reports its runs, none of which has ended.
 #[divan::bench(args = SIZES, sample_count = 60)]
 fn report(bencher: Bencher, (endpoints, waiting): (u16, u64)) {
     let mut engine = busy(endpoints, waiting);
@@ -231,7 +231,7 @@
     });
 }
 
-/// A run ends as done; a task that waits takes its room.
+/// A run ends as done, and a waiting task takes its place.
 #[divan::bench(args = SIZES, sample_count = 60)]
 fn end(bencher: Bencher, (endpoints, waiting): (u16, u64)) {
     end_runs(bencher, busy(endpoints, waiting), endpoints);
@@ -273,7 +273,7 @@
     });
 }
 
-/// A job is handed in and has to wait.
+/// A job is submitted and has to wait.
 #[divan::bench(args = SIZES, sample_count = 60)]
 fn submission(bencher: Bencher, (endpoints, waiting): (u16, u64)) {
     let mut engine = busy(endpoints, waiting);
@@ -297,7 +297,7 @@
     });
 }
 
-/// Time passes.
+/// A tick passes.
 #[divan::bench(args = SIZES, sample_count = 60)]
 fn tick(bencher: Bencher, (endpoints, waiting): (u16, u64)) {
     let mut engine = busy(endpoints, waiting);
