--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts as operators have configured them, and the keys by which callers are known.
+//! Client accounts as configured by operators, and the keys that identify callers.
 
 use {
     crate::job::Resources,
@@ -8,28 +8,28 @@
     std::fmt,
 };
 
-/// Bytes of a key's digest.
+/// Length of a key digest, in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// Bytes of the digest that identify a key in logs.
+/// Length of the digest prefix that identifies a key in logs, in bytes.
 const FINGERPRINT_BYTES: usize = 4;
 
 /// Digest of a caller's key.
 ///
-/// Keys are looked up by digest, so that neither the time of a comparison nor what is logged or sent
-/// between nodes tells anything of a key.
+/// Keys are looked up by digest, so that neither comparison times nor logs and messages between
+/// nodes reveal a key.
 #[derive(Clone, Copy, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// Digests a key.
+    /// Computes the digest of a key.
     #[must_use]
     pub fn new(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 }
 
-/// Writes the fingerprint, by which the key is known in logs.
+/// Writes the fingerprint, which identifies the key in logs.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0[..FINGERPRINT_BYTES]
@@ -44,18 +44,18 @@
     }
 }
 
-/// Why a request's key is none.
+/// Why a request has no valid key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyError {
     /// The request carries no key.
     Missing,
     /// The key is empty.
     Empty,
-    /// The request carries several keys.
+    /// The request carries more than one key.
     Repeated,
-    /// The key is longer than any that is taken.
+    /// The key exceeds the maximum length.
     TooLong,
-    /// The key has other characters than visible ASCII.
+    /// The key contains characters other than visible ASCII.
     NotAscii,
 }
 
@@ -76,23 +76,23 @@
 pub struct ClientAccount {
     /// Name.
     pub name: CompactString,
-    /// Digests of its keys.
+    /// Digests of the account's keys.
     pub keys: Vec<KeyDigest>,
-    /// Jobs a second that are its share when there is not room for everybody.
+    /// Weight of the account's fair share while capacity is short, in jobs per second.
     pub weight: f64,
-    /// Most that it may have running at once on all endpoints; 0 is no limit.
+    /// Maximum resources in use at once on all endpoints; 0 means unlimited.
     pub quota: Resources,
 }
 
 impl ClientAccount {
-    /// Tells whether runs that take this room together fit into the quota.
+    /// Returns whether runs with this total fit into the quota.
     #[must_use]
     pub fn may_ever_run(&self, resources: &Resources) -> bool {
         !exceeds_quota(resources, &self.quota)
     }
 }
 
-/// Tells whether a room is larger than a quota, of which 0 is no limit.
+/// Returns whether `resources` exceeds a quota, where 0 means unlimited.
 pub(crate) fn exceeds_quota(resources: &Resources, quota: &Resources) -> bool {
     let exceeds = |amount: u64, quota: u64| quota > 0 && amount > quota;
     exceeds(resources.cpu_millis, quota.cpu_millis)
@@ -100,30 +100,30 @@
         || exceeds(resources.gpus, quota.gpus)
 }
 
-/// A key that two accounts hold.
+/// A key configured for two accounts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SharedKey {
-    /// Key.
+    /// Digest of the key.
     pub key: KeyDigest,
-    /// Account that the key stands for.
+    /// Account that the key identifies.
     pub holder: CompactString,
-    /// Account that the key does not stand for.
+    /// Account that the key does not identify.
     pub ignored_account: CompactString,
 }
 
-/// Client accounts, sorted by name, and whose each key is.
+/// Client accounts sorted by name, with an index of their keys.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ClientAccounts {
     accounts: Vec<ClientAccount>,
-    /// Keys in order, with the place of the account that each stands for.
+    /// Sorted keys, each with the index of its account.
     keys: Vec<(KeyDigest, u32)>,
 }
 
 impl ClientAccounts {
     /// Sorts accounts by name and indexes their keys.
     ///
-    /// A key of several accounts stands for the first by name, and of several accounts with one name
-    /// the first counts, so that every node decides alike.
+    /// A key of several accounts identifies the first one by name, and of several accounts with the
+    /// same name the first one is kept, so that all nodes agree.
     #[must_use]
     pub fn new(mut accounts: Vec<ClientAccount>) -> Self {
         accounts.sort_by(|one, other| one.name.cmp(&other.name));
@@ -138,7 +138,7 @@
         Self { accounts, keys }
     }
 
-    /// Returns the keys that several accounts hold.
+    /// Returns the keys configured for more than one account.
     #[must_use]
     pub fn shared_keys(&self) -> Vec<SharedKey> {
         let mut shared = Vec::new();
@@ -157,7 +157,7 @@
         shared
     }
 
-    /// Returns the account that a key stands for.
+    /// Returns the account that a key identifies.
     #[must_use]
     pub fn holder_of(&self, key: &KeyDigest) -> Option<&ClientAccount> {
         let index = self.keys.binary_search_by_key(key, |(known, _)| *known);
@@ -165,7 +165,7 @@
         self.accounts.get(usize::try_from(account).ok()?)
     }
 
-    /// Returns the account with a name.
+    /// Returns the account with the given name.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<&ClientAccount> {
         let index = self
@@ -179,13 +179,13 @@
         self.accounts.iter()
     }
 
-    /// Returns how many accounts there are.
+    /// Returns the number of accounts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Tells whether there is no account.
+    /// Returns whether there are no accounts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
