--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -1,4 +1,4 @@
-//! Steps whose endpoints another service chooses: which may be used, with which ticket.
+//! Tickets for steps whose endpoints are chosen by the advice service.
 
 use {
     crate::{
@@ -10,36 +10,35 @@
     compact_str::CompactString,
 };
 
-/// Endpoints asked about in one call at most. The service takes time for each that is named, and
-/// the users' objective for a step reckons with 30.
+/// Maximum number of endpoints per request. The service takes time for each endpoint.
 const MAX_ENDPOINTS_PER_REQUEST: usize = 30;
 
-/// Time before a ticket's end from which it is not used, in milliseconds: a start takes some 10 ms
-/// to its endpoint, and a few times that when the store is slow.
+/// Time before the end of a ticket from which it is not used, in milliseconds. It covers the time
+/// that a start takes to be stored and to reach its endpoint.
 const TICKET_MARGIN_MS: u64 = 300;
 
-/// Pause after an ask without answer, in milliseconds.
+/// Delay after a failed request, in milliseconds.
 const REQUEST_RETRY_MS: u64 = 300;
 
-/// Time after which an ask counts as lost, in milliseconds; the caller gives up before.
+/// Time after which a request counts as lost, in milliseconds; the caller times out earlier.
 const REQUEST_TIMEOUT_MS: u64 = 8_000;
 
-/// A ticket for the tasks of a step on one endpoint.
+/// Ticket for the tasks of a step on one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
     /// Id of the endpoint.
     pub endpoint: CompactString,
-    /// Text that goes with each start.
+    /// Text sent with each start.
     pub text: CompactString,
 }
 
-/// What is known of one step.
+/// Tickets and pending request of one step.
 #[derive(Clone, Debug)]
 pub(crate) struct StepAdvice {
     step: TaskRef,
-    /// Tickets with the time until which they are used, on the steady clock.
+    /// Tickets with the end of their use on the monotonic clock.
     tickets: Vec<(EndpointKey, CompactString, u64)>,
-    /// Endpoints that may not run the step; that does not change.
+    /// Endpoints that may not run the step, which is final.
     refused: Vec<EndpointKey>,
     requested: Vec<EndpointKey>,
     next_request_ms: u64,
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Returns the endpoints for which a step has a ticket, and asks about others that have room.
+    /// Returns the endpoints for which a step has a valid ticket, and requests tickets for others.
     pub(crate) fn endpoints_with_ticket(
         &mut self,
         step: &TaskRef,
@@ -107,7 +106,7 @@
         usable
     }
 
-    /// Returns the ticket for a start; empty where none is needed.
+    /// Returns the ticket for a start; empty if none is required.
     pub(crate) fn ticket_for(&self, task: &TaskRef, key: EndpointKey, now: Now) -> CompactString {
         let step = TaskRef { index: 0, ..*task };
         let index = self.advice.binary_search_by_key(&step, |known| known.step);
@@ -118,7 +117,7 @@
             .unwrap_or_default()
     }
 
-    /// Takes in an answer: tickets of the endpoints that may run the step, or nothing when the call
+    /// Processes an answer: tickets for the endpoints that may run the step, or `None` if the call
     /// failed.
     pub(crate) fn advice_received(
         &mut self,
@@ -147,7 +146,7 @@
         self.is_schedule_due = true;
     }
 
-    /// Forgets a ticket that an endpoint did not take.
+    /// Removes a ticket that an endpoint refused.
     pub(crate) fn ticket_refused(&mut self, task: &TaskRef, key: EndpointKey) {
         let index = self.advice_index(task);
         self.advice[index]
@@ -155,7 +154,7 @@
             .retain(|(known, _, _)| *known != key);
     }
 
-    /// Forgets what is known of the steps of jobs that have ended.
+    /// Removes the tickets of jobs that have ended.
     pub(crate) fn remove_advice(&mut self) {
         let jobs = &self.jobs;
         self.advice
