--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Work submitted lately, by pool: what a pool will need soon if callers go on like this.
+//! Recently submitted work by pool, which predicts the demand of the near future.
 
 use {
     crate::{
@@ -11,9 +11,8 @@
     std::collections::VecDeque,
 };
 
-/// Time over which work that is handed in is summed up, in milliseconds: half of the time that a VM
-/// takes to come, and long enough for some ten jobs of a busy queue, so that the demand does not jump
-/// about.
+/// Period over which submitted work is summed up, in milliseconds: half the time of a VM move, and
+/// long enough for about ten jobs of a busy queue, which smooths the demand.
 const WINDOW_MS: u64 = 800;
 
 /// Work of one job.
@@ -22,7 +21,7 @@
     at_ms: u64,
     pool: CompactString,
     account: AccountNumber,
-    /// Room times milliseconds.
+    /// Resources multiplied by milliseconds.
     work: Resources,
 }
 
@@ -32,14 +31,15 @@
     }
 }
 
-/// Work handed in within the window, in the order of time.
+/// Work submitted within the period, ordered by time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Arrivals {
     recent: VecDeque<Arrival>,
 }
 
 impl Arrivals {
-    /// Records a submitted job. Work that only some VMs can do, or that lasts, is counted by itself.
+    /// Records a submitted job, without long-running or repeating work and work that requires a VM
+    /// feature.
     pub(crate) fn record(
         &mut self,
         pool: &CompactString,
@@ -71,10 +71,10 @@
         }
     }
 
-    /// Returns the room that a pool's work takes if as much goes on being handed in.
+    /// Returns the resources that a pool needs if work keeps arriving at the same rate.
     ///
-    /// The first job only begins the count: one by itself, however large, says nothing of more to
-    /// come. An account's work counts as far as its quota, 0 for none, lets it run at once.
+    /// A single job, however large, does not predict further ones and does not count. The work of
+    /// an account counts up to its quota, where 0 means unlimited.
     pub(crate) fn load(
         &self,
         pool: &str,
