--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Runs of tasks: starts and stops, their answers, and the ends that endpoints report.
+//! Runs of tasks: starts, stops, and ends reported by endpoints.
 
 use {
     crate::{
@@ -12,25 +12,25 @@
     compact_str::CompactString,
 };
 
-/// Rest of an endpoint after one run failed there, in milliseconds: long enough for other runs to
-/// show whether the endpoint or the task is to blame.
+/// Cooldown of an endpoint after one failed run, in milliseconds. Meanwhile other runs show whether
+/// the endpoint or the task is at fault.
 const FIRST_COOLDOWN_MS: u64 = 300;
 
-/// Rest of an endpoint after more runs failed in a row, in milliseconds. Troubles of endpoints
-/// last for seconds, and each trial costs somebody one of few attempts.
+/// Cooldown of an endpoint after several failed runs in a row, in milliseconds. Endpoint faults
+/// last for seconds, and each further run uses up an attempt of its task.
 const LONG_COOLDOWN_MS: u64 = 4_000;
 
-/// Runs that fail in a row before an endpoint rests for long.
+/// Consecutive failed runs that cause the long cooldown.
 const LONG_COOLDOWN_AFTER_FAILURES: u32 = 2;
 
-/// Rest of an endpoint that refused an order, in milliseconds.
+/// Cooldown of an endpoint that refused an order, in milliseconds.
 const REFUSAL_COOLDOWN_MS: u64 = 500;
 
-/// Pause of a task whose order was malformed for the endpoint, in milliseconds.
+/// Delay of a task whose order the endpoint considered malformed, in milliseconds.
 const INVALID_PAUSE_MS: u64 = 2_000;
 
 impl Engine {
-    /// Stops a run; one whose order has not gone out is simply forgotten.
+    /// Stops a run, or removes it if its order was not sent yet.
     pub(crate) fn stop_run(&mut self, task: &TaskRef, run: u32, now: Now) {
         let Ok(index) = self.search(task.job) else {
             return;
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Forgets a run that is over or never was, and gives its room back.
+    /// Removes a run that has ended or never started, and releases its resources.
     pub(crate) fn remove_attempt(&mut self, task: &TaskRef, run: u32, end: RunEnd, now: Now) {
         let Ok(index) = self.search(task.job) else {
             return;
@@ -86,7 +86,7 @@
         self.stop_gang(index, task, run, now);
     }
 
-    /// Stops the other members of a gang of which one has ended before it was done.
+    /// Stops the other members of a gang if one ended before it was done.
     fn stop_gang(&mut self, index: usize, task: &TaskRef, run: u32, now: Now) {
         let job = &self.jobs[index];
         let is_gang = job.step_spec(task).is_some_and(|spec| spec.gang);
@@ -121,7 +121,7 @@
                 self.confirm(key, task, run, now);
                 self.renew_lease(key, now);
             }
-            // That run is known there; the next report tells how it stands.
+            // The endpoint knows the run, and the next report contains its state.
             CallOutcome::Refused(Refusal::OldRun) => self.confirm(key, task, run, now),
             CallOutcome::Refused(refusal) => {
                 self.start_refusal_cooldown(key, *refusal, now);
@@ -155,10 +155,10 @@
         }
     }
 
-    /// Lets later starts of a job carry its payload; tells whether they did not until now.
+    /// Makes later starts of a job include its payload; returns whether they did not before.
     ///
-    /// A start that was not sent may have lacked the payload, as the node that kept it is gone. The
-    /// endpoint is blamed only when it cannot be reached with the payload at hand.
+    /// A start may have been unsent because the node that kept the payload is gone. The endpoint
+    /// counts as unreachable only if a start that includes the payload fails.
     fn forget_origin(&mut self, task: &TaskRef) -> bool {
         let Ok(index) = self.search(task.job) else {
             return false;
@@ -170,7 +170,7 @@
         let endpoint = self.endpoints.get_mut(key);
         endpoint.cooldown_until_ms = now.steady_ms + REFUSAL_COOLDOWN_MS;
         if refusal == Refusal::Late {
-            // The reading of its clock is off; a report brings a new one.
+            // The clock reading is inaccurate; a report provides a new one.
             endpoint.renew_at_ms = now.steady_ms;
         }
     }
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Takes back a start that was refused, or asks again when an earlier order of the same run
-    /// may still be carried out.
+    /// Removes a run whose start was refused, or retries it if an earlier order may still take
+    /// effect.
     fn start_failed(&mut self, task: &TaskRef, run: u32, now: Now) {
         let Some(attempt) = self.attempt_mut(task, run) else {
             return;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Records that an endpoint has a run.
+    /// Records that an endpoint has confirmed a run.
     pub(crate) fn confirm(&mut self, key: EndpointKey, task: &TaskRef, run: u32, now: Now) {
         let renewals = self.endpoints.get(key).renewals;
         let Ok(index) = self.search(task.job) else {
@@ -215,12 +215,12 @@
         let is_stopping = attempt.is_stop_stored;
         if job.state == JobState::Queued {
             job.state = JobState::Running;
-            // Nothing hangs on this state, so it is told before it is stored.
+            // No other state depends on this one, so it is visible before it is stored.
             if job.visible_state == Some(JobState::Queued) {
                 job.visible_state = Some(JobState::Running);
             }
         }
-        // An endpoint that was empty is asked at leisure; from now on an end may come any time.
+        // An idle endpoint is renewed rarely; now a run may end at any time.
         let endpoint = self.endpoints.get_mut(key);
         endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms);
         if is_stopping {
@@ -245,7 +245,8 @@
                 if let CallOutcome::Done(clock_ms) = outcome {
                     self.endpoints.get_mut(key).read_clock(*clock_ms, now);
                 }
-                // From now on that run cannot begin there, and a report sent later tells its end.
+                // The run can no longer start there, and a report requested from now on contains
+                // its end.
                 let renewals = self.endpoints.get(key).renewals;
                 if let Some(attempt) = self.attempt_mut(task, run) {
                     attempt.phase = Phase::Confirmed;
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Records the end of a run.
+    /// Processes the end of a run.
     pub(crate) fn run_ended(&mut self, key: EndpointKey, ended: &EndedTask, now: Now) {
         let Ok(index) = self.search(ended.task.job) else {
             return;
@@ -296,7 +297,7 @@
             return;
         }
         let names: Vec<TaskRef> = if is_gang {
-            // One end of a gang stands for all of them.
+            // The end of one member completes the whole gang.
             job.tasks()
                 .map(|(other, _)| other)
                 .filter(|other| other.is_sibling(task_ref))
@@ -372,12 +373,11 @@
 }
 
 impl Engine {
-    /// Records that the decision to stop a run is stored; tells whether the order may go out.
+    /// Records that the decision to stop a run is stored; returns whether the order may be sent.
     ///
-    /// Until then the order is not sent, nor repeated: a successor that does not know of it would
-    /// take the run for one at work, and interrupt others of its step beyond their budget. A store
-    /// that is away draws this out for seconds, in which others of the step may have gone; the
-    /// decision is taken back then.
+    /// A stop is neither sent nor retried before it is stored: a successor that does not know of it
+    /// would interrupt further tasks of the step beyond the budget. Other tasks of the step may
+    /// have been lost while the store was unavailable, and the decision is then reverted.
     pub(crate) fn stop_committed(&mut self, task: &TaskRef, run: u32) -> bool {
         let Ok(index) = self.search(task.job) else {
             return false;
@@ -397,7 +397,7 @@
         may_stop
     }
 
-    /// Tells whether the endpoint of a run is leaving, so that the run ends there in any case.
+    /// Returns whether the endpoint of a run is draining, which ends the run in any case.
     fn is_leaving(&self, task: &TaskRef, run: u32) -> bool {
         self.attempt(task, run)
             .is_some_and(|attempt| self.endpoints.get(attempt.endpoint).is_draining)
@@ -405,20 +405,18 @@
 }
 
 impl Engine {
-    /// Returns a run of a task.
     pub(crate) fn attempt(&self, task: &TaskRef, run: u32) -> Option<&Attempt> {
         let attempts = &self.jobs.get(task.job)?.task(task)?.attempts;
         attempts.iter().find(|attempt| attempt.run == run)
     }
 
-    /// Returns a run of a task for a change that needs not be stored.
+    /// Returns a run for a change that does not have to be stored.
     fn attempt_mut(&mut self, task: &TaskRef, run: u32) -> Option<&mut Attempt> {
         let index = self.search(task.job).ok()?;
         find_attempt(self.jobs.get_mut_untracked(index), task, run)
     }
 }
 
-/// Returns a run of a task to change.
 pub(crate) fn find_attempt<'a>(
     job: &'a mut Job,
     task: &TaskRef,
@@ -430,7 +428,6 @@
         .find(|attempt| attempt.run == run)
 }
 
-/// Returns the order that starts a run.
 pub(crate) fn start_order(
     job: &Job,
     endpoint: EndpointKey,
