--- a/crates/engine/src/balance.rs
+++ b/crates/engine/src/balance.rs
@@ -1,29 +1,28 @@
-//! Room that a pool has and wants, and what only some VMs have.
+//! Balance of a pool's capacity and demand, in total and by VM feature.
 
 use {
     crate::job::{Resources, StepSpec},
     compact_str::CompactString,
 };
 
-/// Time in which waiting work of short tasks should be worked off, in milliseconds: a quarter of the
-/// time that a VM takes to come, so that it does not come for nothing. Tasks that take longer than
-/// this all want to run at once.
+/// Time in which a backlog of short tasks should be completed, in milliseconds: a quarter of the
+/// time of a VM move, so that ordered VMs do not arrive too late to help. Longer tasks should all
+/// run at once.
 pub(crate) const BACKLOG_TARGET_MS: u64 = 400;
 
-/// Thousandths in a whole accelerator: the grain in which these are counted.
+/// Weight of one accelerator, which is counted like thousandths of a core.
 const ACCELERATOR_MILLIS: u64 = 1_000;
 
-/// Millionths in a thousandth.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// What only some VMs have.
+/// Feature that only some VMs have.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum VmFeature {
     /// Accelerators.
     Accelerators,
-    /// A label that a step requires.
+    /// Label that a step requires.
     Label(CompactString),
-    /// The rack in which a step's data is; elsewhere its tasks are slower.
+    /// Rack that holds the data of a step, whose tasks are slower elsewhere.
     DataRack(CompactString),
 }
 
@@ -35,12 +34,13 @@
         }
     }
 
-    /// Tells whether a step cannot run without it.
+    /// Returns whether a step cannot run without the feature.
     pub(crate) fn is_required(&self) -> bool {
         !matches!(self, Self::DataRack(_))
     }
 
-    /// Returns the room in which it is counted: accelerators by themselves, the rest as usual.
+    /// Returns the resources to count for the feature: only accelerators for
+    /// [`Self::Accelerators`].
     pub(crate) fn counted(&self, resources: &Resources) -> Resources {
         match self {
             Self::Accelerators => Resources {
@@ -60,40 +60,40 @@
     }
 }
 
-/// Room that is here or comes, and work for it.
+/// Capacity of a pool and the work for it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Balance {
-    /// Room of endpoints that take starts, in thousandths of a core.
+    /// Capacity of endpoints that accept starts, in thousandths of a core.
     pub(crate) supply: u64,
-    /// Room of VMs on their way here, in thousandths of a core.
+    /// Capacity of VMs that are moving in, in thousandths of a core.
     pub(crate) arriving: u64,
-    /// Room in use.
+    /// Resources in use.
     pub(crate) used: Resources,
     /// Part of it that long-running tasks use.
     pub(crate) used_long_running: Resources,
-    /// Room that the work takes that is handed in at the moment.
+    /// Resources needed if work keeps arriving at the current rate.
     pub(crate) incoming: Resources,
-    /// Work that waits: room times milliseconds.
+    /// Waiting work: resources multiplied by milliseconds.
     waiting: Resources,
-    /// Room that all of it takes at once.
+    /// Resources to run all waiting work at once.
     waiting_peak: Resources,
-    /// Work of jobs that are late, as far as it waits; it counts when no pool misses room for others.
+    /// Waiting work of late jobs, which counts only when other work has no shortage.
     late: Resources,
-    /// Room that all of that takes at once.
+    /// Resources to run all late work at once.
     late_peak: Resources,
-    /// Work that waits of long-running tasks of which only so many of a step may share an endpoint.
+    /// Waiting work of long-running tasks with a limit per endpoint.
     waiting_exclusive: Resources,
-    /// Endpoints that take starts.
+    /// Endpoints that accept starts.
     pub(crate) members: usize,
     /// Endpoints with long-running tasks.
     pub(crate) pinned: usize,
-    /// VMs on their way here.
+    /// VMs that are moving in.
     pub(crate) arriving_vms: usize,
-    /// Endpoints that long-running tasks need, as only so many of a step may share one.
+    /// Endpoints required by long-running tasks with a limit per endpoint.
     pub(crate) needed_members: usize,
-    /// Processor of a VM, in thousandths of a core.
+    /// Processor of the largest VM, in thousandths of a core.
     vm_cpu_millis: u64,
-    /// Processor that a megabyte of a VM comes with, in millionths of a core.
+    /// Processor per megabyte of memory of the largest VM, in millionths of a core.
     cpu_micros_per_mb: u64,
 }
 
@@ -107,28 +107,28 @@
         }
     }
 
-    /// Returns how many endpoints there are too few for tasks that may not share one.
+    /// Returns how many more endpoints are required by tasks with a limit per endpoint.
     fn missing_members(&self) -> usize {
         self.needed_members
             .saturating_sub(self.members + self.arriving_vms)
     }
 
-    /// Returns the room that should be here, in thousandths of a core: by processor or by memory,
-    /// whichever asks for more VMs.
+    /// Returns the required capacity in thousandths of a core, by processor or by memory, whichever
+    /// requires more VMs.
     ///
-    /// Waiting tasks want to run at once and no more than that: room for their work alone would keep
-    /// VMs from other pools. What comes next is asked for by the work handed in lately.
+    /// Waiting tasks count at most as if all ran at once, so that a large job does not take VMs
+    /// from other pools. Recent submissions predict the demand after that.
     ///
-    /// Tasks that may not share an endpoint ask for endpoints first. Counted as work, they asked
-    /// for ever more room where there were too few endpoints for them, and every other pool starved.
+    /// Tasks with a limit per endpoint count as work only if there are enough endpoints. Otherwise
+    /// more capacity would not help them, and the demand would grow without bound.
     pub(crate) fn wanted(&self) -> u64 {
         let mut waiting = self.waiting;
         if self.missing_members() == 0 {
             waiting.add(&self.waiting_exclusive);
         }
         let at_once = |work: u64, limit: u64| (work / BACKLOG_TARGET_MS).min(limit);
-        // What is handed in at the moment counts before it waits: a VM comes 1.6 s after it was asked
-        // for, more than most callers can spare.
+        // Predicted work counts before it waits, because a VM move takes longer than most callers
+        // can wait.
         let long_running = self.used_long_running;
         let finite = self.used.saturating_sub(&long_running);
         let incoming = self.incoming;
@@ -151,7 +151,7 @@
         self.supply >= self.wanted() + cpu_millis
     }
 
-    /// Takes in work of waiting tasks.
+    /// Adds work of waiting tasks.
     pub(crate) fn add_work(
         &mut self,
         spec: &StepSpec,
@@ -173,13 +173,13 @@
         }
     }
 
-    /// Counts the work of late jobs from now on.
+    /// Includes the work of late jobs from now on.
     pub(crate) fn include_late(&mut self) {
         self.waiting.add(&std::mem::take(&mut self.late));
         self.waiting_peak.add(&std::mem::take(&mut self.late_peak));
     }
 
-    /// Takes in that a step, with tasks at work or not, needs so many endpoints.
+    /// Counts the endpoints that a step requires, whether its tasks are running or not.
     pub(crate) fn need_members(&mut self, spec: &StepSpec) {
         if needs_members(spec) {
             let needed = usize::from(spec.count.div_ceil(spec.max_per_endpoint));
@@ -188,11 +188,11 @@
     }
 }
 
-/// Tasks of a step that wait.
+/// Waiting tasks of a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiting {
     pub(crate) count: u64,
-    /// Whether their job cannot be on time any more.
+    /// Whether their job can no longer complete on time.
     pub(crate) is_late: bool,
 }
 
