--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -1,4 +1,4 @@
-//! Batches: what has changed is stored together, and what rests on it is released then.
+//! Batches of records that are stored together, with the effects that depend on them.
 
 use crate::{
     engine::Engine,
@@ -9,10 +9,10 @@
     stored::{Record, progress_record, spec_record},
 };
 
-/// Records to store together, and what is released when they are.
+/// Records to store together, and the effects that the commit releases.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Records.
+    /// Records to store.
     pub records: Vec<Record>,
     effects: Vec<Effect>,
     visible_states: Vec<(JobId, JobState)>,
@@ -20,7 +20,7 @@
 }
 
 impl Batch {
-    /// Takes over what another batch without records releases.
+    /// Merges another batch, which has no records, into this one.
     pub fn merge(&mut self, mut other: Self) {
         self.records.append(&mut other.records);
         self.effects.append(&mut other.effects);
@@ -30,7 +30,7 @@
 }
 
 impl Engine {
-    /// Cuts a batch: places what can start, and gathers what has changed.
+    /// Starts what can be started, and collects all changes in a batch.
     pub fn take_batch(&mut self, now: Now) -> Batch {
         self.refresh_open_steps();
         if self.is_schedule_due {
@@ -50,7 +50,7 @@
         batch
     }
 
-    /// Adds the records of the jobs that differ from what is stored, and what waits for them.
+    /// Adds the records of changed jobs and the replies that depend on them.
     fn add_dirty_jobs(&mut self, batch: &mut Batch) {
         let mut ids = std::mem::take(&mut self.unstored_jobs);
         ids.extend(self.jobs.changed());
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Records that a batch is stored, and returns what it releases.
+    /// Records that a batch is stored, and returns the effects that this releases.
     pub fn committed(&mut self, batch: Batch, now: Now) -> Vec<Effect> {
         for (id, state) in batch.visible_states {
             if let Ok(index) = self.search(id) {
@@ -108,10 +108,10 @@
         released
     }
 
-    /// Fills in a start's lease when its decision is stored.
+    /// Grants the lease of a start whose decision is stored.
     ///
-    /// A start whose run was given up in the meantime was never sent, and so never will be. One whose
-    /// account's quota was cut in the meantime is given up here.
+    /// A start whose run was stopped in the meantime is never sent. A start of an account whose
+    /// quota was reduced in the meantime is dropped here.
     fn release_start(&mut self, mut order: StartOrder, now: Now) -> Option<Effect> {
         let index = self.search(order.task.job).ok()?;
         let account = self.jobs[index].account_number;
@@ -134,7 +134,7 @@
         Some(Effect::Start(Box::new(order)))
     }
 
-    /// Returns the ends taken into account since the last batch.
+    /// Returns the run ends processed since the last batch.
     fn unacknowledged(&mut self) -> Vec<(EndpointKey, u64)> {
         let mut keys = std::mem::take(&mut self.unstored_ends);
         keys.sort_unstable();
