--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator has put in force: queues, pools and limits.
+//! Configuration by the operator: queues, pools, limits and accounts.
 
 use {
     crate::accounts::ClientAccounts,
@@ -6,31 +6,31 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Queue into which callers hand jobs.
+/// Queue to which callers submit jobs.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Queue {
-    /// Host that callers name.
+    /// Host name in requests.
     pub host: CompactString,
-    /// Beginning of the paths that belong to the queue.
+    /// Path prefix of requests.
     pub path_prefix: CompactString,
     /// Pool whose endpoints run the tasks.
     pub pool: CompactString,
-    /// Rank: 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs after which a task is given up.
+    /// Number of failed runs after which a task fails.
     pub max_attempts: u32,
-    /// Factor of the longest chain of work within which a job is on time.
+    /// Multiple of the critical path within which a job is on time.
     pub stretch: f64,
     /// Time added to that, in milliseconds.
     pub target_latency_ms: u64,
-    /// Whether another service tells which endpoints may run a step.
+    /// Whether the advice service chooses the endpoints of a step.
     pub advised: bool,
     /// Whether callers need no key.
     pub is_public: bool,
 }
 
 impl Queue {
-    /// Tells whether a queue is the one of this host and prefix.
+    /// Returns whether both queues have the same host and path prefix.
     #[must_use]
     pub fn has_same_route(&self, other: &Self) -> bool {
         self.host == other.host && self.path_prefix == other.path_prefix
@@ -44,23 +44,23 @@
     pub name: CompactString,
     /// Whether its VMs are switched off and cost nothing.
     pub is_standby: bool,
-    /// Whether its endpoints refuse what does not fit.
+    /// Whether its endpoints refuse tasks that do not fit.
     pub checks_admission: bool,
 }
 
-/// Bounds for callers' requests.
+/// Limits of callers' requests.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// Bytes of a body at most.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes of a head at most.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Time within which a head must arrive, in milliseconds.
+    /// Time within which a request head must arrive, in milliseconds.
     pub header_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// The figures of the platform's examples, until a configuration is known.
+    /// Returns the values of the platform's examples, used until a configuration is known.
     fn default() -> Self {
         Self {
             max_body_bytes: 262_144,
@@ -70,23 +70,23 @@
     }
 }
 
-/// Configuration in force.
+/// Configuration of the fleet.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FleetConfig {
-    /// Version; a node never goes back to a lower one.
+    /// Version; a node never returns to a lower one.
     pub version: u64,
     /// Queues.
     pub queues: Vec<Queue>,
     /// Pools, sorted by name.
     pub pools: Vec<Pool>,
-    /// Bounds for callers' requests.
+    /// Limits of callers' requests.
     pub limits: CallerLimits,
     /// Client accounts.
     pub accounts: ClientAccounts,
 }
 
 impl FleetConfig {
-    /// Returns the queue with the longest prefix that a path begins with.
+    /// Returns the queue with the longest matching path prefix.
     #[must_use]
     pub fn queue_for(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
@@ -95,7 +95,7 @@
             .max_by_key(|queue| queue.path_prefix.len())
     }
 
-    /// Returns a pool.
+    /// Returns the pool with the given name.
     #[must_use]
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         let index = self
