--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: what work each pool has room for, and what it misses.
+//! Demand of pools: their work, their capacity and their shortages.
 
 use {
     crate::{
@@ -13,31 +13,30 @@
     compact_str::CompactString,
 };
 
-/// VMs that a pool keeps at least while others have none to spare, so that its next job starts at
-/// once.
+/// VMs that a pool keeps so that its next job starts without delay.
 const MIN_VMS: usize = 2;
 
-/// Work of one pool.
+/// Work and capacity of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolLoad {
     pub(crate) name: CompactString,
     pub(crate) is_standby: bool,
     total: Balance,
-    /// The same for what only some VMs have, as far as waiting work asks for it.
+    /// Balances of features that only some VMs have and waiting work asks for.
     features: Vec<(VmFeature, Balance)>,
-    /// VMs ordered into the pool at this planning.
+    /// VMs ordered into the pool in this planning round.
     moved_in: usize,
-    /// VMs ordered out of the pool at this planning.
+    /// VMs ordered out of the pool in this planning round.
     moved_out: usize,
 }
 
 impl PoolLoad {
-    /// Tells whether something was ordered for the pool.
+    /// Returns whether VMs were ordered into or out of the pool.
     pub(crate) fn has_orders(&self) -> bool {
         self.moved_in + self.moved_out > 0
     }
 
-    /// Returns how the pool stands, for the log.
+    /// Returns the state of the pool for the log.
     pub(crate) fn plan(&self) -> PoolPlan {
         PoolPlan {
             pool: self.name.clone(),
@@ -53,9 +52,10 @@
         }
     }
 
-    /// Returns what only some VMs have and is missed most, and how much of it is missed.
+    /// Returns the required feature with the largest shortage, and the size of that shortage.
     ///
-    /// A pool with room enough on other VMs asked for none, and its work waited for good.
+    /// Features count separately, as spare capacity on VMs without a feature does not help work
+    /// that requires it.
     fn missing_feature(&self) -> Option<(&VmFeature, u64)> {
         let missing = self
             .features
@@ -66,7 +66,7 @@
         missing.max_by_key(|(_, missing)| *missing)
     }
 
-    /// Tells whether a VM of the pool can leave.
+    /// Returns whether the pool can spare a VM.
     pub(crate) fn can_spare(&self, vm: &Vm) -> bool {
         let entry = &vm.entry;
         let min_members = MIN_VMS.max(self.total.needed_members);
@@ -82,12 +82,12 @@
             })
     }
 
-    /// Tells whether something waits here that only some VMs serve, or serve better.
+    /// Returns whether waiting work requires or prefers certain features.
     pub(crate) fn requires_features(&self) -> bool {
         !self.features.is_empty()
     }
 
-    /// Says how much of what waits here a VM serves better than any other would.
+    /// Returns how much of the waiting work asks for features of a VM.
     pub(crate) fn suitability(&self, vm: &Vm) -> u64 {
         self.features
             .iter()
@@ -96,7 +96,7 @@
             .sum()
     }
 
-    /// Takes in that a VM is on its way here.
+    /// Counts a VM that is moving into the pool.
     pub(crate) fn add_arriving_vm(&mut self, vm: &Vm) {
         let entry = &vm.entry;
         self.total.arriving += entry.capacity.cpu_millis.max(1);
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Takes in that a VM was ordered here.
+    /// Counts a VM ordered into the pool.
     pub(crate) fn add_ordered_vm(&mut self, vm: &Vm) {
         self.moved_in += 1;
         self.add_arriving_vm(vm);
     }
 
-    /// Takes in that a VM leaves.
+    /// Counts a VM ordered out of the pool.
     pub(crate) fn remove_vm(&mut self, vm: &Vm) {
         self.moved_out += 1;
         let cpu = vm.entry.capacity.cpu_millis;
@@ -123,7 +123,7 @@
         self.total.members = self.total.members.saturating_sub(1);
     }
 
-    /// Counts the work of late jobs from now on.
+    /// Includes the work of late jobs from now on.
     pub(crate) fn include_late(&mut self) {
         self.total.include_late();
         for (_, balance) in &mut self.features {
@@ -135,8 +135,8 @@
         self.total.need_members(spec);
         let work_ms = spec.estimated_ms.max(BACKLOG_TARGET_MS / 2);
         let charged = spec.reserved_resources();
-        // What only some VMs can run is no reason for others: a pool that misses a kind of VM took
-        // all the others in for nothing, and kept them.
+        // Work that requires a feature does not count as general demand. Otherwise a pool without
+        // suitable VMs would take in all the others.
         if !VmFeature::of_step(spec).any(|kind| kind.is_required()) {
             self.total.add_work(spec, &charged, work_ms, waiting);
         }
@@ -157,24 +157,24 @@
     }
 }
 
-/// Returns the place of a pool among the loads, which are sorted by name.
+/// Returns the index of a pool among the loads, which are sorted by name.
 pub(crate) fn load_index(loads: &[PoolLoad], pool: &str) -> Option<usize> {
     loads
         .binary_search_by(|load| load.name.as_str().cmp(pool))
         .ok()
 }
 
-/// A pool that misses something.
+/// A shortage of one pool.
 #[derive(Clone, Debug)]
 pub(crate) struct Shortage {
-    /// Place of the pool.
+    /// Index of the pool among the loads.
     pub(crate) pool_index: usize,
-    /// What the VM has to have.
+    /// Feature that the VM must have; `None` for any VM.
     pub(crate) required: Option<VmFeature>,
 }
 
 impl Shortage {
-    /// Tells whether a VM is of use.
+    /// Returns whether a VM reduces the shortage.
     pub(crate) fn is_met_by(&self, vm: &Vm) -> bool {
         self.required
             .as_ref()
@@ -182,8 +182,8 @@
     }
 }
 
-/// Returns the pool that misses most, if any misses something, with what the VM has to have unless
-/// nobody has it.
+/// Returns the largest shortage, if there is one. Features in `unmet`, which no available VM has,
+/// are not considered.
 pub(crate) fn largest_shortage(
     loads: &[PoolLoad],
     unmet: &[(usize, VmFeature)],
@@ -210,7 +210,7 @@
 }
 
 impl Engine {
-    /// Returns the work and the room of every pool, sorted by name.
+    /// Returns the load of every pool, sorted by name.
     pub(crate) fn pool_loads(&self, now: Now) -> Vec<PoolLoad> {
         let vm = self.largest_vm();
         let mut loads: Vec<PoolLoad> = self
@@ -244,7 +244,7 @@
         loads
     }
 
-    /// Returns the room of the largest VM, by which memory is weighed against processor.
+    /// Returns the capacity of the largest VM, which converts memory demand to processor demand.
     fn largest_vm(&self) -> Resources {
         let capacities = self.vms.iter().map(|vm| vm.entry.capacity);
         capacities
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Counts waiting tasks as far as their accounts' quotas let them start: VMs for more would come for
-    /// nothing.
+    /// Counts waiting tasks as far as the quotas of their accounts allow them to start. VMs for
+    /// more would stay idle.
     fn add_waiting(&self, loads: &mut [PoolLoad], vm: &Resources, now: Now) {
         let mut remaining = self.quotas.remaining();
         for step in self.open_steps.iter() {
