--- a/crates/engine/src/endpoint_locations.rs
+++ b/crates/engine/src/endpoint_locations.rs
@@ -1,8 +1,8 @@
-//! Where lives of endpoints are: which share a VM or an address.
+//! Index of endpoint incarnations by VM and by address.
 
 use {crate::event::EndpointKey, compact_str::CompactString, std::net::SocketAddr};
 
-/// Lives by VM and by address, each sorted; a life that is over stays until it is forgotten.
+/// Incarnations by VM and by address, both sorted, including ended ones until they are removed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointLocations {
     by_vm: Vec<(CompactString, EndpointKey)>,
@@ -10,7 +10,7 @@
 }
 
 impl EndpointLocations {
-    /// Takes in that a life is on another VM than before; an empty name stands for none.
+    /// Moves an incarnation between VMs; an empty name means none.
     pub(crate) fn change_vm(&mut self, key: EndpointKey, from: &str, to: &CompactString) {
         if let Ok(index) = self.vm_index(from, key) {
             self.by_vm.remove(index);
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes in that a life is at another address than before.
+    /// Changes the address of an incarnation.
     pub(crate) fn change_address(&mut self, key: EndpointKey, from: SocketAddr, to: SocketAddr) {
         if let Ok(index) = self.by_address.binary_search(&(from, key)) {
             self.by_address.remove(index);
@@ -37,7 +37,7 @@
             .binary_search_by(|(known, other)| (known.as_str(), *other).cmp(&(vm, key)))
     }
 
-    /// Returns the lives on a VM, the latest last.
+    /// Returns the incarnations on a VM, the latest last.
     pub(crate) fn on_vm(&self, vm: &str) -> impl DoubleEndedIterator<Item = EndpointKey> {
         let begin = self.by_vm.partition_point(|(known, _)| known.as_str() < vm);
         let length = self.by_vm[begin..].partition_point(|(known, _)| known.as_str() == vm);
@@ -46,7 +46,7 @@
             .map(|(_, key)| *key)
     }
 
-    /// Returns the lives at an address, the latest last.
+    /// Returns the incarnations at an address, the latest last.
     pub(crate) fn at_address(
         &self,
         address: SocketAddr,
@@ -60,7 +60,7 @@
             .map(|(_, key)| *key)
     }
 
-    /// Forgets lives.
+    /// Keeps only the incarnations that satisfy a predicate.
     pub(crate) fn retain(&mut self, is_kept: impl Fn(EndpointKey) -> bool) {
         self.by_vm.retain(|(_, key)| is_kept(*key));
         self.by_address.retain(|(_, key)| is_kept(*key));
