--- a/crates/engine/src/endpoint_table.rs
+++ b/crates/engine/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! Every life of an endpoint that is known, and which of them have changed.
+//! Table of all known endpoint incarnations, with change tracking.
 
 use {
     crate::{
@@ -9,22 +9,22 @@
     std::net::SocketAddr,
 };
 
-/// Every endpoint's life that this owner has heard of, but for those that ended long ago.
+/// Every endpoint incarnation known to this owner, except those that ended long ago.
 ///
-/// A life that is handed out to be changed counts as changed until that is looked at, so that what
-/// follows from a change need not be looked for among all of them.
+/// An incarnation counts as changed from a mutable borrow until changes are taken, so that derived
+/// data can be updated without scanning the whole table.
 #[derive(Clone, Debug)]
 pub struct EndpointTable {
-    /// Lives sorted by key.
+    /// Sorted by key.
     incarnations: Vec<Endpoint>,
-    /// Their keys, in the same order: a search touches no life.
+    /// Keys in the same order, so that a search does not touch the incarnations.
     keys: Vec<EndpointKey>,
     /// Keys sorted by id.
     by_id: Vec<EndpointKey>,
     locations: EndpointLocations,
     changed: Vec<EndpointKey>,
     next_key: EndpointKey,
-    /// Stands for every life that has been forgotten: late answers may still name one.
+    /// Placeholder for removed incarnations, which late answers may still refer to.
     forgotten: Endpoint,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl EndpointTable {
-    /// Returns an endpoint.
+    /// Returns an endpoint, or a placeholder if it was removed.
     #[must_use]
     pub fn get(&self, key: EndpointKey) -> &Endpoint {
         match self.search_key(key) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns an endpoint to change; changes of a forgotten one are lost.
+    /// Returns a mutable reference to an endpoint; changes of a removed one are lost.
     pub fn get_mut(&mut self, key: EndpointKey) -> &mut Endpoint {
         if let Ok(index) = self.search_key(key) {
             let incarnation = &mut self.incarnations[index];
@@ -70,7 +70,7 @@
         self.keys.binary_search(&key)
     }
 
-    /// Returns the keys of lives changed since the last time.
+    /// Takes the keys of incarnations changed since the last call.
     pub(crate) fn take_changed(&mut self) -> Vec<EndpointKey> {
         let changed = std::mem::take(&mut self.changed);
         for &key in &changed {
@@ -81,7 +81,7 @@
         changed
     }
 
-    /// Takes over what the registry says of a life.
+    /// Applies a registry entry.
     pub(crate) fn update(&mut self, key: EndpointKey, entry: &EndpointEntry) {
         self.get_mut(key).update(entry);
         self.set_address(key, entry.address);
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes in at which address a life is.
+    /// Sets the address of an incarnation.
     pub(crate) fn set_address(&mut self, key: EndpointKey, address: SocketAddr) {
         if let Ok(index) = self.search_key(key) {
             let known = std::mem::replace(&mut self.incarnations[index].address, address);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes in on which VM a life is.
+    /// Sets the VM of an incarnation.
     pub(crate) fn set_vm(&mut self, key: EndpointKey, vm: &CompactString) {
         if let Ok(index) = self.search_key(key)
             && self.incarnations[index].vm != *vm
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Returns the latest life on a VM that is not known to be over.
+    /// Returns the latest incarnation on a VM that is not known to have ended.
     pub(crate) fn on_vm(&self, vm: &str) -> Option<EndpointKey> {
         let mut incarnations = self.locations.on_vm(vm).rev();
         incarnations.find(|&key| !self.get(key).has_ended)
     }
 
-    /// Returns other lives, not known to be over, at the address or on the VM of one.
+    /// Returns other active incarnations with the same address or VM.
     pub(crate) fn others_at_location(&self, key: EndpointKey) -> Vec<EndpointKey> {
         let one = self.get(key);
         let at_address = self.locations.at_address(one.address);
@@ -128,10 +128,9 @@
         others
     }
 
-    /// Forgets lives that ended before a time and of which nothing is left.
+    /// Removes incarnations that ended before a time and have no runs left.
     ///
-    /// Each move of a VM ends a life and begins another. Kept for good, a busy day's lives outnumbered
-    /// the endpoints by far, in memory and in every look at all of them.
+    /// Each VM move ends an incarnation and starts another, so the table would grow without bound.
     pub fn remove_ended(&mut self, before_ms: u64) {
         let is_kept = |incarnation: &Endpoint| {
             !incarnation.has_ended
@@ -159,13 +158,13 @@
             .binary_search_by(|&key| self.get(key).id.as_str().cmp(id))
     }
 
-    /// Returns the key of an id.
+    /// Returns the key of an endpoint id.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<EndpointKey> {
         self.search_id(id).ok().map(|index| self.by_id[index])
     }
 
-    /// Returns the key of an id, and adds the endpoint when it is new.
+    /// Returns the key of an endpoint id, inserting a new endpoint if needed.
     pub fn find_or_insert(&mut self, id: &CompactString, now_ms: u64) -> EndpointKey {
         match self.search_id(id) {
             Ok(index) => self.by_id[index],
@@ -188,7 +187,7 @@
             .map(|incarnation| (incarnation.key, incarnation))
     }
 
-    /// Returns the keys of all endpoints.
+    /// Returns the keys of all endpoints, sorted.
     #[must_use]
     pub fn keys(&self) -> &[EndpointKey] {
         &self.keys
