--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! One life of an endpoint: its leases and its room.
+//! One incarnation of an endpoint: its leases and its resources.
 
 use {
     crate::{
@@ -10,47 +10,47 @@
     std::net::{IpAddr, Ipv4Addr, SocketAddr},
 };
 
-/// Share of an endpoint's clock that may be missing, in percent: its steady clock may be 2 % slow,
-/// and one more is kept for what rounds and delays add.
+/// Allowance for slow endpoint clocks, in percent: up to 2 % of drift and 1 % for rounding and
+/// delays.
 const CLOCK_SLACK_PERCENT: u64 = 3;
 
-/// Time added to the end of a lease before it counts as over, in milliseconds: the endpoint ends
-/// its runs a moment after the deadline.
+/// Time after the end of a lease until it counts as expired, in milliseconds. Endpoints stop their
+/// runs shortly after the deadline.
 const LEASE_MARGIN_MS: u64 = 150;
 
-/// Failed calls in a row after which an endpoint gets no more lease and nothing new.
+/// Consecutive failed calls after which an endpoint gets no new leases or runs.
 pub const SUSPECT_AFTER_FAILED_CALLS: u32 = 2;
 
-/// A reading of an endpoint's steady clock.
+/// A reading of an endpoint's monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ClockReading {
     clock_ms: u64,
     at_ms: u64,
 }
 
-/// A run that takes room of an endpoint.
+/// A run that reserves resources on an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlacedRun {
     /// Task.
     pub task: TaskRef,
-    /// Run.
+    /// Run number.
     pub run: u32,
-    /// Room taken.
+    /// Reserved resources.
     pub resources: Resources,
-    /// Whether it serves users of its own.
+    /// Whether the task answers requests under a latency target.
     pub is_serving: bool,
-    /// Whether it uses only what others leave.
+    /// Whether the task uses only idle processor time.
     pub is_filler: bool,
-    /// Whether it runs until it is stopped.
+    /// Whether the task runs until it is stopped.
     pub is_long_running: bool,
-    /// Bound of a serving task's tail in milliseconds; 0 for none.
+    /// Limit of a serving task's tail latency, in milliseconds; 0 for none.
     pub target_ms: u64,
-    /// Tail of a serving task in milliseconds, as it was last told.
+    /// Last reported tail latency of a serving task, in milliseconds.
     pub tail_latency_ms: u64,
 }
 
 impl PlacedRun {
-    /// Creates what a run of a step takes.
+    /// Creates the reservation of a run.
     #[must_use]
     pub fn new(task: TaskRef, run: u32, spec: &StepSpec) -> Self {
         Self {
@@ -66,79 +66,79 @@
     }
 }
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint.
 #[derive(Clone, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "independent facts about one life"
+    reason = "independent facts about one incarnation"
 )]
 pub struct Endpoint {
-    /// Number of this life within one engine.
+    /// Key of this incarnation within the engine.
     pub key: EndpointKey,
-    /// Id of this life.
+    /// Id of this incarnation.
     pub id: CompactString,
-    /// Address for orders.
+    /// Address that accepts calls.
     pub(crate) address: SocketAddr,
     /// Pool.
     pub pool: CompactString,
     /// Availability zone.
     pub zone: CompactString,
-    /// VM on which it runs; empty while it is not known.
+    /// VM on which it runs; empty if unknown.
     pub(crate) vm: CompactString,
-    /// Room in all.
+    /// Total resources.
     pub capacity: Resources,
-    /// Labels, the rack among them.
+    /// Labels, including the rack.
     pub labels: Vec<CompactString>,
-    /// Whether it is leaving.
+    /// Whether the endpoint is shutting down.
     pub is_draining: bool,
-    /// Whether the registry lists it.
+    /// Whether the registry contains it.
     pub is_registered: bool,
-    /// Whether the registry has ever listed it to this owner.
+    /// Whether this owner has ever seen its registry entry.
     pub was_registered: bool,
-    /// Whether this life is known to be over.
+    /// Whether this incarnation is known to have ended.
     pub has_ended: bool,
-    /// When that became known, on the steady clock.
+    /// When the end was detected, on the monotonic clock.
     pub ended_at_ms: u64,
-    /// Whether it has told what runs on it, so that something new may start.
+    /// Whether it has reported its runs to this owner, which is required for new starts.
     pub is_reconciled: bool,
-    /// Whether it is being emptied for a move or for maintenance.
+    /// Whether it is being drained for a move or for maintenance.
     pub is_cordoned: bool,
-    /// Place among the entries that this owner has seen being written; 0 for one that it found.
+    /// Position among the registry entries that this owner saw being written; 0 for existing ones.
     pub registration_order: u64,
-    /// Failed calls in a row.
+    /// Consecutive failed calls.
     pub failed_calls: u32,
-    /// Runs in a row that ended as failed there.
+    /// Consecutive failed runs.
     pub failed_runs: u32,
-    /// Until when nothing new starts there, on the steady clock.
+    /// Earliest time of new starts, on the monotonic clock.
     pub cooldown_until_ms: u64,
-    /// Room taken by runs that may be under way.
+    /// Resources of runs that may be active.
     pub used: Resources,
-    /// Part of it that long-running tasks take.
+    /// Part of it that long-running tasks use.
     pub used_long_running: Resources,
-    /// Long-running tasks that may be under way.
+    /// Number of long-running tasks that may be active.
     pub long_running_runs: usize,
-    /// Those runs.
+    /// Runs that may be active.
     pub placed_runs: Vec<PlacedRun>,
-    /// Renewals sent.
+    /// Number of renewals sent.
     pub renewals: u64,
-    /// Whether a renewal is under way.
+    /// Whether a renewal is in flight.
     pub is_renewing: bool,
-    /// When the next renewal is due, on the steady clock.
+    /// When the next renewal is due, on the monotonic clock.
     pub renew_at_ms: u64,
-    /// Last end taken into account.
+    /// Number of the last processed run end.
     pub last_processed_end: u64,
-    /// Last end whose effect is stored; only these are acknowledged.
+    /// Number of the last run end whose effect is stored and may be acknowledged.
     pub last_stored_end: u64,
-    /// Last end that was acknowledged.
+    /// Number of the last acknowledged run end.
     pub last_acknowledged_end: u64,
-    /// When it became empty, on the steady clock.
+    /// When the last run was removed, on the monotonic clock.
     pub empty_since_ms: u64,
-    /// Stops sent for runs that nobody here knows, with their times.
+    /// Unknown runs that were stopped, with the time of the last stop.
     pub orphans: Vec<(TaskRef, u32, u64)>,
     clock: Option<ClockReading>,
     lease_end_clock_ms: u64,
     leases_end_at_ms: Option<u64>,
-    /// Whether it was handed out to be changed since that was looked at last.
+    /// Whether it was borrowed mutably since changes were last taken.
     pub(crate) is_changed: bool,
 }
 
@@ -183,19 +183,19 @@
         }
     }
 
-    /// Returns the address for orders.
+    /// Returns the address that accepts calls.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the VM on which it runs; empty while it is not known.
+    /// Returns the VM on which it runs; empty if unknown.
     #[must_use]
     pub fn vm(&self) -> &CompactString {
         &self.vm
     }
 
-    /// Creates what stands for a life that has been forgotten.
+    /// Creates a placeholder for removed incarnations.
     pub(crate) fn forgotten() -> Self {
         Self {
             has_ended: true,
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Takes over what the registry says, but for where the endpoint is.
+    /// Applies a registry entry, except for the address and the VM.
     pub(crate) fn update(&mut self, entry: &EndpointEntry) {
         self.pool.clone_from(&entry.pool);
         self.zone.clone_from(&entry.zone);
@@ -214,13 +214,13 @@
         self.was_registered = true;
     }
 
-    /// Tells whether calls go to it.
+    /// Returns whether the endpoint can be called.
     #[must_use]
     pub fn is_reachable(&self) -> bool {
         !self.has_ended && self.address.port() != 0
     }
 
-    /// Tells whether its lease is to be renewed, or its report asked for, now.
+    /// Returns whether a renewal is to be sent now.
     #[must_use]
     pub fn is_renewal_due(&self, now: Now) -> bool {
         let is_needed = !self.placed_runs.is_empty()
@@ -230,7 +230,7 @@
         is_needed && !self.is_renewing && now.steady_ms >= self.renew_at_ms && self.is_reachable()
     }
 
-    /// Tells whether something new may start there.
+    /// Returns whether new runs may start there.
     #[must_use]
     pub fn takes_starts(&self, now_ms: u64) -> bool {
         self.is_registered
@@ -242,19 +242,19 @@
             && now_ms >= self.cooldown_until_ms
     }
 
-    /// Returns the room that is left.
+    /// Returns the free resources.
     #[must_use]
     pub fn free(&self) -> Resources {
         self.capacity.saturating_sub(&self.used)
     }
 
-    /// Tells whether the endpoint has a label.
+    /// Returns whether the endpoint has a label.
     #[must_use]
     pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|known| known == label)
     }
 
-    /// Takes in a reading of the endpoint's clock.
+    /// Records a reading of the endpoint's clock.
     pub fn read_clock(&mut self, clock_ms: u64, now: Now) {
         self.clock = Some(ClockReading {
             clock_ms,
@@ -263,7 +263,7 @@
         self.failed_calls = 0;
     }
 
-    /// Grants a lease that begins now; returns its end on the endpoint's clock.
+    /// Grants a lease that begins now, and returns its end on the endpoint's clock.
     #[must_use]
     pub fn grant_lease(&mut self, now: Now, lease_ms: u64) -> Option<u64> {
         let reading = self.clock?;
@@ -273,7 +273,7 @@
         Some(deadline_ms)
     }
 
-    /// Reckons with leases that an earlier owner may have granted until now.
+    /// Accounts for leases that a previous owner may have granted until now.
     pub fn inherit_leases(&mut self, lease_ms: u64) {
         if let Some(reading) = self.clock {
             let bound_ms = reading.clock_ms + lease_ms;
@@ -282,17 +282,16 @@
         self.leases_end_at_ms = None;
     }
 
-    /// Says when every lease is over at the latest for an endpoint whose clock is not known.
+    /// Sets the latest end of all leases of an endpoint whose clock is unknown.
     pub fn bound_unknown_leases(&mut self, at_ms: u64) {
         if self.clock.is_none() {
             self.leases_end_at_ms = Some(at_ms);
         }
     }
 
-    /// Tells whether every lease granted is over, so that nothing can run there any more.
+    /// Returns whether every granted lease has expired, so that nothing can run there any more.
     ///
-    /// An order that is carried out late is covered too: it carries its own deadline, which is
-    /// among those granted.
+    /// This covers starts that take effect late, as each carries the deadline of a granted lease.
     #[must_use]
     pub fn is_lease_expired(&self, now: Now) -> bool {
         if let Some(at_ms) = self.leases_end_at_ms {
@@ -306,7 +305,7 @@
         now.steady_ms > reading.at_ms + wait_ms
     }
 
-    /// Takes room for a run.
+    /// Reserves the resources of a run.
     pub fn add_run(&mut self, placed: PlacedRun) {
         self.used.add(&placed.resources);
         if placed.is_long_running {
@@ -316,7 +315,7 @@
         self.placed_runs.push(placed);
     }
 
-    /// Gives a run's room back.
+    /// Releases the resources of a run.
     pub fn remove_run(&mut self, task: &TaskRef, run: u32, now_ms: u64) {
         let index = self
             .placed_runs
