--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,9 +1,9 @@
-//! The engine: what one owner knows of the fleet, and what follows from each event.
+//! The state of one owner and its reaction to events.
 //!
-//! An event changes the state in memory and adds effects to the forming batch. The caller cuts a
-//! batch, stores its records, and reports the commit; only then are the batch's effects released.
-//! So nothing is ordered, acknowledged or answered that a later owner would not know of. What is
-//! safe without being stored, such as renewing a lease, is released at once.
+//! An event changes the state in memory and adds effects to the pending batch. The caller takes a
+//! batch, stores its records and reports the commit, which releases the effects of the batch.
+//! Nothing is therefore ordered, acknowledged or answered that a later owner would not know of.
+//! Effects that need no stored state, such as lease renewals, are released immediately.
 
 use {
     crate::{
@@ -29,33 +29,33 @@
     std::sync::Arc,
 };
 
-/// Time after which an endpoint is asked again when its order got no answer, in milliseconds.
+/// Time after which an unanswered order is retried, in milliseconds.
 pub const ORDER_RETRY_MS: u64 = 200;
 
-/// Time for which an ended life of an endpoint is remembered, in milliseconds: its entry is gone and
-/// the last late answers have come long before.
+/// Time for which an ended incarnation is kept, in milliseconds. By then its registry entry is gone
+/// and no late answers are expected.
 const INCARNATION_RETENTION_MS: u64 = 30_000;
 
-/// Time between two looks for lives to forget, in milliseconds.
+/// Interval between removals of ended incarnations, in milliseconds.
 const PRUNE_INTERVAL_MS: u64 = 1_000;
 
-/// Bounds that the platform sets.
+/// Limits set by the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSettings {
-    /// Length of the leases granted to endpoints, in milliseconds.
+    /// Duration of the leases granted to endpoints, in milliseconds.
     pub lease_ms: u64,
-    /// Time that an ended job is remembered, in milliseconds.
+    /// Time for which an ended job is kept, in milliseconds.
     pub retention_ms: u64,
-    /// Time that maintenance takes, in milliseconds.
+    /// Duration of maintenance, in milliseconds.
     pub maintenance_ms: u64,
-    /// Time in which orders for one VM may not come from two owners, in milliseconds.
+    /// Time that must pass between orders of two owners for the same VM, in milliseconds.
     pub vm_lease_ms: u64,
-    /// Orders for VMs that the platform takes, a second.
+    /// Maximum rate of VM orders that the platform accepts, per second.
     pub vm_orders_per_s: u64,
 }
 
 impl Default for EngineSettings {
-    /// The figures of the platform's examples.
+    /// Returns the values of the platform's examples.
     fn default() -> Self {
         Self {
             lease_ms: 6_000,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A job that has ended and of which only the state is kept.
+/// An ended job, reduced to its state.
 #[derive(Clone, Debug)]
 pub(crate) struct EndedJob {
     pub(crate) id: JobId,
@@ -76,61 +76,60 @@
     pub(crate) at_ms: u64,
 }
 
-/// State of the fleet in the hands of its owner.
+/// State of the fleet as held by its owner.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) settings: EngineSettings,
-    /// Epoch of this owner.
+    /// Epoch of the owner.
     pub(crate) epoch: u64,
     pub(crate) config: Arc<FleetConfig>,
     pub(crate) jobs: JobTable,
-    /// Jobs that may have to be stored; some may be named twice.
+    /// Jobs that may have to be stored; may contain duplicates.
     pub(crate) unstored_jobs: Vec<JobId>,
-    /// Jobs that have occurrences to come, sorted by id.
+    /// Jobs with future occurrences, sorted by id.
     pub(crate) scheduled_jobs: Vec<JobId>,
     pub(crate) open_steps: OpenSteps,
     pub(crate) quotas: QuotaTracker,
-    /// Accounts that flood, sorted, with the share of each in thousandths of a core.
+    /// Accounts with excess demand, sorted, each with its fair share in thousandths of a core.
     pub(crate) excess_demand: Vec<(AccountNumber, f64)>,
-    /// Jobs that have ended, sorted by id.
+    /// Sorted by id.
     pub(crate) ended_jobs: Vec<EndedJob>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) free_capacity: FreeCapacity,
-    /// Endpoints at which nothing starts until a time on the steady clock, sorted by that time.
+    /// Endpoints in cooldown with its end on the monotonic clock, sorted by that time.
     pub(crate) cooling_endpoints: Vec<(u64, EndpointKey)>,
-    /// Endpoints of which ends were taken into account that are not in a batch yet.
+    /// Endpoints with processed run ends that are not in a batch yet.
     pub(crate) unstored_ends: Vec<EndpointKey>,
-    /// Runs whose order may have to be repeated, sorted.
+    /// Runs with an order that may have to be retried, sorted.
     pub(crate) unanswered_runs: Vec<(TaskRef, u32)>,
-    /// VMs sorted by name.
+    /// Sorted by name.
     pub(crate) vms: Vec<Vm>,
     pub(crate) vm_order_rate: OrderRateLimiter,
-    /// VMs for which an earlier owner ordered something lately, sorted by name.
+    /// VMs that a previous owner ordered recently, sorted by name.
     pub(crate) vm_cooldowns: Vec<VmCooldown>,
-    /// Waves sorted by number.
+    /// Sorted by number.
     pub(crate) waves: Vec<Wave>,
     pub(crate) pending_effects: Vec<Effect>,
     pub(crate) immediate_effects: Vec<Effect>,
     pub(crate) deletions: Vec<Record>,
-    /// What is known of steps whose endpoints another service chooses, sorted by step.
+    /// Tickets of the steps whose endpoints are chosen by the advice service, sorted by step.
     pub(crate) advice: Vec<StepAdvice>,
-    /// Work handed in lately.
+    /// Recently submitted work.
     pub(crate) arrivals: Arrivals,
     pub(crate) log_events: Vec<LogEvent>,
-    /// When the pools were noted last, on the steady clock.
+    /// When the state of all pools was last logged, on the monotonic clock.
     pub(crate) pools_logged_ms: u64,
-    /// Entries of endpoints that were seen being written.
+    /// Number of registry entries that were seen being written.
     pub(crate) fresh_entries: u64,
-    /// When lives were forgotten last, on the steady clock.
+    /// When ended incarnations were last removed, on the monotonic clock.
     incarnations_pruned_ms: u64,
     pub(crate) is_schedule_due: bool,
     pub(crate) may_order_vms: bool,
-    /// Whether nothing can be stored at the moment.
     is_store_unavailable: bool,
 }
 
 impl Engine {
-    /// Creates an engine that knows of nothing.
+    /// Creates an empty engine.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         Self {
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Sets the owner's epoch, under which its orders for VMs are stored.
+    /// Sets the epoch of the owner, which is stored with its VM orders.
     #[must_use]
     pub fn with_epoch(self, epoch: u64) -> Self {
         Self { epoch, ..self }
@@ -225,15 +224,15 @@
         }
     }
 
-    /// Allows orders for VMs, or forbids them while another owner might give some.
+    /// Allows or forbids VM orders; they are forbidden while a previous owner may still send some.
     pub fn allow_vm_orders(&mut self, is_allowed: bool) {
         self.may_order_vms = is_allowed;
     }
 
-    /// Records whether the store is unavailable, and refuses the jobs of which nothing was sent to it.
+    /// Records whether the store is unavailable, and refuses the jobs that were never sent to it.
     ///
-    /// Kept until their callers' deadline, they would end as "not known", after which a caller may not
-    /// hand its job in again. One that is refused at once comes back when the store does.
+    /// Without the refusal their callers would time out with an unknown outcome and could not
+    /// submit the job again.
     pub fn set_store_unavailable(&mut self, is_unavailable: bool) {
         self.is_store_unavailable = is_unavailable;
         if !is_unavailable {
@@ -297,7 +296,7 @@
         }
     }
 
-    /// Adds a job, and notes if it has occurrences to come.
+    /// Adds a job, and schedules its future occurrences.
     pub(crate) fn add_job(&mut self, mut job: Box<Job>) {
         job.account_number = self.quotas.number(&job.account);
         self.quotas.add_job(job.account_number);
@@ -309,7 +308,7 @@
         self.jobs.add(job);
     }
 
-    /// Tells whether every task and gang of a job fits into its account's quota.
+    /// Returns whether every task and gang of a job fits into the quota of its account.
     fn may_ever_run(&self, job: &Job) -> bool {
         let account = self.config.accounts.named(&job.account);
         account.is_none_or(|account| {
@@ -320,8 +319,8 @@
         })
     }
 
-    /// Tells whether a caller of an account may ask for a job, hand it in again or cancel it; a job
-    /// that is not known is open to everybody.
+    /// Returns whether an account may query, resubmit or cancel a job. Unknown jobs are accessible
+    /// to every account.
     #[must_use]
     pub fn can_access(&self, id: JobId, account: &str) -> bool {
         let holder = match self.search(id) {
@@ -338,7 +337,7 @@
             if !self.jobs[index].state.is_final() {
                 self.end_job(index, JobState::Cancelled, now);
             }
-            // The answer waits for the batch, as the end may not be stored yet.
+            // The end may not be stored yet, so the reply waits for the batch.
             self.pending_effects.push(Effect::Reply {
                 token,
                 answer: CallerAnswer::Cancelled,
@@ -350,7 +349,7 @@
         }
     }
 
-    /// Ends a job and stops what still runs of it.
+    /// Ends a job and stops its active runs.
     pub(crate) fn end_job(&mut self, index: usize, state: JobState, now: Now) {
         let job = &mut self.jobs[index];
         job.state = state;
@@ -370,13 +369,13 @@
         }
     }
 
-    /// Returns what an account has running, as far as that is known; unknown outcomes count.
+    /// Returns the resources that an account uses, including runs with an unknown outcome.
     #[must_use]
     pub fn running_resources(&self, account: &str) -> Resources {
         self.quotas.running_resources(account)
     }
 
-    /// Returns the version of the configuration in force here.
+    /// Returns the version of the active configuration.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.config.version
@@ -397,7 +396,8 @@
             {
                 let job = &mut self.jobs[index];
                 job.queue = queue.clone();
-                // Written again with the next change, so that a later owner starts from it.
+                // The spec is stored again with the next change, so that a later owner has the new
+                // queue.
                 job.is_spec_stored = false;
                 job.is_dirty = true;
             }
@@ -416,7 +416,7 @@
         index.ok().map(|index| &self.ended_jobs[index])
     }
 
-    /// Returns what may be told of a job; nothing when no such job is stored.
+    /// Returns the state visible to callers, or `None` if no such job is stored.
     #[must_use]
     pub fn job_state(&self, id: JobId) -> Option<JobState> {
         match self.search(id) {
@@ -425,14 +425,14 @@
         }
     }
 
-    /// Tells whether a job was handed in that is not stored yet.
+    /// Returns whether a job was submitted but is not stored yet.
     #[must_use]
     pub fn is_unstored(&self, id: JobId) -> bool {
         self.search(id)
             .is_ok_and(|index| self.jobs[index].visible_state.is_none())
     }
 
-    /// Counts the jobs of a queue of which no task has started.
+    /// Returns the number of jobs in a queue of which no task has started.
     #[must_use]
     pub fn queued_job_count(&self, queue: &Queue) -> usize {
         self.jobs
@@ -441,7 +441,7 @@
             .count()
     }
 
-    /// Returns the text that endpoints get with each task of a job in progress.
+    /// Returns the payload of a job in progress.
     #[must_use]
     pub fn payload(&self, job: JobId) -> Option<&CompactString> {
         self.jobs.get(job).map(|job| &job.spec.payload)
@@ -458,17 +458,17 @@
         &self.endpoints
     }
 
-    /// Takes the effects that wait for nothing.
+    /// Takes the effects that need no commit.
     pub fn take_immediate_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.immediate_effects)
     }
 
-    /// Takes the notes on what was found out, for the log.
+    /// Takes the events for the log.
     pub fn take_log_events(&mut self) -> Vec<LogEvent> {
         std::mem::take(&mut self.log_events)
     }
 
-    /// Keeps only the state of a job that has ended.
+    /// Removes an ended job, keeping only its state.
     pub(crate) fn drop_job_details(&mut self, index: usize) {
         let job = self.jobs.remove(index);
         self.quotas.remove_job(job.account_number);
@@ -504,7 +504,7 @@
         self.refresh_open_steps();
         self.find_excess_demand();
         self.plan_pools(now);
-        // Rests and delays end without an event of their own.
+        // Cooldowns and delays end without an event.
         self.is_schedule_due = true;
     }
 
