--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -1,4 +1,4 @@
-//! What the engine learns and what it asks for.
+//! Inputs of the engine and the effects that it requests.
 
 use {
     crate::{
@@ -13,160 +13,160 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// Number of an endpoint's life within one engine.
+/// Identifies one incarnation of an endpoint within an engine.
 pub type EndpointKey = u32;
 
-/// Names a caller's request that waits for its answer.
+/// Identifies a caller's request that awaits its reply.
 pub type ReplyToken = u64;
 
-/// Times at which something is decided.
+/// Current time on both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Now {
-    /// Steady clock that counts suspension too, in milliseconds.
+    /// Monotonic clock that includes time spent suspended, in milliseconds.
     pub steady_ms: u64,
-    /// Time of day, in milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
 /// Outcome of a call to an endpoint.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CallOutcome<T> {
-    /// Answered.
+    /// The endpoint carried the call out.
     Done(T),
-    /// Another life answered: the one meant is over.
+    /// Another incarnation answered: the addressed one has ended.
     OtherLife,
-    /// A newer owner has given orders there.
+    /// The endpoint has accepted orders from a newer owner.
     Fenced,
-    /// Refused, and nothing was done.
+    /// The endpoint refused the call and did nothing.
     Refused(Refusal),
-    /// Nothing was sent: no connection.
+    /// Nothing was sent, for lack of a connection.
     Unsent,
-    /// No answer: it may have been carried out, or may be later.
+    /// No answer arrived: the call may have been carried out, or may still be.
     Unknown,
 }
 
 /// Why an endpoint refused an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Refusal {
-    /// That run, or a later one, was stopped or has ended there.
+    /// That run or a later one was stopped or has ended there.
     OldRun,
-    /// The order's time was over.
+    /// The deadline of the order had passed.
     Late,
-    /// It does not fit.
+    /// The task exceeds the endpoint's free resources.
     NoRoom,
-    /// The ticket does not hold.
+    /// The ticket is not valid.
     Ticket,
     /// The endpoint is unhealthy or busy.
     Unhealthy,
-    /// It does not know the task, or takes the order for malformed.
+    /// The endpoint does not know the task or considers the order malformed.
     Invalid,
 }
 
-/// Outcome of a call for a VM.
+/// Outcome of an order for a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VmOutcome {
-    /// Done, now or before.
+    /// Carried out by this call or an earlier one.
     Done,
-    /// The VM is not up, or is leaving.
+    /// The VM is not up or is leaving.
     Busy,
-    /// Refused for another reason: nothing was done.
+    /// Refused for another reason; nothing was done.
     Refused,
-    /// No answer: it may have been carried out, or may be later.
+    /// No answer arrived: the order may have been carried out, or may still be.
     Unknown,
 }
 
-/// What the engine learns.
+/// Input of the engine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller hands in a job.
+    /// A caller submits a job.
     Submit {
         /// Id of the job.
         job: JobId,
-        /// Queue as the receiving node's configuration has it.
+        /// Queue as configured on the node that received the job.
         queue: Queue,
-        /// What the caller sent.
+        /// Job description.
         spec: Box<JobSpec>,
-        /// Client account that hands it in; empty for a queue that needs no key.
+        /// Client account of the caller; empty for a queue that requires no key.
         account: CompactString,
-        /// Node that took the job from its caller and keeps its payload for a while, if it is known.
+        /// Node that accepted the job and keeps its payload for a while, if known.
         origin: Option<SocketAddr>,
-        /// Request that waits.
+        /// Request to reply to.
         token: ReplyToken,
     },
     /// A caller cancels a job.
     Cancel {
         /// Id of the job.
         job: JobId,
-        /// Client account that cancels; empty for a queue that needs no key.
+        /// Client account of the caller; empty for a queue that requires no key.
         account: CompactString,
-        /// Request that waits.
+        /// Request to reply to.
         token: ReplyToken,
     },
-    /// A configuration came into force.
+    /// A configuration took effect.
     ConfigChanged(Arc<FleetConfig>),
-    /// An endpoint's entry was written, or was found.
+    /// An endpoint's registry entry was written or discovered.
     Registered {
-        /// Entry.
+        /// Registry entry.
         entry: Box<EndpointEntry>,
-        /// Whether it was written after others that are known, not found among them.
+        /// Whether the entry was seen being written rather than found among existing ones.
         is_fresh: bool,
     },
-    /// An endpoint's entry was removed.
+    /// An endpoint's registry entry was removed.
     Deregistered(CompactString),
-    /// The platform's list of VMs, whole.
+    /// The platform returned its complete list of VMs.
     VmsListed(Vec<VmEntry>),
-    /// An operator orders maintenance.
+    /// An operator ordered maintenance.
     WaveOrdered(WaveOrder),
-    /// Answer to a start.
+    /// A start was answered.
     Started {
         /// Endpoint.
         endpoint: EndpointKey,
         /// Task.
         task: TaskRef,
-        /// Run.
+        /// Run number.
         run: u32,
-        /// Outcome, with the endpoint's clock.
+        /// Outcome, with the endpoint's clock reading.
         outcome: CallOutcome<u64>,
     },
-    /// Answer to a stop.
+    /// A stop was answered.
     Stopped {
         /// Endpoint.
         endpoint: EndpointKey,
         /// Task.
         task: TaskRef,
-        /// Run.
+        /// Run number.
         run: u32,
-        /// Outcome, with the endpoint's clock.
+        /// Outcome, with the endpoint's clock reading.
         outcome: CallOutcome<u64>,
     },
-    /// Answer to a renewal of an endpoint's lease.
+    /// A renewal of an endpoint's lease was answered.
     Renewed {
         /// Endpoint.
         endpoint: EndpointKey,
-        /// Outcome.
+        /// Outcome, with the endpoint's report.
         outcome: CallOutcome<EndpointReport>,
     },
-    /// Answer to an ask which endpoints may run a step.
+    /// A request for tickets of a step was answered.
     Advised {
         /// First task of the step.
         step: TaskRef,
-        /// Tickets and the time for which they hold in milliseconds; nothing when the call failed.
+        /// Tickets and their validity in milliseconds; `None` if the call failed.
         answer: Option<(Vec<Ticket>, u64)>,
     },
-    /// Answer to a change of pace.
+    /// A change of pace was answered.
     Paced {
         /// Endpoint.
         endpoint: EndpointKey,
         /// Task.
         task: TaskRef,
-        /// Run.
+        /// Run number.
         run: u32,
-        /// Share of work asked for, in percent.
+        /// Requested speed, in percent of full speed.
         percent: u8,
-        /// Whether it was carried out.
+        /// Whether the endpoint applied the change.
         is_done: bool,
     },
-    /// Answer to a move or to maintenance.
+    /// A move or maintenance order was answered.
     VmOrderAnswered {
         /// VM.
         vm: CompactString,
@@ -177,25 +177,25 @@
     Tick,
 }
 
-/// Answer to a caller.
+/// Reply to a caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallerAnswer {
     /// The job is accepted and stored.
     Accepted,
-    /// The job is cancelled, or had ended before.
+    /// The job is cancelled or had already ended.
     Cancelled,
-    /// No such job.
+    /// No such job exists.
     Unknown,
-    /// Nothing was stored of the job, and nothing will be.
+    /// The job was not stored and never will be.
     Refused,
-    /// A task or a gang of the job takes more than its account may ever have running; nothing was
-    /// stored, and nothing will be.
+    /// A task or gang of the job exceeds the quota of its account, so the job was not stored and
+    /// never will be.
     OverQuota,
     /// The job belongs to another client account; nothing was done.
     OtherAccount,
 }
 
-/// What the engine asks for.
+/// Action that the engine requests from its owner.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Start a run.
@@ -206,36 +206,36 @@
         endpoint: EndpointKey,
         /// Task.
         task: TaskRef,
-        /// Run.
+        /// Run number.
         run: u32,
     },
-    /// Renew an endpoint's lease and ask for its report.
+    /// Renew an endpoint's lease and request its report.
     Renew {
         /// Endpoint.
         endpoint: EndpointKey,
-        /// End of the lease on the endpoint's clock, if it is to be renewed.
+        /// New end of the lease on the endpoint's clock; `None` to request a report only.
         deadline_ms: Option<u64>,
-        /// Ends up to this number may be forgotten.
+        /// Highest run end that the endpoint may forget.
         acknowledged: u64,
-        /// Time that the endpoint may wait for an end, in milliseconds.
+        /// Longest time for which the endpoint may wait for a run to end, in milliseconds.
         wait_ms: u64,
     },
-    /// Ask which endpoints may run a step.
+    /// Request tickets for a step from the advice service.
     Advise {
         /// First task of the step.
         step: TaskRef,
-        /// Ids of the endpoints.
+        /// Ids of the candidate endpoints.
         endpoints: Vec<CompactString>,
     },
-    /// Let a run work at a share of its speed.
+    /// Set the speed of a run.
     Pace {
         /// Endpoint.
         endpoint: EndpointKey,
         /// Task.
         task: TaskRef,
-        /// Run.
+        /// Run number.
         run: u32,
-        /// Share in percent.
+        /// Percent of full speed.
         percent: u8,
     },
     /// Move a VM to another pool.
@@ -245,28 +245,28 @@
         /// Pool.
         pool: CompactString,
     },
-    /// Begin the maintenance of a VM.
+    /// Begin maintenance of a VM.
     MaintainVm {
         /// VM.
         vm: CompactString,
-        /// Wave.
+        /// Wave number.
         wave: u64,
     },
-    /// Publish how a wave stands.
+    /// Publish the status of a wave.
     PublishWave {
-        /// Wave.
+        /// Wave number.
         wave: u64,
-        /// Whether every VM has had its maintenance.
+        /// Whether maintenance of every VM has begun.
         is_completed: bool,
     },
-    /// Answer a caller.
+    /// Reply to a caller.
     Reply {
-        /// Request.
+        /// Request to reply to.
         token: ReplyToken,
-        /// Answer.
+        /// Reply.
         answer: CallerAnswer,
     },
-    /// Give up ownership: a newer owner gives orders.
+    /// Give up ownership, as a newer owner exists.
     StepDown,
 }
 
@@ -277,25 +277,25 @@
     pub endpoint: EndpointKey,
     /// Task.
     pub task: TaskRef,
-    /// Run.
+    /// Run number.
     pub run: u32,
-    /// Text of the job.
+    /// Payload of the job.
     pub payload: CompactString,
-    /// Node that keeps that text for a while, if one is known to.
+    /// Node that keeps the payload for a while, if known.
     pub origin: Option<SocketAddr>,
     /// End of the lease on the endpoint's clock, in milliseconds.
     pub deadline_ms: u64,
-    /// Checkpoint from which to go on; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: CompactString,
-    /// Ticket; empty where none is needed.
+    /// Ticket; empty if none is required.
     pub ticket: CompactString,
 }
 
-/// Where an endpoint's life is reached.
+/// Id and address of an endpoint incarnation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EndpointAddress {
-    /// Id of the life.
+    /// Id of the incarnation.
     pub id: CompactString,
-    /// Address.
+    /// Address that accepts calls.
     pub address: SocketAddr,
 }
