--- a/crates/engine/src/fair_share.rs
+++ b/crates/engine/src/fair_share.rs
@@ -1,39 +1,38 @@
-//! Shares of client accounts while there is not room for all: weighted max-min fairness.
+//! Weighted max-min fairness between client accounts while capacity is short.
 //!
-//! Accounts that want less than their share get all of it, and what they leave is shared out among the
-//! others by weight. So an account that sends many times its usual gets what is left over, and costs the
-//! others nothing.
+//! Accounts that want less than their share get all they want, and the remainder is divided among
+//! the others by weight. An account with excess demand therefore only gets what the others leave.
 
-/// Multiple of its share that an account wants when it floods: demand that varies is none that floods.
+/// Multiple of its share from which an account has excess demand; usual variation stays below it.
 const EXCESS_FACTOR: f64 = 2.0;
 
-/// What an account wants of a resource.
+/// Demand of an account for a resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Claim {
-    /// Weight.
+    /// Weight of the account.
     pub weight: f64,
-    /// What it has.
+    /// Amount in use.
     pub held: f64,
-    /// What it has and waits for.
+    /// Amount in use and waiting.
     pub wanted: f64,
 }
 
 impl Claim {
-    /// Returns the account's share at a level.
+    /// Returns the share of the account at a level.
     #[must_use]
     pub fn share(&self, level: f64) -> f64 {
         self.weight * level
     }
 
-    /// Tells whether the account wants far more than its share at a level.
+    /// Returns whether the demand far exceeds the share at a level.
     #[must_use]
     pub fn has_excess_demand(&self, level: f64) -> bool {
         level.is_finite() && self.wanted >= EXCESS_FACTOR * self.share(level)
     }
 }
 
-/// Returns how much of a resource each unit of weight gets when what is free and what all hold is shared
-/// out fairly; infinite when that suffices for all.
+/// Returns the amount per unit of weight if all claims and `free` are divided fairly; infinite if
+/// every claim can be met.
 #[must_use]
 pub fn fair_level(claims: &[Claim], free: f64) -> f64 {
     let mut claims: Vec<&Claim> = claims.iter().filter(|claim| claim.weight > 0.0).collect();
