--- a/crates/engine/src/free_capacity.rs
+++ b/crates/engine/src/free_capacity.rs
@@ -1,23 +1,23 @@
-//! Free room of the endpoints that take starts, by pool, the fullest first.
+//! Index of endpoints that accept starts, by pool and free processor.
 
 use {crate::event::EndpointKey, compact_str::CompactString};
 
-/// Number of a pool; it stays the same for as long as the index lives.
+/// Number of a pool, stable for the lifetime of the index.
 pub(crate) type PoolNumber = usize;
 
-/// Processor that is free at an endpoint, in thousandths of a core, and the endpoint.
+/// Free processor of an endpoint in thousandths of a core, and its key.
 pub(crate) type FreeSlot = (u64, EndpointKey);
 
 #[derive(Clone, Debug)]
 struct PoolCapacity {
     name: CompactString,
-    /// Sorted.
+    /// Sorted by free processor.
     slots: Vec<FreeSlot>,
-    /// Processor that is free at all of them, in thousandths of a core.
+    /// Sum over all slots, in thousandths of a core.
     free_cpu_millis: u64,
 }
 
-/// What the index says of an endpoint.
+/// Indexed values of an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Indexed {
     key: EndpointKey,
@@ -25,10 +25,10 @@
     free_cpu_millis: u64,
 }
 
-/// Endpoints that take starts, by pool and by the processor that is free there.
+/// Endpoints that accept starts, by pool and free processor.
 ///
-/// The fullest endpoint that still holds a task is found without looking at those that are fuller,
-/// nor, for a task without further needs, at those that are emptier.
+/// The fullest endpoint that fits a task is found without visiting fuller ones. For a task without
+/// further requirements emptier ones are not visited either.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FreeCapacity {
     pools: Vec<PoolCapacity>,
@@ -37,7 +37,7 @@
 }
 
 impl FreeCapacity {
-    /// Returns the number of a pool.
+    /// Returns the number of a pool, adding the pool if needed.
     pub(crate) fn pool_number(&mut self, name: &CompactString) -> PoolNumber {
         let known = self.pools.iter().position(|pool| pool.name == *name);
         known.unwrap_or_else(|| {
@@ -54,7 +54,7 @@
         self.indexed.binary_search_by_key(&key, |entry| entry.key)
     }
 
-    /// Takes in that an endpoint takes starts, and how much processor is free there.
+    /// Adds or updates an endpoint.
     pub(crate) fn set(&mut self, key: EndpointKey, pool: &CompactString, free_cpu_millis: u64) {
         match self.search(key) {
             Ok(index) => {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes in that an endpoint takes no starts.
+    /// Removes an endpoint.
     pub(crate) fn remove(&mut self, key: EndpointKey) {
         if let Ok(index) = self.search(key) {
             let entry = self.indexed.remove(index);
@@ -110,25 +110,25 @@
         }
     }
 
-    /// Returns the endpoints of a pool with so much processor free or more, the fullest first.
+    /// Returns the endpoints of a pool with at least `cpu_millis` free, the fullest first.
     pub(crate) fn slots_with(&self, pool: PoolNumber, cpu_millis: u64) -> &[FreeSlot] {
         let slots = &self.pools[pool].slots;
         let begin = slots.partition_point(|(free, _)| *free < cpu_millis);
         &slots[begin..]
     }
 
-    /// Returns the processor that is free at a pool's endpoints, in thousandths of a core.
+    /// Returns the total free processor of a pool, in thousandths of a core.
     pub(crate) fn free_cpu_millis(&self, pool: PoolNumber) -> u64 {
         self.pools[pool].free_cpu_millis
     }
 
-    /// Tells whether some endpoint of a pool has so much processor free.
+    /// Returns whether any endpoint of a pool has at least `cpu_millis` free.
     pub(crate) fn has_slot(&self, pool: PoolNumber, cpu_millis: u64) -> bool {
         let slots = &self.pools[pool].slots;
         slots.last().is_some_and(|(free, _)| *free >= cpu_millis)
     }
 
-    /// Returns the endpoints of a pool, sorted.
+    /// Returns the endpoints of a pool, sorted by key.
     pub(crate) fn members(&self, pool: PoolNumber) -> Vec<EndpointKey> {
         let slots = &self.pools[pool].slots;
         let mut keys: Vec<EndpointKey> = slots.iter().map(|(_, key)| *key).collect();
