--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,4 +1,4 @@
-//! What callers hand in: jobs, their steps, and the names of their tasks.
+//! Jobs as callers submit them: steps, tasks and resources.
 
 use {
     compact_str::CompactString,
@@ -6,10 +6,10 @@
     std::{fmt, str::FromStr},
 };
 
-/// Length of a job's id in hexadecimal digits.
+/// Number of hexadecimal digits of a job id.
 const ID_DIGITS: usize = 16;
 
-/// Id of a job, as its caller chose it: 16 hexadecimal digits.
+/// Id of a job, chosen by the caller: 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "[u8; ID_DIGITS]", try_from = "[u8; ID_DIGITS]")]
 pub struct JobId([u8; ID_DIGITS]);
@@ -28,13 +28,13 @@
     }
 }
 
-/// A name that is none of a job or task.
+/// Error of parsing a job id or a task reference.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseNameError;
 
 impl fmt::Display for ParseNameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("no name of a job or task")
+        formatter.write_str("invalid job id or task reference")
     }
 }
 
@@ -65,21 +65,21 @@
     }
 }
 
-/// One task: a job's step, the occurrence of the job, and the place in the step.
+/// Identifies a task by its job, occurrence, step and index.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TaskRef {
     /// Job.
     pub job: JobId,
-    /// Occurrence of a job that repeats, from 0.
+    /// Occurrence of a repeating job, from 0.
     pub occurrence: u32,
-    /// Step, from 0.
+    /// Step of the job, from 0.
     pub step: u16,
-    /// Place in the step, from 0.
+    /// Index within the step, from 0.
     pub index: u16,
 }
 
 impl TaskRef {
-    /// Tells whether another task belongs to the same step of the same occurrence.
+    /// Returns whether both tasks belong to the same step of the same occurrence.
     #[must_use]
     pub fn is_sibling(&self, other: &Self) -> bool {
         self.job == other.job && self.occurrence == other.occurrence && self.step == other.step
@@ -117,19 +117,19 @@
     }
 }
 
-/// Amounts of an endpoint's room.
+/// Amounts of processor, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// Processor, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpus: u64,
 }
 
 impl Resources {
-    /// Tells whether `wanted` fits in.
+    /// Returns whether `wanted` fits into this amount.
     #[must_use]
     pub fn can_fit(&self, wanted: &Self) -> bool {
         self.cpu_millis >= wanted.cpu_millis
@@ -137,14 +137,14 @@
             && self.gpus >= wanted.gpus
     }
 
-    /// Adds an amount.
+    /// Adds another amount.
     pub fn add(&mut self, other: &Self) {
         self.cpu_millis += other.cpu_millis;
         self.memory_mb += other.memory_mb;
         self.gpus += other.gpus;
     }
 
-    /// Returns so many times the amount.
+    /// Returns the amount multiplied by `count`.
     #[must_use]
     pub fn scaled(&self, count: u64) -> Self {
         Self {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Returns what is left after `other` was taken, or nothing of an amount that does not suffice.
+    /// Subtracts another amount, with each dimension saturating at 0.
     #[must_use]
     pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
@@ -165,7 +165,7 @@
     }
 }
 
-/// Step of a job: tasks that are alike.
+/// Step of a job: a number of identical tasks.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -174,43 +174,43 @@
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u16,
-    /// Room that each task asks for.
+    /// Resources that each task requires.
     #[serde(rename = "room")]
     pub resources: Resources,
-    /// Caller's rough estimate of a task's duration, in milliseconds.
+    /// Caller's estimate of a task's duration, in milliseconds.
     pub estimated_ms: u64,
-    /// Steps of which every task must be done first.
+    /// Steps that must be done before this one starts.
     #[serde(rename = "after")]
     pub depends_on: Vec<u16>,
-    /// Whether tasks write checkpoints as they go.
+    /// Whether tasks write checkpoints.
     pub saves_progress: bool,
-    /// Whether the tasks work only when all of one run are present.
+    /// Whether all tasks must run at the same time.
     pub gang: bool,
-    /// Whether the tasks are slower when they run in more than one rack.
+    /// Whether tasks run slower when spread over several racks.
     pub same_rack: bool,
-    /// Label that the endpoint must have; empty for any.
+    /// Label that an endpoint must have; empty for any endpoint.
     pub required_label: CompactString,
-    /// Rack in which the data is; empty for none. Elsewhere tasks are slower.
+    /// Rack that holds the data; empty for none. Tasks run slower in other racks.
     pub data_rack: CompactString,
-    /// Tasks of the step on one endpoint at most; 0 for any number.
+    /// Maximum number of tasks of the step on one endpoint; 0 means unlimited.
     pub max_per_endpoint: u16,
-    /// Whether copies of a task may run at once.
+    /// Whether several copies of a task may run at the same time.
     pub concurrent_copies: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether tasks run until the job is cancelled.
     pub long_running: bool,
-    /// Name of what the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of one image behave alike.
     pub image: CompactString,
-    /// Bound of the tail of response times of a serving task, in milliseconds; 0 for none.
+    /// Limit of the tail latency of a serving task, in milliseconds; 0 for none.
     pub target_ms: u64,
-    /// Whether the tasks use only what other tasks leave unused.
+    /// Whether tasks use only the processor time that other tasks leave idle.
     #[serde(rename = "fills")]
     pub filler: bool,
-    /// Tasks that may be away at once by orders of ours; 0 for any number.
+    /// Maximum number of tasks interrupted at the same time by the fleet; 0 means unlimited.
     pub max_unavailable: u16,
 }
 
 impl StepSpec {
-    /// Returns the room that a task takes of its endpoint.
+    /// Returns the resources that a task reserves on its endpoint.
     #[must_use]
     pub fn reserved_resources(&self) -> Resources {
         if self.filler {
@@ -222,25 +222,25 @@
         self.resources
     }
 
-    /// Tells whether the tasks serve users of their own.
+    /// Returns whether tasks answer requests under a latency target.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.target_ms > 0
     }
 }
 
-/// What a caller hands in.
+/// Job as a caller submits it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct JobSpec {
-    /// Text that endpoints get with each task.
+    /// Text passed to the endpoint with each task.
     pub payload: CompactString,
     /// Steps.
     pub steps: Vec<StepSpec>,
-    /// Times that the steps run; 0 for once, at once.
+    /// Number of occurrences; 0 for a single one that starts immediately.
     pub repeat_count: u32,
     /// Time between occurrences, in milliseconds.
     pub interval_ms: u64,
-    /// Due time of the first occurrence, in milliseconds since 1970.
+    /// Due time of the first occurrence, in milliseconds since the Unix epoch.
     pub first_due_ms: u64,
 }
 
@@ -251,7 +251,8 @@
         self.repeat_count.max(1)
     }
 
-    /// Returns when an occurrence is due, in milliseconds since 1970; 0 for at once.
+    /// Returns the due time of an occurrence, in milliseconds since the Unix epoch; 0 for
+    /// immediately.
     #[must_use]
     pub fn due_ms(&self, occurrence: u32) -> u64 {
         if self.repeat_count == 0 {
@@ -260,7 +261,7 @@
         self.first_due_ms + u64::from(occurrence) * self.interval_ms
     }
 
-    /// Returns the longest chain of estimated work, in milliseconds.
+    /// Returns the length of the critical path by the estimates of the steps, in milliseconds.
     #[must_use]
     pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
@@ -275,7 +276,7 @@
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// Returns why the job cannot be taken, if so.
+    /// Returns why the job is invalid, or `None` if it is valid.
     #[must_use]
     pub fn validation_error(&self) -> Option<&'static str> {
         if self.steps.is_empty() {
@@ -297,23 +298,23 @@
     }
 }
 
-/// What a caller is told of a job.
+/// State of a job as reported to callers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum JobState {
-    /// Accepted, and no task has started.
+    /// Accepted; no task has started.
     Queued,
-    /// A task has started.
+    /// At least one task has started.
     Running,
-    /// Every task has ended as done.
+    /// Every task is done.
     Completed,
-    /// A task has failed as often as the queue allows.
+    /// A task has failed as many times as its queue allows.
     Failed,
     /// Cancelled by a caller.
     Cancelled,
 }
 
 impl JobState {
-    /// Tells whether nothing more happens.
+    /// Returns whether the state never changes again.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
