--- a/crates/engine/src/job_table.rs
+++ b/crates/engine/src/job_table.rs
@@ -1,23 +1,23 @@
-//! Jobs in progress, and which of them have changed.
+//! Table of jobs in progress, with change tracking.
 
 use {
     crate::{job::JobId, state::Job},
     std::ops::{Index, IndexMut},
 };
 
-/// A job, with its id beside it: a search touches no job.
+/// A job with its id, so that a search does not touch the job.
 #[derive(Debug)]
 struct Row {
     id: JobId,
-    /// Boxed, so that inserting moves little.
+    /// Boxed to make insertion cheap.
     job: Box<Job>,
     is_changed: bool,
 }
 
 /// Jobs in progress, sorted by id.
 ///
-/// Every job that is handed out to be changed counts as changed until that is looked at, so that what
-/// follows from a change need not be looked for among all jobs.
+/// A job counts as changed from a mutable borrow until changes are taken, so that derived data can
+/// be updated without scanning the whole table.
 #[derive(Debug, Default)]
 pub(crate) struct JobTable {
     rows: Vec<Row>,
@@ -42,7 +42,7 @@
         self.rows.iter().map(|row| row.job.as_ref())
     }
 
-    /// Adds a job, unless one with its id is known.
+    /// Adds a job, unless its id is already present.
     pub(crate) fn add(&mut self, job: Box<Job>) {
         if let Err(index) = self.search(job.id) {
             self.changed.push(job.id);
@@ -58,18 +58,19 @@
     pub(crate) fn remove(&mut self, index: usize) -> Box<Job> {
         let row = self.rows.remove(index);
         if !row.is_changed {
-            // Whoever follows changes learns that it is gone.
+            // A removal counts as a change.
             self.changed.push(row.id);
         }
         row.job
     }
 
-    /// Returns a job for a change that makes no task wait or run and needs not be stored.
+    /// Returns a job without tracking the change, which must neither make a task wait or run nor
+    /// have to be stored.
     pub(crate) fn get_mut_untracked(&mut self, index: usize) -> &mut Job {
         &mut self.rows[index].job
     }
 
-    /// Returns the ids of jobs changed since the last time, sorted; some may be gone.
+    /// Takes the ids of jobs changed since the last call, sorted; some may have been removed.
     pub(crate) fn take_changed(&mut self) -> Vec<JobId> {
         let mut changed = std::mem::take(&mut self.changed);
         for id in &changed {
@@ -82,7 +83,7 @@
         changed
     }
 
-    /// Returns the ids of jobs changed since they were taken last, in the order of change.
+    /// Returns the ids of changed jobs without taking them, in order of change.
     pub(crate) fn changed(&self) -> &[JobId] {
         &self.changed
     }
