--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -1,4 +1,4 @@
-//! Endpoints' lives and leases: who is listed, what each reports, when a lease is over.
+//! Registration, leases and reports of endpoints.
 
 use crate::{
     endpoints::{PlacedRun, SUSPECT_AFTER_FAILED_CALLS},
@@ -10,37 +10,37 @@
     state::Phase,
 };
 
-/// Time between renewals of a lease, in milliseconds. A quarter of the shortest lease in use, so
-/// that three may fail before it lapses; each costs a call.
+/// Interval between renewals of an idle endpoint's lease, in milliseconds. Three renewals may fail
+/// before the shortest lease expires.
 const RENEW_INTERVAL_MS: u64 = 1_000;
 
-/// Time that an endpoint may wait for an end before it answers a renewal, in milliseconds: an end
-/// is then told at once, without more calls.
+/// Time for which an endpoint may hold a renewal until a run ends, in milliseconds, so that ends
+/// are reported without delay or extra calls.
 const RENEW_WAIT_MS: u64 = 1_000;
 
-/// Shorter wait where tasks run that come to an end, in milliseconds: an answer that is lost hides
-/// their ends for as long as the wait.
+/// Shorter hold time while finite tasks run, in milliseconds: a lost answer delays their ends by
+/// the whole hold time.
 const BUSY_WAIT_MS: u64 = 300;
 
-/// Shorter wait where filling tasks run beside serving ones, in milliseconds: tails are told only
-/// with an answer, and one over its bound must be found well within a second.
+/// Shorter hold time while filler tasks run beside serving ones, in milliseconds: tail latencies
+/// arrive only with answers, and a violation must be found well within a second.
 const MIXED_WAIT_MS: u64 = 400;
 
-/// Pause before the next renewal after one that told an end, in milliseconds: ends come in groups,
-/// and one call fetches several.
+/// Delay of the next renewal after one that reported an end, in milliseconds. Runs tend to end
+/// together, and one call then fetches several ends.
 const RENEW_PAUSE_MS: u64 = 12;
 
-/// Pause after a renewal that failed, in milliseconds.
+/// Delay after a failed renewal, in milliseconds.
 const RENEW_RETRY_MS: u64 = 250;
 
-/// Time in which a stop for an unknown run is not repeated, in milliseconds.
+/// Minimum interval between stops of the same unknown run, in milliseconds.
 const ORPHAN_STOP_INTERVAL_MS: u64 = 500;
 
-/// Time for which an earlier owner may go on granting leases after a take-over, in milliseconds: it
-/// is turned away by the first endpoint that both reach, and asks each of them once a second.
+/// Time for which a previous owner may keep granting leases after a takeover, in milliseconds. It
+/// calls each endpoint once a second, and the first one that both owners reach rejects it.
 const PREVIOUS_OWNER_MS: u64 = 1_200;
 
-/// A lease on an endpoint whose clock may be 2 % slow, in percent.
+/// Longest duration of a lease on an endpoint whose clock is 2 % slow, in percent.
 const SLOW_CLOCK_PERCENT: u64 = 103;
 
 impl Engine {
@@ -67,20 +67,17 @@
         self.is_schedule_due = true;
     }
 
-    /// Ends other lives at the address or on the VM of one that has just answered: there is one at a
-    /// time.
+    /// Ends other incarnations at the address or on the VM of one that has just answered.
     ///
-    /// Only an answer tells which of two lives it is. Neither the order in which entries are found
-    /// after a take-over nor that in which they are written does: a write may be carried out
-    /// seconds late, when its life is over. Taking the later entry for the later life ended sound
-    /// ones, and their runs were started a second time elsewhere.
+    /// Only an answer proves which incarnation is current. The order of registry entries does not,
+    /// as an entry may be written seconds after its incarnation has ended.
     fn end_replaced_incarnations(&mut self, key: EndpointKey, now: Now) {
         for other in self.endpoints.others_at_location(key) {
             self.endpoint_ended(other, now);
         }
     }
 
-    /// Stops the long-running tasks of an endpoint that is leaving, so that they go on elsewhere.
+    /// Stops the long-running tasks of a draining endpoint, so that they continue elsewhere.
     fn stop_long_running_runs(&mut self, key: EndpointKey, now: Now) {
         let long_running: Vec<(TaskRef, u32)> = self
             .endpoints
@@ -101,11 +98,11 @@
         };
         let endpoint = self.endpoints.get_mut(key);
         endpoint.is_registered = false;
-        // Asked now, so that a life that has ended is found out before its lease is over.
+        // A renewal now detects an ended incarnation before its lease expires.
         endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms);
     }
 
-    /// Records that an incarnation is over: nothing runs there, and nothing will.
+    /// Records that an incarnation has ended, so that nothing runs there any more.
     pub(crate) fn endpoint_ended(&mut self, key: EndpointKey, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         if !endpoint.has_ended {
@@ -136,14 +133,14 @@
         }
     }
 
-    /// Records a call without answer.
+    /// Records a call that got no answer.
     pub(crate) fn call_failed(&mut self, key: EndpointKey, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         endpoint.failed_calls += 1;
         endpoint.renew_at_ms = endpoint.renew_at_ms.min(now.steady_ms + RENEW_RETRY_MS);
     }
 
-    /// Takes back the runs of endpoints whose leases are over.
+    /// Removes the runs of unresponsive endpoints whose leases have expired.
     pub(crate) fn expire_leases(&mut self, now: Now) {
         let expired: Vec<EndpointKey> = self
             .endpoints
@@ -175,7 +172,7 @@
             .collect()
     }
 
-    /// Sends an endpoint's renewal if it is due.
+    /// Sends the renewal of an endpoint if it is due.
     pub(crate) fn renew_lease(&mut self, key: EndpointKey, now: Now) {
         if !self.endpoints.get(key).is_renewal_due(now) {
             return;
@@ -216,15 +213,14 @@
     ) {
         self.endpoints.get_mut(key).is_renewing = false;
         match outcome {
-            // An answer may come after that of the incarnation that has taken the place of its own.
+            // The answer of a replaced incarnation may arrive after that of its successor.
             CallOutcome::Done(_) if self.endpoints.get(key).has_ended => return,
             CallOutcome::Done(report) => self.process_report(key, &report, now),
             CallOutcome::OtherLife => self.endpoint_ended(key, now),
             CallOutcome::Fenced => self.immediate_effects.push(Effect::StepDown),
             CallOutcome::Unsent => {
                 let endpoint = self.endpoints.get(key);
-                // Nothing listens where an endpoint said that it would leave, and its entry is
-                // gone too: it has left.
+                // A draining endpoint that is deregistered and refuses connections has shut down.
                 if endpoint.is_draining && !endpoint.is_registered {
                     self.endpoint_ended(key, now);
                 } else {
@@ -309,8 +305,8 @@
         }
     }
 
-    /// Records how far a run is; tells whether it was not known to be there, or nothing for a run that
-    /// was not placed there.
+    /// Records the progress of a run. Returns whether the run was not confirmed before, or `None`
+    /// if it was never placed on this endpoint.
     fn record_progress(
         &mut self,
         key: EndpointKey,
@@ -334,7 +330,7 @@
         Some(is_new)
     }
 
-    /// Stops a run that nobody here ordered, such as one of a cancelled job that began late.
+    /// Stops a run that this owner did not start, such as a late start of a cancelled job.
     fn stop_orphan(&mut self, key: EndpointKey, task: &TaskRef, run: u32, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         let orphan = endpoint
@@ -353,8 +349,8 @@
         });
     }
 
-    /// Takes back runs that a report leaves out though it was asked for after they were known to
-    /// be there, or that an earlier owner's order never brought there.
+    /// Removes runs that a report omits although they were confirmed before it was requested, and
+    /// inherited runs that never reached the endpoint.
     fn remove_missing_runs(
         &mut self,
         key: EndpointKey,
@@ -391,7 +387,8 @@
         }
     }
 
-    /// Takes room for the runs of an earlier owner, and says when they are over at the latest.
+    /// Reserves resources for the runs of a previous owner, and bounds the leases it may have
+    /// granted.
     pub(crate) fn charge_inherited_runs(&mut self, now: Now) {
         let mut unanswered = Vec::new();
         for job in self.jobs.iter() {
@@ -419,7 +416,7 @@
     }
 }
 
-/// Tells whether filling tasks run beside serving ones.
+/// Returns whether filler tasks run beside serving ones.
 fn has_serving_and_filler(placed_runs: &[PlacedRun]) -> bool {
     placed_runs.iter().any(|run| run.is_filler) && placed_runs.iter().any(|run| run.is_serving)
 }
