--- a/crates/engine/src/log_event.rs
+++ b/crates/engine/src/log_event.rs
@@ -1,4 +1,4 @@
-//! What the engine found out, for the log.
+//! Events that the owner writes to the log.
 
 use {
     crate::{
@@ -8,114 +8,114 @@
     compact_str::CompactString,
 };
 
-/// How it is known that a run is over, or never was.
+/// How the engine knows that a run has ended or never started.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunEnd {
     /// The endpoint reported the end.
     Reported(EndKind),
-    /// The endpoint refused the start, and no earlier order can be carried out late.
+    /// The endpoint refused the start, and no earlier order can still take effect.
     Refused,
-    /// The order never went out.
+    /// The order was never sent.
     NeverOrdered,
-    /// A report that was asked for after the run was known to be there leaves it out.
+    /// A report requested after the run was confirmed does not contain it.
     Missing,
-    /// The life of the endpoint is over.
+    /// The endpoint incarnation has ended.
     EndpointOver,
-    /// Every lease of the endpoint is over.
+    /// Every lease of the endpoint has expired.
     LeaseOver,
 }
 
-/// How a pool stands at a planning of the pools.
+/// Supply, demand and orders of a pool in one planning round.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PoolPlan {
     /// Pool.
     pub pool: CompactString,
-    /// Endpoints that take starts.
+    /// Endpoints that accept starts.
     pub members: usize,
     /// Endpoints with long-running tasks.
     pub pinned: usize,
-    /// VMs on their way here.
+    /// VMs that are moving into the pool.
     pub arriving: usize,
-    /// Room of the endpoints that take starts, in thousandths of a core.
+    /// Capacity of the endpoints that accept starts, in thousandths of a core.
     pub supply_cpu_millis: u64,
-    /// Room in use, in thousandths of a core.
+    /// Processor in use, in thousandths of a core.
     pub used_cpu_millis: u64,
     /// Memory in use, in MB.
     pub used_memory_mb: u64,
-    /// Room that should be here, in thousandths of a core.
+    /// Capacity that the pool needs, in thousandths of a core.
     pub wanted_cpu_millis: u64,
-    /// VMs ordered into the pool.
+    /// VMs ordered into the pool in this round.
     pub moved_in: usize,
-    /// VMs ordered out of the pool.
+    /// VMs ordered out of the pool in this round.
     pub moved_out: usize,
 }
 
-/// Tasks that wait for their account's quota.
+/// Tasks that wait for the quota of their account.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QuotaWait {
     /// Account.
     pub account: CompactString,
-    /// First job that waits.
+    /// First waiting job.
     pub job: JobId,
-    /// Room that each of its waiting tasks takes.
+    /// Resources that each waiting task requires.
     pub wanted: Resources,
-    /// What the account has running.
+    /// Resources that the account is using.
     pub running: Resources,
-    /// Most that it may have running; 0 is no limit.
+    /// Quota of the account; 0 means unlimited.
     pub quota: Resources,
 }
 
-/// Tasks that wait as their account has its share of what there is.
+/// Tasks that wait because their account has reached its fair share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShareWait {
     /// Account.
     pub account: CompactString,
-    /// First job that waits.
+    /// First waiting job.
     pub job: JobId,
-    /// What the account has running.
+    /// Resources that the account is using.
     pub running: Resources,
-    /// Its share of all processors, in thousandths of a core.
+    /// Fair share of the account, in thousandths of a core.
     pub share_cpu_millis: f64,
 }
 
-/// Something that was found out.
+/// Event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// A run is over.
+    /// A run has ended or never started.
     RunEnded {
         /// Task.
         task: TaskRef,
-        /// Run.
+        /// Run number.
         run: u32,
         /// Endpoint.
         endpoint: CompactString,
-        /// How that is known.
+        /// How the end is known.
         end: RunEnd,
-        /// Time since it was decided, in milliseconds.
+        /// Time since the start was decided, in milliseconds.
         after_ms: u64,
     },
     /// A job has ended.
     JobEnded {
         /// Job.
         job: JobId,
-        /// How.
+        /// Final state.
         state: JobState,
-        /// Time since it was handed in, in milliseconds.
+        /// Time since the job was submitted, in milliseconds.
         after_ms: u64,
     },
-    /// Tasks wait for their account's quota.
+    /// Tasks wait for the quota of their account.
     QuotaReached(QuotaWait),
-    /// Tasks wait for those of other accounts, as theirs has had its share.
+    /// Tasks wait for those of other accounts because their account has reached its fair share.
     ShareReached(ShareWait),
-    /// How a pool stands: what it has, what it wants, and what was ordered for it.
+    /// Pools were planned.
     PoolPlanned(PoolPlan),
-    /// The life of an endpoint is over.
+    /// An endpoint incarnation has ended.
     EndpointEnded {
         /// Endpoint.
         endpoint: CompactString,
-        /// Its VM, if it was known.
+        /// VM of the endpoint; empty if unknown.
         vm: CompactString,
-        /// Runs that are lost with it.
+        /// Number of runs lost with it.
         runs: usize,
     },
 }
