--- a/crates/engine/src/open_steps.rs
+++ b/crates/engine/src/open_steps.rs
@@ -1,4 +1,4 @@
-//! Steps whose tasks wait for a start, in the order in which they should begin.
+//! Steps with waiting tasks, in the order in which they start.
 
 use {
     crate::{
@@ -13,17 +13,17 @@
     std::cmp::Reverse,
 };
 
-/// An open step with tasks that wait, or that has to be counted in its pool for what it needs.
+/// An open step with waiting tasks, or with requirements that count for its pool.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenStep {
     /// First task of the step.
     pub(crate) first_task: TaskRef,
     pub(crate) pool: PoolNumber,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub(crate) waiting: u64,
-    /// Room that each of them takes of an endpoint.
+    /// Resources that each task reserves on its endpoint.
     pub(crate) reserved: Resources,
-    /// Room that each of them takes of its account's quota.
+    /// Resources that each task takes from its account's quota.
     pub(crate) requested: Resources,
     pub(crate) account: AccountNumber,
     priority: u32,
@@ -53,13 +53,12 @@
         }
     }
 
-    /// Tells whether its job cannot be on time any more. A long-running task is never late: every
-    /// second away is lost.
+    /// Returns whether its job can no longer complete on time. Long-running tasks are never late.
     pub(crate) fn is_late(&self, now: Now) -> bool {
         !self.is_long_running && self.timing.slack_ms(now) < 0
     }
 
-    /// Returns its place in the order of starts; steps without waiting tasks come last.
+    /// Returns the sort key of the start order; steps without waiting tasks come last.
     fn rank(&self, now: Now) -> (Reverse<bool>, Urgency, u32, i64, TaskRef) {
         let urgency = if self.is_long_running {
             Urgency::LongRunning
@@ -83,14 +82,14 @@
     u64::try_from(count).unwrap_or_default()
 }
 
-/// Open steps, in the order of starts as it was when they were sorted last.
+/// Open steps in the order of the last sort.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OpenSteps {
     steps: Vec<OpenStep>,
 }
 
 impl OpenSteps {
-    /// Forgets the steps of jobs; the ids are sorted.
+    /// Removes the steps of jobs, whose ids are sorted.
     pub(crate) fn forget(&mut self, jobs: &[JobId]) {
         self.steps
             .retain(|step| jobs.binary_search(&step.first_task.job).is_err());
@@ -111,12 +110,12 @@
         }
     }
 
-    /// Sorts the steps by their urgency; between two times little changes, which sorts fast.
+    /// Sorts the steps by urgency. Little changes between two calls, which makes the sort fast.
     pub(crate) fn sort(&mut self, now: Now) {
         self.steps.sort_by_key(|step| step.rank(now));
     }
 
-    /// Returns the step at a place in the order of starts; nothing from where no tasks wait on.
+    /// Returns the step at an index of the start order, or `None` once no tasks are waiting.
     pub(crate) fn waiting_at(&self, index: usize) -> Option<&OpenStep> {
         self.steps.get(index).filter(|step| step.waiting > 0)
     }
