--- a/crates/engine/src/order_rate.rs
+++ b/crates/engine/src/order_rate.rs
@@ -1,18 +1,16 @@
-//! Rate at which the VMs' service takes orders, from all nodes together.
+//! Rate limit of VM orders.
 
 use crate::event::Now;
 
-/// Time whose orders may be given at once, in milliseconds: two ticks, so that one that comes late
-/// loses nothing.
+/// Period whose orders may be sent in a burst, in milliseconds. It covers two ticks, so that a late
+/// one does not reduce the rate.
 const BURST_MS: u64 = 200;
 
-/// Thousandths of an order: the grain in which they are counted.
 const MILLIS_PER_ORDER: u64 = 1_000;
 
-/// Orders for VMs that may be given now.
+/// Token bucket for VM orders.
 ///
-/// What goes beyond the rate is refused by the service, and tells nothing: which order got through was
-/// left to chance, and the VMs whose order did not rested for seconds.
+/// The VM service refuses orders beyond its rate, and each refusal causes a cooldown of the VM.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OrderRateLimiter {
     per_s: u64,
@@ -21,7 +19,7 @@
 }
 
 impl OrderRateLimiter {
-    /// Creates a rate of so many orders a second, at least one.
+    /// Creates a limiter of `per_s` orders per second, at least one.
     pub(crate) fn new(per_s: u64) -> Self {
         Self {
             per_s: per_s.max(1),
@@ -30,7 +28,7 @@
         }
     }
 
-    /// Adds what the time since the last call allows.
+    /// Adds the orders allowed since the last call.
     pub(crate) fn refill(&mut self, now: Now) {
         let passed_ms = now.steady_ms.saturating_sub(self.refilled_ms);
         self.refilled_ms = now.steady_ms;
@@ -42,12 +40,12 @@
             .min(max_millis);
     }
 
-    /// Tells whether an order may be given.
+    /// Returns whether an order may be sent.
     pub(crate) fn allows_order(&self) -> bool {
         self.available_millis >= MILLIS_PER_ORDER
     }
 
-    /// Counts an order.
+    /// Counts a sent order.
     pub(crate) fn record_order(&mut self) {
         self.available_millis = self.available_millis.saturating_sub(MILLIS_PER_ORDER);
     }
