--- a/crates/engine/src/pacing.rs
+++ b/crates/engine/src/pacing.rs
@@ -1,4 +1,4 @@
-//! Pace of filling tasks: slowed down before they push a serving task's tail over its bound.
+//! Pacing of filler tasks, which protects the tail latency of serving tasks.
 
 use crate::{
     attempts::find_attempt,
@@ -7,18 +7,18 @@
     job::TaskRef,
 };
 
-/// Share of its bound, in percent, from which a tail has what fills beside it slowed down. Tails
-/// are rough and told twice a second, so the reaction begins before the bound.
+/// Tail latency from which fillers are slowed down, in percent of its limit. Latencies are inexact
+/// and reported only twice a second, so the reaction starts below the limit.
 const SLOW_FROM_PERCENT: u64 = 85;
 
-/// Share of its bound, in percent, below which what fills may go faster again.
+/// Tail latency below which fillers may speed up again, in percent of its limit.
 const FASTER_BELOW_PERCENT: u64 = 55;
 
-/// Step by which the pace grows again, in percent.
+/// Increase of the pace per report, in percent.
 const FASTER_STEP: u8 = 15;
 
 impl Engine {
-    /// Adjusts the pace of what fills on an endpoint to the tails just reported.
+    /// Adjusts the pace of the fillers on an endpoint to the latest tail latencies.
     pub(crate) fn adjust_pace(&mut self, key: EndpointKey) {
         let endpoint = self.endpoints.get(key);
         let worst_percent = endpoint
@@ -73,8 +73,8 @@
     }
 }
 
-/// Returns the next pace for what fills beside a serving task whose tail is at `tail_percent` of
-/// its bound.
+/// Returns the next pace of a filler beside a serving task whose tail latency is at `tail_percent`
+/// of its limit.
 #[must_use]
 pub fn next_pace(pace: u8, tail_percent: u64) -> u8 {
     if tail_percent >= 100 {
