--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,4 +1,4 @@
-//! Pools: which VM belongs where, by what the pools' work asks for.
+//! Assignment of VMs to pools by demand.
 
 use crate::{
     balance::VmFeature,
@@ -10,16 +10,15 @@
     vms::{Vm, VmOrder},
 };
 
-/// Time that a VM has to be empty before it is switched off, in milliseconds: switched off and fetched
-/// again it costs more than it does while it is kept, and a burst often follows soon.
+/// Time for which a VM has to be idle before it is switched off, in milliseconds. Switching it off
+/// and on again costs more than keeping it that long, and bursts often follow each other.
 const IDLE_TIMEOUT_MS: u64 = 900;
 
-/// Time between two notes on how a pool stands while nothing is ordered for it, in milliseconds: a few
-/// lines a second for a busy fleet.
+/// Interval between log events of a pool without orders, in milliseconds.
 const POOL_LOG_INTERVAL_MS: u64 = 1_000;
 
 impl Engine {
-    /// Moves VMs to where work waits, and switches off those that have been empty for long.
+    /// Moves VMs to pools with waiting work, and switches off idle ones.
     pub(crate) fn plan_pools(&mut self, now: Now) {
         if !self.may_order_vms || self.vms.is_empty() {
             return;
@@ -29,7 +28,7 @@
         let idle = self.idle_vms(now);
         let mut spares = self.spares(&loads, &idle, now);
         self.fetch_missing(&mut loads, &mut spares, now);
-        // What is late already takes no VM from what can still be on time.
+        // Late work is counted last, so that it takes no VM from work that can still be on time.
         for load in &mut loads {
             load.include_late();
         }
@@ -38,14 +37,14 @@
         self.log_pool_plans(&loads, now);
     }
 
-    /// Moves VMs to where work waits, as long as there are some.
+    /// Moves VMs to the pools with the largest shortage while there are any to move.
     fn fetch_missing(&mut self, loads: &mut [PoolLoad], spares: &mut SpareVms, now: Now) {
         let mut unmet: Vec<(usize, VmFeature)> = Vec::new();
         while self.vm_order_rate.allows_order()
             && let Some(shortage) = largest_shortage(loads, &unmet)
         {
             let Some(vm) = self.take_spare(loads, &shortage, spares) else {
-                // Nobody has what this pool asks for; others may still be helped.
+                // No VM has the required feature; other pools may still be helped.
                 let Some(required) = shortage.required else {
                     break;
                 };
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Notes how pools stand: one for which something was ordered, and each of them now and then.
+    /// Logs the pools with orders, and periodically all of them.
     fn log_pool_plans(&mut self, loads: &[PoolLoad], now: Now) {
         let is_due = now.steady_ms >= self.pools_logged_ms + POOL_LOG_INTERVAL_MS;
         if is_due {
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Returns the VMs that are free to be ordered elsewhere.
+    /// Returns the VMs that may be ordered elsewhere.
     fn spares(&self, loads: &[PoolLoad], idle: &[(usize, EndpointKey)], now: Now) -> SpareVms {
         let is_free = |index: &usize| {
             let vm = &self.vms[*index];
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Takes the VM that suits a needy pool's work best.
+    /// Takes the VM that suits the work of a pool best.
     fn take_spare(
         &self,
         loads: &[PoolLoad],
@@ -114,7 +113,7 @@
         spares.take(fits, score, |index| can_leave(loads, &self.vms[index]))
     }
 
-    /// Returns the VMs whose endpoint takes starts and runs nothing, in order, with that endpoint.
+    /// Returns the idle VMs that accept starts with their endpoints, sorted.
     fn idle_vms(&self, now: Now) -> Vec<(usize, EndpointKey)> {
         let mut idle: Vec<(usize, EndpointKey)> = self
             .endpoints
@@ -122,7 +121,7 @@
             .filter(|(_, endpoint)| {
                 endpoint.placed_runs.is_empty() && endpoint.takes_starts(now.steady_ms)
             })
-            // The last life on a VM counts.
+            // Only the latest incarnation on a VM counts.
             .filter(|(key, endpoint)| self.endpoints.on_vm(endpoint.vm()) == Some(*key))
             .filter_map(|(key, endpoint)| Some((self.vm_index(endpoint.vm()).ok()?, key)))
             .collect();
@@ -153,7 +152,7 @@
     }
 }
 
-/// Tells whether a VM's pool has more than it wants.
+/// Returns whether the pool of a VM can spare it.
 fn can_leave(loads: &[PoolLoad], vm: &Vm) -> bool {
     load_index(loads, &vm.entry.pool).is_some_and(|index| loads[index].can_spare(vm))
 }
