--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,7 +1,7 @@
-//! What each client account has running, against its quota.
+//! Resource usage of client accounts, compared with their quotas.
 //!
-//! A run counts from the decision to start it until its end is known, so orders under way, orders
-//! without answer and runs that are being stopped count as running.
+//! A run counts from the decision to start it until its end is known. This includes pending orders,
+//! unanswered orders and runs that are being stopped.
 
 use {
     crate::{
@@ -13,32 +13,32 @@
     compact_str::CompactString,
 };
 
-/// Time between two notes that tasks of one account wait for the same reason, in milliseconds.
+/// Minimum interval between log events of one account about the same kind of wait, in milliseconds.
 const LOG_INTERVAL_MS: u64 = 1_000;
 
-/// Number of a client account within one engine.
+/// Identifies a client account within an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct AccountNumber(u32);
 
-/// What one account may have running, and has.
+/// Usage and limits of one account.
 #[derive(Clone, Debug, Default)]
 struct AccountUse {
     name: CompactString,
-    /// Most that may run at once; 0 is no limit.
+    /// Maximum usage; 0 means unlimited.
     quota: Resources,
     running: Resources,
-    /// Its part of the room when there is not enough for all.
+    /// Weight of the account's fair share.
     weight: f64,
-    /// Jobs in progress.
+    /// Number of jobs in progress.
     jobs: usize,
-    /// When it was noted last that tasks wait for the quota, on the steady clock.
+    /// When a wait for the quota was last logged, on the monotonic clock.
     quota_logged_ms: Option<u64>,
-    /// When it was noted last that tasks wait as the share is reached, on the steady clock.
+    /// When a wait for the fair share was last logged, on the monotonic clock.
     share_logged_ms: Option<u64>,
     is_configured: bool,
 }
 
-/// What is left of a quota; nothing for a dimension without a limit.
+/// Remaining part of a quota; `None` for an unlimited dimension.
 #[derive(Clone, Copy, Debug)]
 struct RemainingQuota {
     cpu_millis: Option<u64>,
@@ -69,14 +69,15 @@
     }
 }
 
-/// What is left of every quota while work that waits is counted.
+/// Remaining quotas of all accounts while waiting work is counted.
 #[derive(Clone, Debug)]
 pub struct RemainingQuotas {
     rows: Vec<RemainingQuota>,
 }
 
 impl RemainingQuotas {
-    /// Takes runs of this room as far as the quota lets them start, at most `count`; returns how many.
+    /// Takes up to `count` runs of `resources` each as far as the quota allows, and returns their
+    /// number.
     pub fn take(&mut self, number: AccountNumber, resources: &Resources, count: u64) -> u64 {
         let left = &mut self.rows[row_index(number)];
         let taken = left.startable_runs(resources).min(count);
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Returns what the account has of all processors, in thousandths of a core.
+    /// Returns the claim of the account, in thousandths of a core.
     fn claim(&self) -> Claim {
         let held = millis(self.running.cpu_millis);
         Claim {
@@ -111,13 +112,13 @@
     }
 }
 
-/// What every account has running.
+/// Resource usage of all accounts.
 ///
 /// Jobs without an account share number 0, which has no limit.
 #[derive(Clone, Debug)]
 pub struct QuotaTracker {
     rows: Vec<AccountUse>,
-    /// Numbers in use, sorted by name; number 0 is not among them.
+    /// Numbers in use, sorted by name, without number 0.
     by_name: Vec<AccountNumber>,
     unused: Vec<AccountNumber>,
 }
@@ -133,9 +134,9 @@
 }
 
 impl QuotaTracker {
-    /// Takes over the quotas of a configuration.
+    /// Applies the quotas of a configuration.
     ///
-    /// An account that is no longer configured has no limit while its accepted jobs go on.
+    /// An account that is no longer configured is unlimited until its jobs have ended.
     pub fn configure(&mut self, accounts: &ClientAccounts) {
         for row in &mut self.rows[1..] {
             row.is_configured = false;
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Returns the number of an account, and adds the account when it is new. An empty name stands for
-    /// no account.
+    /// Returns the number of an account, adding the account if needed. An empty name means no
+    /// account.
     pub fn number(&mut self, name: &str) -> AccountNumber {
         if name.is_empty() {
             return AccountNumber::default();
@@ -174,36 +175,36 @@
         }
     }
 
-    /// Counts a job in progress.
+    /// Adds a job in progress.
     pub fn add_job(&mut self, number: AccountNumber) {
         self.row_mut(number).jobs += 1;
     }
 
-    /// Counts a job no more.
+    /// Removes a job in progress.
     pub fn remove_job(&mut self, number: AccountNumber) {
         let row = self.row_mut(number);
         row.jobs = row.jobs.saturating_sub(1);
         self.forget_if_unused(number);
     }
 
-    /// Counts a run from its decision on.
+    /// Counts a run from the decision to start it.
     pub fn charge(&mut self, number: AccountNumber, resources: &Resources) {
         self.row_mut(number).running.add(resources);
     }
 
-    /// Counts a run no more, as its end is known.
+    /// Stops counting a run that has ended.
     pub fn release(&mut self, number: AccountNumber, resources: &Resources) {
         let row = self.row_mut(number);
         row.running = row.running.saturating_sub(resources);
     }
 
-    /// Returns how many runs of this room the account may start now.
+    /// Returns how many runs of `resources` each the account may start now.
     #[must_use]
     pub fn startable_runs(&self, number: AccountNumber, resources: &Resources) -> u64 {
         self.row(number).remaining().startable_runs(resources)
     }
 
-    /// Returns what is left of every quota.
+    /// Returns the remaining quotas of all accounts.
     #[must_use]
     pub fn remaining(&self) -> RemainingQuotas {
         RemainingQuotas {
@@ -211,25 +212,28 @@
         }
     }
 
-    /// Tells whether it is to be noted that tasks wait for an account's quota: not too often.
+    /// Returns whether to log that tasks wait for the quota of an account, and limits the rate of
+    /// such events.
     pub fn should_log_quota_wait(&mut self, number: AccountNumber, now: Now) -> bool {
         is_log_due(&mut self.row_mut(number).quota_logged_ms, now)
     }
 
-    /// Tells whether it is to be noted that tasks wait as an account has its share: not too often.
+    /// Returns whether to log that tasks wait for the fair share of an account, and limits the rate
+    /// of such events.
     pub fn should_log_share_wait(&mut self, number: AccountNumber, now: Now) -> bool {
         is_log_due(&mut self.row_mut(number).share_logged_ms, now)
     }
 
-    /// Tells whether an account has more running than its quota, as after a cut of it.
+    /// Returns whether an account exceeds its quota, for example after a reduction.
     #[must_use]
     pub fn is_exceeded(&self, number: AccountNumber) -> bool {
         let AccountUse { quota, running, .. } = self.row(number);
         exceeds_quota(running, quota)
     }
 
-    /// Returns the accounts that want far more than their share, sorted, with the share of each in
-    /// thousandths of a core; `waiting` is what waits of each account, and `free` what is free for it.
+    /// Returns the accounts with excess demand, sorted, each with its fair share in thousandths of
+    /// a core. `waiting` is the waiting work of each account, and `free_cpu_millis` the capacity
+    /// available for it.
     #[must_use]
     pub fn excess_demand_shares(
         &self,
@@ -250,7 +254,7 @@
             .collect()
     }
 
-    /// Tells whether an account has so much running, in thousandths of a core.
+    /// Returns whether an account uses at least `cpu_millis`, in thousandths of a core.
     #[must_use]
     pub fn has_running(&self, number: AccountNumber, cpu_millis: f64) -> bool {
         millis(self.running(number).cpu_millis) >= cpu_millis
@@ -262,19 +266,19 @@
         &self.row(number).name
     }
 
-    /// Returns the quota of an account; 0 is no limit.
+    /// Returns the quota of an account; 0 means unlimited.
     #[must_use]
     pub fn quota(&self, number: AccountNumber) -> Resources {
         self.row(number).quota
     }
 
-    /// Returns what an account has running.
+    /// Returns the resources that an account uses.
     #[must_use]
     pub fn running(&self, number: AccountNumber) -> Resources {
         self.row(number).running
     }
 
-    /// Returns what the account with a name has running.
+    /// Returns the resources that the account with this name uses.
     #[must_use]
     pub fn running_resources(&self, name: &str) -> Resources {
         let index = self.search(name);
@@ -284,7 +288,7 @@
         )
     }
 
-    /// Returns the numbers of the accounts that are known, sorted by name.
+    /// Returns the numbers of all known accounts, sorted by name.
     #[must_use]
     pub fn numbers(&self) -> &[AccountNumber] {
         &self.by_name
