--- a/crates/engine/src/reports.rs
+++ b/crates/engine/src/reports.rs
@@ -1,4 +1,4 @@
-//! What the platform tells: endpoints in the registry, VMs, tasks on an endpoint, waves ordered.
+//! Data reported by the platform: registry entries, endpoint reports, VMs and waves.
 
 use {
     crate::job::{Resources, TaskRef},
@@ -7,45 +7,45 @@
     std::net::SocketAddr,
 };
 
-/// Entry of the registry for one life of an endpoint.
+/// Registry entry of one endpoint incarnation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Id of this life.
+    /// Id of this incarnation.
     pub id: CompactString,
-    /// Address for orders.
+    /// Address that accepts calls.
     pub address: SocketAddr,
     /// Pool.
     pub pool: CompactString,
     /// Availability zone.
     pub zone: CompactString,
-    /// Room.
+    /// Total resources.
     pub capacity: Resources,
-    /// Labels, the rack among them.
+    /// Labels, including the rack.
     pub labels: Vec<CompactString>,
-    /// Whether the endpoint is leaving.
+    /// Whether the endpoint is shutting down.
     pub is_draining: bool,
-    /// Least time that is left to a leaving endpoint, in milliseconds, if it is told.
+    /// Minimum time left to a draining endpoint, in milliseconds, if known.
     pub remaining_ms: Option<u64>,
-    /// VM on which it runs, if it is told.
+    /// VM on which it runs, if known.
     pub vm: Option<CompactString>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndKind {
-    /// It is done.
+    /// It completed.
     Done,
-    /// It failed, through its own fault or the endpoint's.
+    /// It failed, through a fault of the task or of the endpoint.
     Failed,
-    /// It was stopped on order.
+    /// It was stopped by an order.
     Stopped,
-    /// The endpoint's lease lapsed.
+    /// The endpoint's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// Other members of its gang did not start in time.
     Alone,
-    /// A word that this version does not know.
+    /// A kind that this version does not know.
     Unknown,
 }
 
@@ -54,50 +54,51 @@
 pub struct RunningTask {
     /// Task.
     pub task: TaskRef,
-    /// Number of the run.
+    /// Run number.
     pub run: u32,
-    /// Newest checkpoint; empty for none.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: CompactString,
-    /// How much of its work is done, or 100 for a long-running task at work.
+    /// Progress in percent; 100 for a long-running task that is working.
     pub percent: u32,
-    /// Tail of response times in milliseconds for a serving task, else thousandths of a core in use.
+    /// Tail latency in milliseconds for a serving task, otherwise processor use in thousandths of a
+    /// core.
     pub usage: Option<u64>,
 }
 
 /// A run that has ended on an endpoint.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndedTask {
-    /// Place in the endpoint's list, rising from 1 in each life.
+    /// Position among the ended runs of the incarnation, from 1.
     pub number: u64,
     /// Task.
     pub task: TaskRef,
-    /// Number of the run.
+    /// Run number.
     pub run: u32,
     /// How it ended.
     pub kind: EndKind,
-    /// Newest checkpoint; empty for none.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: CompactString,
 }
 
-/// What an endpoint says of itself when its lease is renewed.
+/// An endpoint's answer to a lease renewal.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EndpointReport {
-    /// Its steady clock, in milliseconds.
+    /// Reading of its monotonic clock, in milliseconds.
     pub clock_ms: u64,
-    /// Runs.
+    /// Active runs.
     pub running: Vec<RunningTask>,
-    /// Ends that were not yet acknowledged, the oldest first.
+    /// Ended runs that are not acknowledged yet, the oldest first.
     pub ended: Vec<EndedTask>,
-    /// Whether there may be more ends than were listed.
+    /// Whether the list of ended runs may be incomplete.
     pub is_partial: bool,
 }
 
 /// State of a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VmState {
-    /// In its pool.
+    /// Up in its pool.
     Up,
-    /// On its way to another pool.
+    /// Moving to another pool.
     Moving,
     /// In maintenance.
     Maintenance,
@@ -105,7 +106,7 @@
     Down,
 }
 
-/// A VM as the platform lists it.
+/// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VmEntry {
     /// Name.
@@ -116,23 +117,23 @@
     pub state: VmState,
     /// Availability zone.
     pub zone: CompactString,
-    /// Labels, the rack among them.
+    /// Labels, including the rack.
     pub labels: Vec<CompactString>,
-    /// Room.
+    /// Total resources.
     pub capacity: Resources,
-    /// Id of the endpoint that runs on it; empty for none.
+    /// Id of the endpoint on the VM; empty for none.
     pub endpoint: CompactString,
 }
 
-/// Maintenance that an operator orders.
+/// Maintenance ordered by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaveOrder {
-    /// Number.
+    /// Wave number.
     pub wave: u64,
-    /// VMs.
+    /// Names of the VMs to maintain.
     pub vms: Vec<CompactString>,
-    /// Time in which every VM must have had its maintenance, in seconds.
+    /// Time in which all VMs must be maintained, in seconds.
     pub duration_s: f64,
-    /// VMs in maintenance at once.
+    /// Maximum number of VMs in maintenance at once.
     pub max_count: usize,
 }
