--- a/crates/engine/src/restore.rs
+++ b/crates/engine/src/restore.rs
@@ -1,4 +1,4 @@
-//! What a new owner makes of the records of earlier ones.
+//! Recovery of the state from the records of previous owners.
 
 use crate::{
     engine::{EndedJob, Engine},
@@ -11,9 +11,9 @@
 };
 
 impl Engine {
-    /// Takes in the records of earlier owners, the newest of each key.
+    /// Restores the state from the latest record of each key.
     ///
-    /// Returns the keys of records that cannot be read; they are left alone.
+    /// Returns the keys of unreadable records, which are ignored.
     pub fn restore<'a>(&mut self, records: &'a [Record], now: Now) -> Vec<&'a str> {
         let mut unreadable = Vec::new();
         let mut specs: Vec<(JobId, StoredSpec)> = Vec::new();
@@ -76,11 +76,11 @@
         let endpoints = &mut self.endpoints;
         let mut job = restore_job(id, spec, progress, |name, address| {
             let key = endpoints.find_or_insert(name, now.steady_ms);
-            // It is asked there even when its entry has lapsed.
+            // The endpoint is called at this address even if its registry entry has expired.
             endpoints.set_address(key, address);
             key
         });
-        // When it ended by an earlier owner's clock means nothing here: it is kept from now on.
+        // The previous owner's clock is not comparable, so the retention time starts again.
         job.ended_ms = now.steady_ms;
         self.add_job(Box::new(job));
         true
