--- a/crates/engine/src/retries.rs
+++ b/crates/engine/src/retries.rs
@@ -1,4 +1,4 @@
-//! Orders without answer: repeated until their outcome is known.
+//! Retries of unanswered orders until their outcome is known.
 
 use crate::{
     attempts::{find_attempt, start_order},
@@ -10,8 +10,8 @@
 };
 
 impl Engine {
-    /// Repeats orders without answer; a start names the same run, so it happens once. Starts of an
-    /// account that is above its quota wait.
+    /// Retries unanswered orders. A start keeps its run number and is therefore idempotent; starts
+    /// of an account above its quota wait.
     pub(crate) fn retry_orders(&mut self, now: Now) {
         for (task, run, key, is_stop) in self.due_retries(now) {
             let endpoint = self.endpoints.get_mut(key);
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Notes that an order for a run may have to be repeated.
+    /// Adds a run whose order may have to be retried.
     pub(crate) fn track_unanswered(&mut self, task: &TaskRef, run: u32) {
         if let Err(index) = self.unanswered_runs.binary_search(&(*task, run)) {
             self.unanswered_runs.insert(index, (*task, run));
         }
     }
 
-    /// Returns the orders to repeat now: task, run, endpoint, and whether it is a stop.
+    /// Returns the orders to retry now as task, run, endpoint, and whether it is a stop.
     fn due_retries(&mut self, now: Now) -> Vec<(TaskRef, u32, EndpointKey, bool)> {
         let mut due = Vec::new();
         let jobs = &mut self.jobs;
