--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -17,7 +17,7 @@
     compact_str::CompactString,
 };
 
-/// An endpoint with the room that is left while a gang is placed.
+/// An endpoint with its remaining capacity during the placement of a step.
 #[derive(Clone, Debug)]
 struct Slot {
     key: EndpointKey,
@@ -25,20 +25,20 @@
     siblings: u16,
 }
 
-/// What speaks against an endpoint for a task; the lowest is taken, and among equals the fullest endpoint.
+/// Reasons against an endpoint for a task, compared lexicographically. The lowest value wins, and
+/// among equals the fullest endpoint.
 ///
-/// Tight packing comes last: it leaves whole VMs empty, which can then be moved or switched off.
+/// Packing tasks tightly leaves whole VMs empty, which can then be moved or switched off.
 type Mismatch = (bool, bool, usize);
 
-/// Nothing speaks against the endpoint.
 const NO_MISMATCH: Mismatch = (false, false, 0);
 
 impl Engine {
-    /// Starts what can start, the most urgent first, and the tasks of accounts that flood and have their
-    /// share after all others.
+    /// Starts waiting tasks by urgency. Tasks of accounts that have excess demand and have reached
+    /// their fair share come last.
     pub(crate) fn schedule(&mut self, now: Now) {
         self.refresh_free_capacity(now);
-        // Without a configuration no account's quota is known.
+        // Account quotas are unknown until a configuration arrives.
         if self.config.version == 0 {
             return;
         }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Finds the accounts that flood while there is not room for all, and the share of each.
+    /// Finds the accounts with excess demand while capacity is short, and their fair shares.
     pub(crate) fn find_excess_demand(&mut self) {
         self.excess_demand.clear();
         if self.quotas.numbers().is_empty() {
@@ -96,7 +96,7 @@
         self.excess_demand = self.quotas.excess_demand_shares(&waiting, free.sum());
     }
 
-    /// Returns the share of an account that floods, in thousandths of a core.
+    /// Returns the fair share of an account with excess demand, in thousandths of a core.
     fn excess_demand_share(&self, account: AccountNumber) -> Option<f64> {
         let index = self
             .excess_demand
@@ -104,13 +104,12 @@
         index.ok().map(|index| self.excess_demand[index].1)
     }
 
-    /// Tells whether an account floods and has its share.
+    /// Returns whether an account has excess demand and has reached its fair share.
     fn has_reached_share(&self, account: AccountNumber) -> bool {
         self.excess_demand_share(account)
             .is_some_and(|share| self.quotas.has_running(account, share))
     }
 
-    /// Notes that tasks wait for their account's quota.
     fn log_quota_wait(&mut self, step: &OpenStep, now: Now) {
         if self.quotas.should_log_quota_wait(step.account, now) {
             self.log_events.push(LogEvent::QuotaReached(QuotaWait {
@@ -123,7 +122,7 @@
         }
     }
 
-    /// Notes that tasks wait for others, as their account has had its share, if they do.
+    /// Logs that tasks of an account wait because it has reached its fair share.
     fn log_share_wait(&mut self, step: &OpenStep, now: Now) {
         let is_waiting = self
             .jobs
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Updates the open steps of the jobs that have changed.
+    /// Updates the open steps of changed jobs.
     pub(crate) fn refresh_open_steps(&mut self) {
         let changed = self.jobs.take_changed();
         if changed.is_empty() {
@@ -158,7 +157,7 @@
         self.unstored_jobs.extend(changed);
     }
 
-    /// Updates the free room of the endpoints that have changed, or whose cooldown is over.
+    /// Updates the free capacity of endpoints that have changed or whose cooldown has ended.
     pub(crate) fn refresh_free_capacity(&mut self, now: Now) {
         let cooldown = &mut self.cooling_endpoints;
         let expired = cooldown.partition_point(|(until_ms, _)| *until_ms <= now.steady_ms);
@@ -210,7 +209,7 @@
         }
     }
 
-    /// Returns how many tasks of a step its account's quota lets start now.
+    /// Returns how many tasks of a step the quota of its account allows to start now.
     fn startable_runs(&self, step: &OpenStep) -> usize {
         let startable = self.quotas.startable_runs(step.account, &step.requested);
         usize::try_from(startable).unwrap_or(usize::MAX)
@@ -220,7 +219,7 @@
         self.jobs.get(task.job)?.task(task)?.avoided_endpoint
     }
 
-    /// Places a gang, or tasks whose endpoints another service chooses.
+    /// Places a gang, or tasks whose endpoints are chosen by the advice service.
     fn place_chosen(&mut self, step: &OpenStep, spec: &StepSpec, now: Now) {
         let step_ref = step.first_task;
         let members = self.free_capacity.members(step.pool);
@@ -255,7 +254,7 @@
         }
     }
 
-    /// Decides on a start; members of a gang share the number of the run.
+    /// Decides to start a task. All members of a gang use the same run number.
     fn place_task(
         &mut self,
         task: &TaskRef,
@@ -298,7 +297,7 @@
         .collect()
 }
 
-/// Tells whether no task of a step runs or is done.
+/// Returns whether no task of a step is running or done.
 fn is_unstarted(job: &Job, step_ref: &TaskRef) -> bool {
     job.step(step_ref).is_some_and(|step| {
         step.tasks
@@ -320,8 +319,8 @@
     u16::try_from(count).unwrap_or(u16::MAX)
 }
 
-/// Returns the best match for a task, of `slots` with enough processor free, the fullest
-/// first.
+/// Returns the best match for a task. `slots` have enough free processor and are sorted with the
+/// fullest first.
 pub(crate) fn best_fit(
     endpoints: &EndpointTable,
     slots: &[FreeSlot],
@@ -390,7 +389,7 @@
         .collect()
 }
 
-/// Chooses an endpoint for each task that fits.
+/// Chooses an endpoint for each task, until one does not fit.
 fn choose_each(
     endpoints: &EndpointTable,
     slots: &mut [Slot],
@@ -412,7 +411,8 @@
     chosen
 }
 
-/// Chooses endpoints for all tasks of a gang, in one rack if they are slower otherwise, or none.
+/// Chooses endpoints for all tasks of a gang or for none, within one rack where the step prefers
+/// it.
 fn choose_gang(
     endpoints: &EndpointTable,
     slots: &mut [Slot],
@@ -440,7 +440,7 @@
     complete(choose_each(endpoints, slots, job, step_ref, spec, &all)).unwrap_or_default()
 }
 
-/// Returns the labels that stand for racks: every label but the first, which is the kind.
+/// Returns the rack labels: every label except the first, which is the kind of VM.
 fn racks(endpoints: &EndpointTable, slots: &[Slot]) -> Vec<CompactString> {
     let mut racks: Vec<CompactString> = slots
         .iter()
