--- a/crates/engine/src/spare_vms.rs
+++ b/crates/engine/src/spare_vms.rs
@@ -1,8 +1,8 @@
-//! VMs that may leave their pool for a needier one, while pools are planned.
+//! VMs that may move to another pool during a planning round.
 
 use std::cmp::Reverse;
 
-/// Places of free VMs, in order: those of standby pools, and those whose endpoint runs nothing.
+/// Sorted indexes of available VMs: those in standby pools, and idle ones in other pools.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SpareVms {
     pub(crate) standby: Vec<usize>,
@@ -10,10 +10,9 @@
 }
 
 impl SpareVms {
-    /// Takes the VM that suits best: from standby first, then an idle one that may leave its pool.
+    /// Takes the most suitable VM: first one on standby, then an idle one that may leave its pool.
     ///
-    /// One that may not leave now cannot later in the same planning either, as pools only give VMs
-    /// away meanwhile; so it is looked at once.
+    /// Pools only lose VMs during a planning round, so a VM that may not leave now is discarded.
     pub(crate) fn take(
         &mut self,
         fits: impl Fn(usize) -> bool,
@@ -33,7 +32,7 @@
     }
 }
 
-/// Returns the place in the list of the VM that suits best, the first of those that suit alike.
+/// Returns the position of the most suitable VM in the list, the first one among equals.
 fn best(
     vms: &[usize],
     fits: impl Fn(usize) -> bool,
