--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -1,4 +1,4 @@
-//! Jobs in progress: what is known of each task and of its runs.
+//! Jobs in progress: their tasks and the runs of each task.
 
 use {
     crate::{
@@ -11,53 +11,53 @@
     std::net::SocketAddr,
 };
 
-/// What is known of a run's start.
+/// Progress of starting a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// Decided; the order goes out when the decision is stored.
+    /// Decided; the order is sent once the decision is stored.
     Placed,
-    /// The order is under way.
+    /// The order was sent and has no answer yet.
     Ordered,
-    /// The order got no answer and may be carried out late.
+    /// The order got no answer and may still take effect.
     Unanswered,
-    /// The endpoint has the run.
+    /// The endpoint has confirmed the run.
     Confirmed,
-    /// Decided by an earlier owner; the endpoint has not been asked yet.
+    /// Decided by a previous owner and not yet confirmed by the endpoint.
     Inherited,
 }
 
-/// One run of a task, from the decision to its proven end.
+/// One run of a task, from the decision to start it until it is known to have ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Number of the run.
+    /// Run number.
     pub run: u32,
     /// Endpoint.
     pub endpoint: EndpointKey,
-    /// What is known of its start.
+    /// Progress of the start.
     pub phase: Phase,
-    /// Renewals sent to the endpoint when the run was confirmed; only a later report that leaves
-    /// the run out proves that it is over.
+    /// Number of renewals sent to the endpoint when the run was confirmed. Only a report of a later
+    /// renewal that omits the run proves that it has ended.
     pub confirmed_at_renewal: u64,
-    /// Whether an order without answer may still be carried out.
+    /// Whether an unanswered start may still take effect.
     pub may_start_late: bool,
-    /// Whether it is to be stopped.
+    /// Whether the run is to be stopped.
     pub is_stopping: bool,
-    /// Whether the decision to stop it is stored, so that the order may go out.
+    /// Whether the decision to stop is stored, so that the order may be sent.
     pub is_stop_stored: bool,
-    /// When an order for it may be repeated, on the steady clock.
+    /// Earliest time to retry an order, on the monotonic clock.
     pub retry_at_ms: u64,
-    /// When it was decided, on the steady clock.
+    /// When the start was decided, on the monotonic clock.
     pub decided_at_ms: u64,
-    /// How much is done, or 100 for a long-running task at work.
+    /// Progress in percent; 100 for a long-running task that is working.
     pub percent: u32,
-    /// When it showed progress last, on the endpoint's clock; nothing before the first report.
+    /// When progress was last observed, on the endpoint's clock; `None` before the first report.
     pub progress_clock_ms: Option<u64>,
-    /// Share of its speed that was asked for.
+    /// Requested speed, in percent of full speed.
     pub pace: u8,
 }
 
 impl Attempt {
-    /// Creates an attempt that waits for its decision to be stored.
+    /// Creates an attempt whose decision is not stored yet.
     #[must_use]
     pub fn new(run: u32, endpoint: EndpointKey, decided_at_ms: u64) -> Self {
         Self {
@@ -80,24 +80,24 @@
 /// One task of a step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Task {
-    /// Highest number of a run.
+    /// Highest run number.
     pub run: u32,
-    /// Runs that ended as failed.
+    /// Number of failed runs.
     pub failed_runs: u32,
-    /// Whether a run has ended as done.
+    /// Whether a run has completed.
     pub is_done: bool,
-    /// Newest checkpoint; empty for none.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: CompactString,
-    /// Runs that may be under way.
+    /// Runs that may be active.
     pub attempts: Vec<Attempt>,
-    /// Earliest next start, on the steady clock.
+    /// Earliest time of the next start, on the monotonic clock.
     pub not_before_ms: u64,
-    /// Endpoint on which it failed last.
+    /// Endpoint on which the task last failed.
     pub avoided_endpoint: Option<EndpointKey>,
 }
 
 impl Task {
-    /// Tells whether the task waits for a start.
+    /// Returns whether the task waits for a start.
     #[must_use]
     pub fn is_waiting(&self) -> bool {
         !self.is_done && self.attempts.is_empty()
@@ -112,7 +112,7 @@
 }
 
 impl StepRun {
-    /// Creates a step of which nothing has run.
+    /// Creates a step without runs.
     #[must_use]
     pub fn new(spec: &StepSpec) -> Self {
         Self {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Tells whether every task is done.
+    /// Returns whether every task is done.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.tasks.iter().all(|task| task.is_done)
@@ -130,14 +130,14 @@
 /// One occurrence of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Occurrence {
-    /// Number, from 0.
+    /// Occurrence number, from 0.
     pub number: u32,
     /// Steps.
     pub steps: Vec<StepRun>,
 }
 
 impl Occurrence {
-    /// Creates an occurrence of which nothing has run.
+    /// Creates an occurrence without runs.
     #[must_use]
     pub fn new(number: u32, spec: &JobSpec) -> Self {
         Self {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Tells whether every step before one is done.
+    /// Returns whether every step that `spec` depends on is done.
     #[must_use]
     pub fn is_open(&self, spec: &StepSpec) -> bool {
         spec.depends_on
@@ -155,43 +155,43 @@
     }
 }
 
-/// A job that has not ended, or whose tasks still run.
+/// A job that has not ended or that still has active runs.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Id.
     pub id: JobId,
-    /// Queue, as it was at the hand-in or in a later configuration.
+    /// Queue as configured at submission, or by a later configuration.
     pub queue: Queue,
-    /// What the caller sent.
+    /// Job description.
     pub spec: JobSpec,
-    /// Client account that handed it in; empty for none.
+    /// Client account that submitted the job; empty for none.
     pub account: CompactString,
-    /// Its number in the quotas' ledger.
+    /// Number of the account in the quota tracker.
     pub account_number: AccountNumber,
-    /// Time of day of the hand-in, in milliseconds since 1970.
+    /// Wall-clock time of submission, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
-    /// State.
+    /// Current state.
     pub state: JobState,
-    /// State that is stored, and so may be told.
+    /// State visible to callers; `None` until the job is stored.
     pub visible_state: Option<JobState>,
-    /// Occurrences that have begun and are not all done.
+    /// Occurrences that have started and are not done.
     pub occurrences: Vec<Occurrence>,
-    /// First occurrence that has not begun.
+    /// Number of the next occurrence to start.
     pub next_occurrence: u32,
-    /// Whether it differs from what is stored.
+    /// Whether the job differs from its stored record.
     pub is_dirty: bool,
-    /// Whether what the caller sent is stored.
+    /// Whether the job description is stored.
     pub is_spec_stored: bool,
-    /// Node that keeps the payload for a while, if one is known to.
+    /// Node that keeps the payload for a while, if known.
     pub origin: Option<SocketAddr>,
-    /// Callers that wait for the hand-in to be stored.
+    /// Callers that wait for the job to be stored.
     pub waiting_callers: Vec<ReplyToken>,
-    /// When it ended, on the steady clock.
+    /// When the job ended, on the monotonic clock.
     pub ended_ms: u64,
 }
 
 impl Job {
-    /// Creates a job that was just handed in.
+    /// Creates a newly submitted job.
     #[must_use]
     pub fn new(id: JobId, queue: Queue, spec: JobSpec, accepted_ms: u64) -> Self {
         Self {
@@ -213,32 +213,32 @@
         }
     }
 
-    /// Sets the client account that handed the job in.
+    /// Sets the client account that submitted the job.
     #[must_use]
     pub fn with_account(mut self, account: CompactString) -> Self {
         self.account = account;
         self
     }
 
-    /// Tells whether nothing of the job was ever sent to the store.
+    /// Returns whether no record of the job was ever sent to the store.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         self.visible_state.is_none() && !self.is_spec_stored
     }
 
-    /// Tells whether some occurrence has not begun.
+    /// Returns whether any occurrence has not started.
     #[must_use]
     pub fn has_future_occurrences(&self) -> bool {
         self.next_occurrence < self.spec.occurrences()
     }
 
-    /// Tells whether the next occurrence is due.
+    /// Returns whether the next occurrence is due.
     #[must_use]
     pub fn is_next_occurrence_due(&self, wall_ms: u64) -> bool {
         self.has_future_occurrences() && self.spec.due_ms(self.next_occurrence) <= wall_ms
     }
 
-    /// Begins the occurrences that are due.
+    /// Starts the occurrences that are due.
     pub fn begin_due_occurrences(&mut self, wall_ms: u64) {
         while self.is_next_occurrence_due(wall_ms) {
             self.occurrences
@@ -264,13 +264,13 @@
         self.step(task)?.tasks.get(usize::from(task.index))
     }
 
-    /// Returns a task to change.
+    /// Returns a mutable reference to a task.
     pub fn task_mut(&mut self, task: &TaskRef) -> Option<&mut Task> {
         let step = self.step_mut(task)?;
         step.tasks.get_mut(usize::from(task.index))
     }
 
-    /// Returns the step of a task to change.
+    /// Returns a mutable reference to the step of a task.
     pub fn step_mut(&mut self, task: &TaskRef) -> Option<&mut StepRun> {
         let occurrence = self
             .occurrences
@@ -279,13 +279,13 @@
         occurrence.steps.get_mut(usize::from(task.step))
     }
 
-    /// Returns what the caller said of a task's step.
+    /// Returns the description of a task's step.
     #[must_use]
     pub fn step_spec(&self, task: &TaskRef) -> Option<&StepSpec> {
         self.spec.steps.get(usize::from(task.step))
     }
 
-    /// Returns every task with its name.
+    /// Returns every task with its reference.
     pub fn tasks(&self) -> impl Iterator<Item = (TaskRef, &Task)> {
         self.occurrences.iter().flat_map(move |occurrence| {
             occurrence
@@ -306,13 +306,13 @@
         })
     }
 
-    /// Tells whether a run may be under way.
+    /// Returns whether any run may be active.
     #[must_use]
     pub fn has_attempts(&self) -> bool {
         self.tasks().any(|(_, task)| !task.attempts.is_empty())
     }
 
-    /// Drops occurrences that are done; returns whether the whole job is.
+    /// Removes occurrences that are done, and returns whether the whole job is done.
     pub fn drop_done_occurrences(&mut self) -> bool {
         self.occurrences.retain(|occurrence| {
             let is_done = occurrence.steps.iter().all(StepRun::is_done);
