--- a/crates/engine/src/stored.rs
+++ b/crates/engine/src/stored.rs
@@ -1,7 +1,7 @@
-//! What of a job lasts: records that a later owner reads.
+//! Records that a later owner reads.
 //!
-//! A job has two records: what the caller sent, written once, and how far it is, written again
-//! with each change. Both are `MessagePack` arrays, so field names cost nothing.
+//! A job has two records: its description, written once, and its progress, written with each
+//! change. Both are `MessagePack` arrays without field names.
 
 use {
     crate::{
@@ -16,33 +16,33 @@
     std::net::SocketAddr,
 };
 
-/// First character of the key of a record with what the caller sent.
+/// Key prefix of job descriptions.
 const SPEC_PREFIX: char = 'j';
 
-/// First character of the key of a record that says how far a job is.
+/// Key prefix of job progress.
 const PROGRESS_PREFIX: char = 's';
 
-/// First character of the key of a record of a wave.
+/// Key prefix of waves.
 const WAVE_PREFIX: char = 'w';
 
-/// First character of the key of a record of a VM.
+/// Key prefix of VMs.
 const VM_PREFIX: char = 'v';
 
-/// A record to store: the newest one with a key lasts, and one without value drops the key.
+/// A record to store. The latest record of a key is kept, and one without a value deletes the key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Record {
     /// Key.
     pub key: String,
-    /// Value; empty to drop the key.
+    /// Value; empty to delete the key.
     pub value: Vec<u8>,
 }
 
-/// What a key says of its record.
+/// Kind of a record, with the id from its key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RecordKind {
-    /// What a caller sent.
+    /// Description of a job.
     Spec(JobId),
-    /// How far a job is.
+    /// Progress of a job.
     Progress(JobId),
     /// A wave.
     Wave(u64),
@@ -50,7 +50,7 @@
     Vm,
 }
 
-/// Decodes a key.
+/// Parses the key of a record.
 #[must_use]
 pub fn record_kind(key: &str) -> Option<RecordKind> {
     let (kind, rest) = key.split_once('/')?;
@@ -68,18 +68,18 @@
     }
 }
 
-/// What the caller sent, as it is stored.
+/// Stored description of a job.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StoredSpec {
     /// Queue.
     pub queue: Queue,
-    /// What the caller sent.
+    /// Job description.
     pub spec: JobSpec,
-    /// Time of day of the hand-in, in milliseconds since 1970.
+    /// Wall-clock time of submission, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
 }
 
-/// How far a job is, as it is stored.
+/// Stored progress of a job.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StoredProgress {
     state: JobState,
@@ -93,16 +93,16 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct StoredOccurrence(u32, Vec<Vec<StoredTask>>);
 
-/// Run, failed runs, whether done, checkpoint, attempts.
+/// Run number, failed runs, whether done, checkpoint, attempts.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct StoredTask(u32, u32, bool, CompactString, Vec<StoredAttempt>);
 
-/// Run, place of the endpoint in the list, whether it was to be stopped.
+/// Run number, index of the endpoint in the list, whether it is to be stopped.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct StoredAttempt(u32, u32, bool);
 
 impl StoredProgress {
-    /// Returns the state.
+    /// Returns the state of the job.
     #[must_use]
     pub fn state(&self) -> JobState {
         self.state
@@ -115,34 +115,35 @@
     }
 }
 
-/// A wave, as it is stored: the VMs for which maintenance was ordered.
+/// Stored progress of a wave.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredWave {
     /// VMs whose maintenance was ordered, sorted.
     pub ordered: Vec<CompactString>,
-    /// VMs whose maintenance is known to have begun, sorted.
+    /// VMs whose maintenance has begun, sorted.
     pub begun: Vec<CompactString>,
-    /// Whether every VM has had its maintenance.
+    /// Whether maintenance of every VM has begun.
     pub is_completed: bool,
-    /// Time of day at which the order was read first, in milliseconds since 1970; 0 before that.
+    /// Wall-clock time at which the order was first read, in milliseconds since the Unix epoch; 0
+    /// before that.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-/// A VM, as it is stored: when something was ordered for it last.
+/// Stored time and outcome of the last order for a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredVm {
-    /// Time of day of the order, in milliseconds since 1970.
+    /// Wall-clock time of the order, in milliseconds since the Unix epoch.
     pub ordered_ms: u64,
-    /// Whether the outcome is known, so that the order cannot be carried out any more.
+    /// Whether the outcome is known, so that the order can no longer take effect.
     #[serde(default)]
     pub is_settled: bool,
-    /// Epoch of the owner that gave it.
+    /// Epoch of the owner that gave the order.
     #[serde(default)]
     pub epoch: u64,
 }
 
-/// Encodes a value; the types of this module always can be.
+/// Encodes a value, which cannot fail for the types of this module.
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec(value).unwrap_or_default()
 }
@@ -153,7 +154,7 @@
     rmp_serde::from_slice(bytes).ok()
 }
 
-/// Returns the record with what the caller sent.
+/// Returns the record of a job's description.
 #[must_use]
 pub fn spec_record(job: &Job) -> Record {
     let stored = StoredSpec {
@@ -167,7 +168,7 @@
     }
 }
 
-/// Returns the record that drops what the caller sent.
+/// Returns the record that deletes a job's description.
 #[must_use]
 pub fn spec_deletion(job: JobId) -> Record {
     Record {
@@ -176,7 +177,7 @@
     }
 }
 
-/// Returns the record that drops a job.
+/// Returns the record that deletes a job's progress.
 #[must_use]
 pub fn progress_deletion(job: JobId) -> Record {
     Record {
@@ -185,7 +186,7 @@
     }
 }
 
-/// Returns the record that says how far a job is.
+/// Returns the record of a job's progress.
 #[must_use]
 pub fn progress_record(job: &Job, endpoints: &EndpointTable) -> Record {
     let mut names: Vec<(CompactString, SocketAddr)> = Vec::new();
@@ -246,7 +247,7 @@
     }
 }
 
-/// Returns the record of a VM for which something is ordered.
+/// Returns the record of a VM's last order.
 #[must_use]
 pub fn vm_record(name: &str, stored: StoredVm) -> Record {
     Record {
@@ -263,8 +264,8 @@
 
 /// Builds a job from its two records.
 ///
-/// `key_of` names an endpoint by its id and address. Runs are taken as inherited: whether they are under way
-/// is known only when their endpoints have been asked.
+/// `key_of` returns the key of an endpoint by its id and address. All runs are restored as
+/// inherited until their endpoints have reported.
 pub fn restore_job(
     id: JobId,
     spec: StoredSpec,
@@ -315,7 +316,7 @@
     job.visible_state = Some(state);
     job.occurrences = occurrences;
     job.next_occurrence = next_occurrence;
-    // A job that had ended is written once more, so that its details are dropped.
+    // Writing an ended job again causes its description to be deleted.
     job.is_dirty = state.is_final();
     job.is_spec_stored = true;
     job
