--- a/crates/engine/src/stragglers.rs
+++ b/crates/engine/src/stragglers.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still: stopped, so that they go on elsewhere.
+//! Detection of stuck runs, which are stopped and restarted elsewhere.
 
 use crate::{
     endpoints::Endpoint,
@@ -8,22 +8,22 @@
     state::{Attempt, Phase},
 };
 
-/// Time without progress of any run on an endpoint after which they are stopped, in milliseconds of
-/// the endpoint's clock. Progress is told once a second, so this spans at least two reports.
+/// Time without progress of all runs on an endpoint after which they are stopped, in milliseconds.
+/// Progress is reported once a second, so this spans at least two reports.
 const ALL_STUCK_MS: u64 = 2_200;
 
-/// Time without progress of a single run after which it is stopped, in milliseconds: others go on
-/// beside it, so the endpoint is sound and the run may only be slow.
+/// Time without progress of a single run after which it is stopped, in milliseconds. Other runs on
+/// the endpoint progress, so the run may only be slow.
 const ONE_STUCK_MS: u64 = 5_000;
 
-/// Part of its estimated time for which a long run may show no progress: it is told in whole
-/// percent.
+/// Divisor of the estimated duration for the longest time without progress of a long run, as
+/// progress is reported in whole percent.
 const ESTIMATE_PART: u64 = 20;
 
-/// Rest of an endpoint whose runs stand still, in milliseconds.
+/// Cooldown of an endpoint whose runs are all stuck, in milliseconds.
 const COOLDOWN_MS: u64 = 4_000;
 
-/// A run that might stand still.
+/// A run that may be stuck.
 struct Suspect {
     task: TaskRef,
     run: u32,
@@ -32,10 +32,10 @@
 }
 
 impl Engine {
-    /// Stops the runs of an endpoint that stand still, when it has reported.
+    /// Stops the stuck runs of an endpoint that has just reported.
     ///
-    /// The time is told by the endpoint's own clock. By the owner's, one that read reports seconds
-    /// late saw no progress between two of the same moment, and stopped sound runs by the hundred.
+    /// Times are measured on the endpoint's clock: an owner that processes several reports late
+    /// would otherwise see no progress between them.
     pub(crate) fn stop_stuck_runs(&mut self, key: EndpointKey, clock_ms: u64, now: Now) {
         let suspects = self.suspects(key, clock_ms);
         let is_all_stuck = !suspects.is_empty()
@@ -74,7 +74,8 @@
                     .attempts
                     .iter()
                     .find(|attempt| attempt.run == placed.run)?;
-                // Members of a gang wait for each other; a run at its end has nothing to show.
+                // Members of a gang wait for each other, and a run at 100 % cannot progress
+                // further.
                 let counts = !spec.gang && counts_as_working(attempt);
                 let progress_clock_ms = attempt.progress_clock_ms.filter(|_| counts)?;
                 Some(Suspect {
