--- a/crates/engine/src/timing.rs
+++ b/crates/engine/src/timing.rs
@@ -1,32 +1,32 @@
-//! How a job stands against the time in which it is on time.
+//! Deadlines and urgency of jobs.
 
 use crate::{event::Now, state::Job};
 
-/// Multiple of its objective after which a job earns nothing more by being early.
+/// Multiple of the objective beyond which a faster completion has no value.
 const LATE_FACTOR: f64 = 3.0;
 
-/// Rank of what waits for a start; the lowest starts first.
+/// Start order of waiting tasks; lower values start first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Urgency {
-    /// Long-running: every second away is lost.
+    /// Long-running, so that any delay is downtime.
     LongRunning,
-    /// Can still be on time.
+    /// Can complete on time.
     OnTime,
-    /// Can still be of some use.
+    /// Late, but an early completion still has some value.
     Late,
-    /// Too late to be of more use sooner.
+    /// Too late for an early completion to have any value.
     TooLate,
 }
 
-/// How an occurrence stands against the time in which its job is on time.
+/// Timing of an occurrence relative to its job's objective.
 #[derive(Clone, Copy, Debug)]
 #[expect(clippy::struct_field_names, reason = "fields carry their unit")]
 pub(crate) struct Timing {
-    /// Time of day at which it could begin, in milliseconds since 1970.
+    /// Wall-clock time at which it could start, in milliseconds since the Unix epoch.
     started_ms: u64,
     /// Time within which it is on time, in milliseconds.
     objective_ms: u64,
-    /// Longest chain of estimated work that is not done, in milliseconds.
+    /// Critical path of the steps that are not done, in milliseconds.
     remaining_ms: u64,
 }
 
@@ -47,13 +47,13 @@
         now.wall_ms.saturating_sub(self.started_ms)
     }
 
-    /// Returns how long the occurrence may wait and still be on time, in milliseconds; negative when
-    /// it cannot be on time any more.
+    /// Returns how long the occurrence may wait and still be on time, in milliseconds; negative if
+    /// it is late.
     pub(crate) fn slack_ms(&self, now: Now) -> i64 {
         to_i64(self.objective_ms) - to_i64(self.elapsed_ms(now)) - to_i64(self.remaining_ms)
     }
 
-    /// Returns how urgent its tasks are that come to an end.
+    /// Returns the urgency of its finite tasks.
     pub(crate) fn urgency(&self, now: Now) -> Urgency {
         if self.slack_ms(now) >= 0 {
             Urgency::OnTime
@@ -79,7 +79,7 @@
     stretched_ms + job.queue.target_latency_ms
 }
 
-/// Returns the longest chain of estimated work that is not done, in milliseconds.
+/// Returns the critical path of the steps that are not done, in milliseconds.
 fn remaining_critical_path_ms(job: &Job, occurrence: usize) -> u64 {
     let steps = &job.occurrences[occurrence].steps;
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
