--- a/crates/engine/src/vm_cooldowns.rs
+++ b/crates/engine/src/vm_cooldowns.rs
@@ -1,4 +1,4 @@
-//! Rests of VMs after a change of owners: orders of two owners must not follow each other closely.
+//! Cooldowns of VMs after a change of owner, which keep the orders of two owners apart.
 
 use {
     crate::{
@@ -9,23 +9,23 @@
     compact_str::CompactString,
 };
 
-/// How far the times of day of two nodes may be apart, in milliseconds, jumps included.
+/// Maximum difference between the wall clocks of two nodes, including jumps, in milliseconds.
 const CLOCK_SPREAD_MS: u64 = 6_000;
 
-/// A VM for which an earlier owner ordered something lately.
+/// A VM that a previous owner ordered recently.
 #[derive(Clone, Debug)]
 pub(crate) struct VmCooldown {
     name: CompactString,
-    /// Until when nothing is ordered for it, on the steady clock.
+    /// End of the cooldown, on the monotonic clock.
     until_ms: u64,
-    /// Whether the outcome of that order is known.
+    /// Whether the outcome of the order is known.
     is_settled: bool,
-    /// Epoch of that owner.
+    /// Epoch of the previous owner.
     epoch: u64,
 }
 
 impl Engine {
-    /// Takes in when an earlier owner ordered something for a VM.
+    /// Restores the cooldown of a VM from its record.
     pub(crate) fn restore_vm(&mut self, name: &str, stored: StoredVm, now: Now) {
         let recent_ms = self.settings.vm_lease_ms + CLOCK_SPREAD_MS;
         if now.wall_ms < stored.ordered_ms + recent_ms
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Takes in until when an earlier owner's order for a VM forbids another at most, on the steady
-    /// clock, as the order of records in the log tells it.
+    /// Limits the cooldown of a VM to a time on the monotonic clock, which the caller derives from
+    /// the position of the order in the record log.
     pub fn limit_vm_cooldown(&mut self, key: &str, until_ms: u64) {
         if let Ok(index) = self.search_vm_cooldown(vm_name(key)) {
             let cooldown = &mut self.vm_cooldowns[index];
@@ -50,12 +50,11 @@
         }
     }
 
-    /// Takes in that the process of an earlier owner is over, and by when the last of its calls has
-    /// been carried out, on the steady clock.
+    /// Shortens the cooldowns caused by an owner whose process has ended. Its last calls have taken
+    /// effect by `calls_over_ms` on the monotonic clock.
     ///
-    /// Rests keep the orders of two owners apart, of which the earlier one may still live. One that
-    /// is known to be over orders nothing more, and what it had learnt the outcome of is settled: with
-    /// every VM at rest after the loss of all nodes, the pool whose turn it is would get none.
+    /// An ended owner sends no further orders, so VMs with a known outcome are available
+    /// immediately. Otherwise a restart of all nodes would leave every VM in cooldown.
     pub fn end_vm_cooldowns(&mut self, epoch: u64, calls_over_ms: u64) {
         self.vm_cooldowns
             .retain(|cooldown| cooldown.epoch != epoch || !cooldown.is_settled);
@@ -71,10 +70,10 @@
             .binary_search_by(|known| known.name.as_str().cmp(name))
     }
 
-    /// Returns until when an earlier owner's order for a VM forbids another, on the steady clock.
+    /// Returns the end of the cooldown caused by a previous owner, on the monotonic clock; 0 for
+    /// none.
     ///
-    /// Orders of two owners for one VM must not follow each other closely. Every order is stored
-    /// before it goes out, so a VM without a recent one is free at once.
+    /// Every order is stored before it is sent, so a VM without a recent record needs no cooldown.
     pub(crate) fn inherited_cooldown_ms(&self, name: &str) -> u64 {
         let index = self.search_vm_cooldown(name);
         index.map_or(0, |index| self.vm_cooldowns[index].until_ms)
