--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -1,4 +1,4 @@
-//! VMs: what the platform lists, what is ordered for them, and what comes of it.
+//! VMs: the platform's list, orders, and their outcomes.
 
 use {
     crate::{
@@ -10,46 +10,46 @@
     compact_str::CompactString,
 };
 
-/// Time without answer after which an order for a VM is repeated, in milliseconds.
+/// Time after which an unanswered VM order is retried, in milliseconds.
 const VM_ORDER_RETRY_MS: u64 = 1_500;
 
-/// Time added to a maintenance before a list counts that shows the VM back, in milliseconds.
+/// Time added to the duration of maintenance before a list may show the VM as up, in milliseconds.
 const MAINTENANCE_SLACK_MS: u64 = 300;
 
-/// Pause of a VM that refused an order, in milliseconds.
+/// Cooldown of a VM that refused an order, in milliseconds.
 const VM_COOLDOWN_MS: u64 = 2_000;
 
-/// What was ordered for a VM.
+/// Order for a VM.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VmOrder {
-    /// A move to this pool.
+    /// Move to a pool.
     Move(CompactString),
-    /// Maintenance of this wave.
+    /// Maintenance in a wave.
     Maintain(u64),
 }
 
-/// A VM as this owner knows it.
+/// A VM as known to this owner.
 #[derive(Clone, Debug)]
 pub struct Vm {
-    /// As the platform listed it last.
+    /// Latest entry in the platform's list.
     pub entry: VmEntry,
-    /// Order without a known outcome.
+    /// Order with an unknown outcome.
     pub order: Option<VmOrder>,
-    /// Endpoint that was on the VM when the order was given first.
+    /// Endpoint on the VM when the order was first given.
     pub ordered_endpoint: Option<EndpointKey>,
-    /// When that order was given, on the steady clock.
+    /// When the order was last sent, on the monotonic clock.
     pub ordered_ms: u64,
-    /// Whether a call for that order is under way.
+    /// Whether a call with the order is in flight.
     is_call_pending: bool,
-    /// Whether a call for that order got no answer, so that it may be carried out yet.
+    /// Whether a call with the order got no answer and may still take effect.
     may_take_effect: bool,
-    /// Until when nothing is ordered for it, on the steady clock.
+    /// Earliest time of the next order, on the monotonic clock.
     pub cooldown_until_ms: u64,
-    /// Whether an order for it is still to be stored.
+    /// Whether the record of the VM has to be stored.
     pub is_dirty: bool,
-    /// Until when its maintenance lasts at least, on the steady clock.
+    /// Earliest end of its maintenance, on the monotonic clock.
     pub maintained_until_ms: u64,
-    /// When something was ordered for it last, as the time of day in milliseconds since 1970.
+    /// Wall-clock time of the last order, in milliseconds since the Unix epoch.
     stored_order_ms: u64,
 }
 
@@ -59,7 +59,7 @@
             .binary_search_by(|vm| vm.entry.name.as_str().cmp(name))
     }
 
-    /// Takes in the platform's list of VMs.
+    /// Applies the platform's list of VMs.
     pub(crate) fn update_vms(&mut self, entries: Vec<VmEntry>, now: Now) {
         let mut entries = entries;
         entries.sort_unstable_by(|one, other| one.name.cmp(&other.name));
@@ -96,7 +96,7 @@
         self.end_replaced_endpoints(now);
     }
 
-    /// Ends lives on VMs that are listed with another one.
+    /// Ends incarnations on VMs that the platform lists with a later one.
     fn end_replaced_endpoints(&mut self, now: Now) {
         let replaced: Vec<EndpointKey> = self
             .endpoints
@@ -107,7 +107,8 @@
                     && self.vm_index(endpoint.vm()).is_ok_and(|index| {
                         let current = &self.vms[index].entry.endpoint;
                         let other = (*current != endpoint.id).then(|| self.endpoints.find(current));
-                        // A list may be older than the registry: only a later life counts.
+                        // The list may be older than the registry, so only a later incarnation
+                        // counts.
                         other.flatten().is_some_and(|other| {
                             let other = self.endpoints.get(other);
                             other.is_reconciled
@@ -126,7 +127,7 @@
         self.endpoints.on_vm(name)
     }
 
-    /// Takes in the answer to an order for a VM.
+    /// Processes the answer to a VM order.
     pub(crate) fn vm_answered(&mut self, name: &str, outcome: VmOutcome, now: Now) {
         let Ok(index) = self.vm_index(name) else {
             return;
@@ -135,8 +136,8 @@
         let Some(order) = self.vms[index].order.clone() else {
             return;
         };
-        // Only the life that the order found on the VM ends with it. A repeated order is answered
-        // as done, too, when the VM has come back and another life already runs tasks on it.
+        // Only the incarnation that was on the VM when the order was given ends with it. A retry is
+        // also answered as done after the VM has come back with a new incarnation.
         let endpoint = self.vms[index].ordered_endpoint;
         match outcome {
             VmOutcome::Done => {
@@ -150,8 +151,8 @@
                     self.endpoint_ended(key, now);
                 }
             }
-            // An earlier call of the order may be carried out yet, or has been: given back now, the VM
-            // would take work that ends with it. The order is repeated until its outcome is known.
+            // An earlier call with the order may have taken effect or may still do so, which would
+            // end any work started on the VM. The order is retried until its outcome is known.
             VmOutcome::Busy | VmOutcome::Refused if self.vms[index].may_take_effect => {
                 self.vms[index].ordered_ms = now.steady_ms;
             }
@@ -166,12 +167,12 @@
                     self.endpoints.get_mut(key).is_cordoned = false;
                 }
             }
-            // Repeated later: both orders do nothing when they were carried out before.
+            // Retried later, which is safe as both orders are idempotent.
             VmOutcome::Unknown => self.vms[index].may_take_effect = true,
         }
     }
 
-    /// Orders a move or maintenance of a VM whose endpoint is empty.
+    /// Orders a move or maintenance of a VM.
     pub(crate) fn order_vm(&mut self, index: usize, order: VmOrder, now: Now) {
         let name = self.vms[index].entry.name.clone();
         let current = self.endpoint_of_vm(&name);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Returns the records of the VMs for which something was ordered, or whose order is settled.
+    /// Returns the records of VMs with a new order or a settled one.
     pub(crate) fn vm_records(&mut self) -> Vec<Record> {
         let mut records = Vec::new();
         for vm in self.vms.iter_mut().filter(|vm| vm.is_dirty) {
@@ -217,7 +218,7 @@
         records
     }
 
-    /// Repeats orders whose calls got no answer.
+    /// Retries orders whose calls got no answer.
     pub(crate) fn retry_vm_orders(&mut self, now: Now) {
         for index in 0..self.vms.len() {
             let vm = &self.vms[index];
@@ -244,16 +245,16 @@
         }
         let is_maintained = now.steady_ms < self.maintained_until_ms;
         self.entry = entry;
-        // A list that was asked for before the maintenance began shows the VM as it was; taken for
-        // its return, one VM too many would be down.
+        // A list requested before the maintenance began still shows the VM as up. Trusting it would
+        // allow one VM too many to be down.
         if is_maintained {
             self.entry.state = VmState::Maintenance;
         }
     }
 
-    /// Tells whether something may be ordered for the VM.
+    /// Returns whether the VM may be given an order.
     ///
-    /// While a call is under way, its answer would be taken for that to another order.
+    /// While a call is in flight, its answer would be taken for that of the new order.
     pub(crate) fn accepts_orders(&self, now: Now) -> bool {
         self.order.is_none()
             && !self.is_call_pending
@@ -261,12 +262,12 @@
             && now.steady_ms >= self.cooldown_until_ms
     }
 
-    /// Tells whether the VM is down for maintenance, or may be.
+    /// Returns whether the VM is down for maintenance or may be.
     pub fn is_in_maintenance(&self) -> bool {
         self.entry.state == VmState::Maintenance
     }
 
-    /// Notes that the VM has left for what was ordered.
+    /// Records that the VM has left its pool as ordered.
     fn mark_unavailable(&mut self, order: &VmOrder, maintained_until_ms: u64) {
         self.order = None;
         self.entry.endpoint = CompactString::default();
