--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance: which VM goes next, within the wave's budget and in time.
+//! Maintenance waves: which VM is maintained next, within the wave's limits and in time.
 
 use {
     crate::{
@@ -12,32 +12,32 @@
     compact_str::CompactString,
 };
 
-/// Time that an order and the return to the pool add to maintenance, in milliseconds.
+/// Time that ordering and the return to the pool add to maintenance, in milliseconds.
 const MAINTENANCE_OVERHEAD_MS: u64 = 700;
 
-/// Share of a wave's time, in percent, by which it should be over: the rest covers delays.
+/// Share of a wave's duration in which it is planned to complete, in percent; the rest covers
+/// delays.
 const TARGET_DURATION_PERCENT: u64 = 85;
 
-/// Time for which a VM is emptied before its runs are stopped, in milliseconds.
+/// Time for which a VM is drained before its finite runs may be stopped, in milliseconds.
 const DRAIN_GRACE_MS: u64 = 2_500;
 
-/// Time after which a VM is given back to its pool when none of its long-running tasks could leave
-/// meanwhile, in milliseconds: one that was stopped there is back before its users miss it, and a
-/// task that does find a place elsewhere takes far less.
+/// Time after which a drain is aborted if none of the VM's long-running tasks could leave, in
+/// milliseconds. Tasks that find another endpoint leave much sooner.
 const DRAIN_TIMEOUT_MS: u64 = 4_000;
 
-/// Pause before such a VM is emptied again, in milliseconds; twice as long after each time.
+/// Delay before the drain is retried, in milliseconds; doubled after each failure.
 const DRAIN_RETRY_MS: u64 = 6_000;
 
-/// A VM that is being emptied.
+/// A VM that is being drained.
 #[derive(Clone, Debug)]
 struct DrainingVm {
     vm: CompactString,
-    /// When that began, on the steady clock.
+    /// When the drain began, on the monotonic clock.
     since_ms: u64,
-    /// Long-running tasks that are still there.
+    /// Number of long-running tasks left on the VM.
     long_running: usize,
-    /// When their number changed last, on the steady clock.
+    /// When that number last changed, on the monotonic clock.
     changed_ms: u64,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A VM that could not be emptied.
+/// A VM whose drain was aborted.
 #[derive(Clone, Debug)]
 struct AbortedDrain {
     vm: CompactString,
@@ -60,15 +60,15 @@
     pause_ms: u64,
 }
 
-/// A wave and how far it is.
+/// A maintenance wave and its progress.
 #[derive(Clone, Debug)]
 pub struct Wave {
-    /// Number.
+    /// Wave number.
     pub number: u64,
-    /// Order, once it was read.
+    /// Order of the wave; `None` until this owner has read it.
     order: Option<WaveOrder>,
     stored: StoredWave,
-    /// VMs that are being emptied, sorted by name.
+    /// VMs that are being drained, sorted by name.
     draining: Vec<DrainingVm>,
     aborted_drains: Vec<AbortedDrain>,
     is_dirty: bool,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Tells whether a VM may be chosen to be emptied.
+    /// Returns whether a drain of the VM may begin.
     fn may_drain(&self, vm: &str, now: Now) -> bool {
         let is_paused = self
             .aborted_drains
@@ -118,7 +118,7 @@
         !self.is_draining(vm) && !is_paused
     }
 
-    /// Notes that a VM could not be emptied, and lets it rest.
+    /// Aborts the drain of a VM and delays the next one.
     fn abort_drain(&mut self, vm: &CompactString, now: Now) {
         self.stop_draining(vm);
         let index = self.aborted_drains.iter().position(|known| known.vm == *vm);
@@ -163,7 +163,7 @@
     pub(crate) fn wave_ordered(&mut self, order: WaveOrder, now: Now) {
         let index = self.wave_or_new(order.wave);
         let wave = &mut self.waves[index];
-        // Stored, so that a later owner does not take the wave for one that has just begun.
+        // Stored so that a later owner does not restart the wave's time.
         if wave.stored.since_ms == 0 {
             wave.stored.since_ms = now.wall_ms;
             wave.is_dirty = true;
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Returns the records of the waves that have changed.
+    /// Returns the records of changed waves.
     pub(crate) fn wave_records(&mut self) -> Vec<Record> {
         let mut records = Vec::new();
         for wave in &mut self.waves {
@@ -191,7 +191,7 @@
         records
     }
 
-    /// Tells whether a VM is due for maintenance that has not begun.
+    /// Returns whether the VM is being drained for maintenance that has not begun.
     pub(crate) fn awaits_maintenance(&self, vm: &str) -> bool {
         self.waves
             .iter()
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Goes on with each wave.
+    /// Plans the next steps of each wave.
     pub(crate) fn plan_waves(&mut self, now: Now) {
         if !self.may_order_vms || self.vms.is_empty() {
             return;
@@ -256,10 +256,10 @@
         self.abort_stuck_drains(index, now);
     }
 
-    /// Keeps work from VMs whose maintenance was ordered without a known outcome.
+    /// Cordons VMs whose maintenance was ordered with an unknown outcome.
     ///
-    /// An earlier owner's order may still be carried out, and its successor repeats it; what had
-    /// started on the VM meanwhile would be cut off, long-running tasks against their budget.
+    /// An order of a previous owner may still take effect and is retried, which would cut off
+    /// anything started meanwhile, including long-running tasks beyond their budget.
     fn cordon_ordered(&mut self, index: usize, remaining: &[CompactString], now: Now) {
         for name in remaining {
             let wave = &mut self.waves[index];
@@ -285,7 +285,7 @@
         });
     }
 
-    /// Counts the wave's VMs that are down for it, or may be.
+    /// Returns how many VMs of the wave are down or may be.
     fn down_in_wave(&self, index: usize, order: &WaveOrder) -> usize {
         let wave = &self.waves[index];
         order
@@ -310,8 +310,8 @@
         now: Now,
     ) {
         for name in remaining {
-            // One that was ordered before counts as down already; only repeating the order brings
-            // its outcome.
+            // VMs with an earlier order already count as down, and only a retry reveals its
+            // outcome.
             let is_counted = self.waves[index].is_ordered(name);
             if (*budget == 0 && !is_counted)
                 || !self.vm_order_rate.allows_order()
@@ -342,13 +342,13 @@
                 let endpoint = self.endpoints.get(key);
                 endpoint.placed_runs.is_empty() && endpoint.is_reconciled && !endpoint.is_draining
             }
-            // A VM of the standby pool has no endpoint.
+            // VMs in the standby pool have no endpoint.
             None => vm.entry.endpoint.is_empty(),
         };
         vm.accepts_orders(now) && is_empty
     }
 
-    /// Keeps new work from as many VMs as can be maintained next.
+    /// Drains as many VMs as can be maintained next.
     fn drain_more(&mut self, index: usize, remaining: &[CompactString], budget: usize, now: Now) {
         let ahead = self
             .required_parallelism(index, remaining.len(), now)
@@ -376,10 +376,10 @@
         }
     }
 
-    /// Returns how many VMs have to be emptied at once for the wave to be in time.
+    /// Returns how many VMs must be drained at the same time for the wave to complete in time.
     ///
-    /// Emptying more than that takes room from jobs, and from long-running tasks the endpoints on
-    /// which they could go on.
+    /// Draining more would take capacity from jobs and from the long-running tasks that have to
+    /// move.
     fn required_parallelism(&self, index: usize, remaining: usize, now: Now) -> usize {
         let wave = &self.waves[index];
         let Some(order) = &wave.order else {
@@ -395,13 +395,13 @@
             .clamp(1, order.max_count.max(1))
     }
 
-    /// Time from the decision to empty a VM to its return, in milliseconds.
+    /// Returns the time from the start of a drain to the return of the VM, in milliseconds.
     fn maintenance_cycle_ms(&self) -> u64 {
         self.settings.maintenance_ms + MAINTENANCE_OVERHEAD_MS + DRAIN_GRACE_MS
     }
 
-    /// Stops what runs on VMs that have been emptied for long: long-running tasks at once, as far
-    /// as their budgets allow, the others when the wave would be late otherwise.
+    /// Stops runs on draining VMs: long-running ones immediately within their budgets, finite ones
+    /// after the grace time if the wave would be late otherwise.
     fn stop_runs_on_draining(&mut self, index: usize, now: Now) {
         let wave = &self.waves[index];
         let is_short_of_time = wave.order.as_ref().is_some_and(|order| {
@@ -436,11 +436,11 @@
         }
     }
 
-    /// Gives VMs back that cannot be emptied.
+    /// Aborts drains that make no progress.
     ///
-    /// All tasks of a step ran on the only VM that has what they need. One was stopped, could not go
-    /// on anywhere but there, and with it away none of the others could be stopped: the VM took no
-    /// work for good, and the task was away as long.
+    /// If all tasks of a step depend on the same VM, a stopped one cannot start elsewhere, and the
+    /// budget then keeps the others from being stopped. Without an abort the VM would stay cordoned
+    /// forever.
     fn abort_stuck_drains(&mut self, index: usize, now: Now) {
         for at in (0..self.waves[index].draining.len()).rev() {
             let vm = self.waves[index].draining[at].vm.clone();
@@ -455,7 +455,7 @@
                 known.changed_ms = now.steady_ms;
             }
             let changed_ms = known.changed_ms;
-            // What was ordered for the VM may still be carried out.
+            // The order may still take effect.
             let is_ordered = self.waves[index].is_ordered(&vm);
             if long_running > 0 && !is_ordered && now.steady_ms >= changed_ms + DRAIN_TIMEOUT_MS {
                 endpoint.is_cordoned = false;
@@ -465,7 +465,7 @@
         }
     }
 
-    /// Tells whether a long-running task may be interrupted within its step's budget.
+    /// Returns whether a long-running task may be interrupted within its step's budget.
     pub(crate) fn can_interrupt(&self, task: &TaskRef) -> bool {
         let Ok(index) = self.search(task.job) else {
             return true;
@@ -482,7 +482,7 @@
             .filter(|(name, _)| name.is_sibling(task) && name.index != task.index)
             .filter(|(_, other)| {
                 !other.attempts.iter().any(|attempt| {
-                    // What was told last counts only as long as the endpoint goes on telling.
+                    // The last report only counts while the endpoint is reachable.
                     let endpoint = self.endpoints.get(attempt.endpoint);
                     let is_sound = endpoint.is_registered
                         && !endpoint.has_ended
