--- a/crates/engine/tests/advice.rs
+++ b/crates/engine/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Queues whose endpoints another service chooses.
+//! Queues whose endpoints are chosen by the advice service.
 
 mod common;
 
@@ -80,7 +80,7 @@
     assert_eq!(tickets, ["ticket-i-2"]);
 }
 
-/// A job never starts. The service that chooses was down when it was asked, and nobody asked again.
+/// Guards against a job that never starts because a failed request is not repeated.
 #[test]
 fn failed_ticket_request_is_repeated() {
     let mut fleet = two_endpoints();
@@ -92,8 +92,7 @@
     assert_eq!(requested(&fleet).len(), 2);
 }
 
-/// The service is asked about the same endpoints over and over, which costs it time for each; what
-/// it refused once it always refuses.
+/// Guards against repeated requests about endpoints that were refused, which is final.
 #[test]
 fn refused_endpoints_are_not_requested_again() {
     let mut fleet = two_endpoints();
