--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A store, endpoints and a manual clock around an engine.
+//! Test harness: a store, endpoints and a manual clock around an engine.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use lynxwheel_engine::{
@@ -8,14 +8,13 @@
     TaskRef, VmEntry, VmState,
 };
 
-/// Time that every step of the clock takes at the start, in milliseconds: far from zero, as a real
-/// steady clock is.
+/// Start of the clock in milliseconds, which is far from zero as on a real system.
 const START_MS: u64 = 5_000_000;
 
 /// Name of the only pool with work.
 pub const POOL: &str = "maps";
 
-/// Returns the steady clock of every endpoint.
+/// Returns the monotonic clock of every endpoint.
 fn clock_ms(now: Now) -> u64 {
     now.steady_ms - START_MS / 2
 }
@@ -25,7 +24,7 @@
     format!("{number:016x}").parse().expect("16 digits")
 }
 
-/// Returns the queue of every job.
+/// Returns the queue used by all tests.
 pub fn queue() -> Queue {
     Queue {
         host: "maps.example".into(),
@@ -40,7 +39,7 @@
     }
 }
 
-/// Returns a step of tasks with one core for a second each.
+/// Returns a step whose tasks take one core for a second.
 pub fn step(count: u16) -> StepSpec {
     StepSpec {
         count,
@@ -54,7 +53,7 @@
     }
 }
 
-/// Returns an account that may have so many cores running at once; 0 is no limit.
+/// Returns an account with a quota in cores; 0 means unlimited.
 pub fn account(name: &str, cores: u64) -> ClientAccount {
     ClientAccount {
         name: name.into(),
@@ -67,7 +66,7 @@
     }
 }
 
-/// What an endpoint of the tests does with its runs.
+/// Simulated endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct FakeEndpoint {
     pub id: String,
@@ -75,18 +74,18 @@
     pub ended: Vec<EndedTask>,
     pub fence: u64,
     pub is_silent: bool,
-    /// Ends so far in this life.
+    /// Number of ended runs.
     pub ends: u64,
-    /// End of the lease on its clock.
+    /// End of the lease on the endpoint's clock.
     pub lease_until_ms: u64,
-    /// Tasks whose ends were not acknowledged when the lease lapsed; these may run again.
+    /// Tasks whose ends were not acknowledged before the lease expired, so that they may run again.
     pub exempt: Vec<TaskRef>,
-    /// Progress of every run that is told; 100 when it is not set.
+    /// Reported progress of every run; `None` means 100.
     pub percent: Option<u32>,
     pub started: Vec<(TaskRef, u32)>,
 }
 
-/// Returns the event of an entry.
+/// Returns the event for a registry entry.
 pub fn listed(entry: EndpointEntry, is_fresh: bool) -> Event {
     Event::Registered {
         entry: Box::new(entry),
@@ -94,7 +93,7 @@
     }
 }
 
-/// Returns a pool that checks nothing by itself.
+/// Returns a pool without admission checks.
 pub fn pool(name: &str, is_standby: bool) -> Pool {
     Pool {
         name: name.into(),
@@ -120,7 +119,7 @@
     }
 }
 
-/// Returns the event of a list with one VM.
+/// Returns the event for a list with one VM.
 pub fn vms_with(name: &str, endpoint: &str) -> Event {
     Event::VmsListed(vec![VmEntry {
         name: name.into(),
@@ -133,7 +132,7 @@
     }])
 }
 
-/// An engine with what is around it.
+/// An engine with its simulated environment.
 pub struct Fleet {
     pub engine: Engine,
     pub stored: Vec<Record>,
@@ -145,7 +144,7 @@
     pub is_store_down: bool,
     pub version: u64,
     pub accounts: Vec<ClientAccount>,
-    /// Renewals that wait at an endpoint: when they are due, endpoint, end acknowledged.
+    /// Renewals held by endpoints: due time, endpoint, acknowledged end.
     waiting: Vec<(u64, u32, u64)>,
     in_flight: Option<Batch>,
 }
@@ -185,14 +184,14 @@
         self.handle(Event::ConfigChanged(config.into()));
     }
 
-    /// Puts a new configuration with these accounts in force.
+    /// Applies a new configuration with these accounts.
     pub fn configure_accounts(&mut self, accounts: &[ClientAccount]) {
         self.version += 1;
         self.accounts = accounts.to_vec();
         self.configure();
     }
 
-    /// Returns the cores in use on all endpoints by the jobs for which `is_counted` says so.
+    /// Returns the cores in use on all endpoints by jobs that satisfy `is_counted`.
     pub fn running_cores(&self, is_counted: impl Fn(JobId) -> bool) -> usize {
         let running = self.endpoints.iter().flat_map(|endpoint| &endpoint.running);
         running.filter(|(task, _)| is_counted(task.job)).count()
@@ -243,7 +242,7 @@
         self.submit_for("", queue, number, spec);
     }
 
-    /// Hands a job of one step in for an account.
+    /// Submits a job with one step for an account.
     pub fn submit_as(&mut self, account: &str, number: u64, step: StepSpec) {
         let spec = JobSpec {
             steps: vec![step],
@@ -267,7 +266,7 @@
         self.engine.job_state(job_id(number))
     }
 
-    /// Advances the clock in ticks.
+    /// Advances the clock in ticks of 100 ms.
     pub fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 100 {
             self.now.steady_ms += 100;
@@ -281,12 +280,12 @@
         }
     }
 
-    /// Carries out effects and stores batches until nothing is left to do.
+    /// Carries out effects and stores batches until nothing changes.
     pub fn settle(&mut self) {
         while self.turn() {}
     }
 
-    /// Stores one batch and carries nothing out that it releases later.
+    /// Stores one batch and discards the effects that it releases.
     pub fn settle_without_cleaning(&mut self) {
         let batch = self.engine.take_batch(self.now);
         self.store(&batch);
@@ -316,7 +315,7 @@
         is_busy || !self.is_store_down
     }
 
-    /// Lets a batch that was cut by the test be stored next.
+    /// Makes a batch taken by the test the next one to be stored.
     pub fn put_in_flight(&mut self, batch: Batch) {
         self.in_flight = Some(batch);
     }
@@ -330,7 +329,7 @@
         }
     }
 
-    /// Tells whether nothing answers in the name of an endpoint.
+    /// Returns whether the incarnation no longer exists.
     fn is_gone(&self, key: u32) -> bool {
         let id = &self.engine.endpoints().get(key).id;
         !self.endpoints.iter().any(|endpoint| endpoint.id == *id)
@@ -344,7 +343,7 @@
             .expect("a listed endpoint")
     }
 
-    /// Gives an endpoint an order, unless it is silent or gone; returns what its caller learns.
+    /// Sends an order to an endpoint and returns the outcome that the caller observes.
     fn order(&mut self, key: u32, act: impl FnOnce(&mut FakeEndpoint)) -> CallOutcome<u64> {
         if self.is_gone(key) {
             return CallOutcome::OtherLife;
@@ -417,7 +416,7 @@
         }
     }
 
-    /// Answers renewals that are due, or whose endpoint has an end to tell.
+    /// Answers renewals that are due, and those whose endpoint has an ended run to report.
     fn answer_renewals(&mut self) {
         let clock_ms = clock_ms(self.now);
         for (due_ms, key, acknowledged) in std::mem::take(&mut self.waiting) {
@@ -454,7 +453,7 @@
         self.end_all(EndKind::Done);
     }
 
-    /// Ends every run, and lets the endpoints be asked.
+    /// Ends every run and answers the renewals.
     pub fn end_all(&mut self, kind: EndKind) {
         for endpoint in &mut self.endpoints {
             for (task, run) in endpoint.running.clone() {
@@ -464,7 +463,7 @@
         self.answer_renewals();
     }
 
-    /// Replaces the owner by one that reads what is stored.
+    /// Replaces the owner by one that restores its state from the stored records.
     pub fn take_over(&mut self) {
         self.in_flight = None;
         self.waiting.clear();
@@ -479,7 +478,7 @@
         }
     }
 
-    /// Returns the VMs that were ordered to move and their pools, in that order.
+    /// Returns the ordered VM moves as pairs of VM and pool, in order.
     pub fn moves(&self) -> Vec<(&str, &str)> {
         let moves = self.orders.iter().filter_map(|order| match order {
             Effect::MoveVm { vm, pool } => Some((vm.as_str(), pool.as_str())),
@@ -488,7 +487,7 @@
         moves.collect()
     }
 
-    /// Counts the starts of a task over all endpoints.
+    /// Returns the number of starts of a task on all endpoints.
     pub fn starts(&self, task: &str) -> usize {
         let task: TaskRef = task.parse().expect("a task's name");
         self.endpoints
@@ -500,7 +499,7 @@
 }
 
 impl FakeEndpoint {
-    /// Kills everything when the lease is over.
+    /// Ends all runs if the lease has expired.
     fn lapse(&mut self, clock_ms: u64) {
         if self.lease_until_ms == 0 || clock_ms <= self.lease_until_ms {
             return;
