--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -1,9 +1,9 @@
-//! Histories in which everything is late: orders, answers, reports, and the owner itself.
+//! Simulations with delayed orders, answers, reports and owners.
 //!
-//! An order may arrive seconds after its caller was told that it got no answer, answers overtake each
-//! other, and the owner falls seconds behind its mailbox while endpoints go on. Whatever it believes
-//! meanwhile, no task has two runs under way at once, nothing starts after an end of it was taken note
-//! of, neither room nor an account's quota is overdrawn, and every job comes to its end.
+//! Orders may arrive seconds after their call timed out, answers may overtake each other, and the
+//! owner may fall seconds behind its mailbox. In all cases no task has two active runs, no done
+//! task starts again, neither endpoint capacity nor account quotas are exceeded, and every job
+//! ends.
 
 mod common;
 
@@ -25,27 +25,27 @@
 
 const CORES: u64 = 4;
 
-/// Client accounts with the cores that each may have running at once; 0 is no limit. Jobs are theirs by
-/// turns.
+/// Client accounts with their quotas in cores, where 0 means unlimited. Jobs are assigned in turn.
 const ACCOUNTS: [(&str, u64); 3] = [("", 0), ("maps", 4), ("post", 7)];
 
-/// Time in which work is handed in, in milliseconds.
+/// Period in which jobs are submitted, in milliseconds.
 const BUSY_MS: u64 = 20_000;
 
-/// Time after which everything has to have come to its end, in milliseconds.
+/// Time by which every job must have ended, in milliseconds.
 const END_MS: u64 = 90_000;
 
-/// Time after which a caller is told that a call got no answer, in milliseconds.
+/// Timeout of a call, in milliseconds.
 const CALL_MS: u64 = 500;
 
-/// What happens at some time.
+/// Scheduled occurrence.
 #[derive(Debug)]
 enum Due {
-    /// A call arrives at an endpoint; the time by which its caller gave up.
+    /// A call arrives at an endpoint; with the time at which the caller times out.
     Arrival(Effect, u64),
-    /// A renewal has waited for long enough.
+    /// An endpoint answers a renewal: endpoint, acknowledged end, time at which the caller times
+    /// out.
     Report(u32, u64, u64),
-    /// The owner learns something.
+    /// The owner receives an event.
     Event(Event),
     /// A run ends.
     End(usize, TaskRef, u32),
@@ -62,14 +62,14 @@
     takes_ms: u64,
 }
 
-/// An endpoint as the platform describes it.
+/// Simulated endpoint.
 #[derive(Debug, Default)]
 struct FakeEndpoint {
     key: u32,
     running: Vec<Running>,
     ended: Vec<EndedTask>,
     ends: u64,
-    /// Runs that were stopped or have ended here: no run up to these begins any more.
+    /// Stopped and ended runs; neither these nor earlier runs of the task may start again.
     ended_runs: Vec<(TaskRef, u32)>,
     lease_until_ms: u64,
 }
@@ -101,7 +101,7 @@
     engine: Engine,
     random: ChaCha8Rng,
     now_ms: u64,
-    /// What is due, unsorted: time, and order of its kind.
+    /// Scheduled occurrences, unsorted: time, sequence number, occurrence.
     due: Vec<(u64, u64, Due)>,
     next_order: u64,
     endpoints: Vec<FakeEndpoint>,
@@ -110,7 +110,7 @@
     in_flight: Option<Batch>,
     stored: Vec<Record>,
     jobs: u64,
-    /// Tasks of which an end as done was taken note of.
+    /// Tasks whose completion was acknowledged.
     done: Vec<TaskRef>,
     longest_stall_ms: u64,
 }
@@ -198,7 +198,7 @@
         self.due.push((self.now_ms + ms, self.next_order, due));
     }
 
-    /// Draws how long something is under way: mostly some milliseconds, at times seconds.
+    /// Draws a transmission delay: mostly a few milliseconds, occasionally seconds.
     fn delay_ms(&mut self) -> u64 {
         match self.random.random_range(0..40) {
             0 => self.random.random_range(300..4_000),
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Draws what else happens at a tick.
+    /// Draws random events of a tick.
     fn draw(&mut self) {
         let is_busy = self.now_ms < START_MS + BUSY_MS;
         if is_busy && self.random.random_range(0..3) == 0 {
@@ -336,7 +336,7 @@
                 let delay_ms = self.delay_ms();
                 let given_up_ms = self.now_ms + wait_ms + CALL_MS;
                 if let Some(event) = unanswered(&effect, key) {
-                    // Learnt when the call is given up, unless an answer came before.
+                    // Delivered when the call times out, unless an answer arrives before.
                     self.after(wait_ms + CALL_MS, Due::Event(event));
                 }
                 self.after(delay_ms, Due::Arrival(effect, given_up_ms));
@@ -344,14 +344,14 @@
         }
     }
 
-    /// Lets the caller learn an answer, unless it has given the call up by then.
+    /// Delivers an answer, unless the call has timed out by then.
     fn answer(&mut self, event: Event, given_up_ms: u64) {
         let delay_ms = self.delay_ms();
         let at_ms = self.now_ms + delay_ms;
         if at_ms >= given_up_ms {
             return;
         }
-        // The caller is told once: what it would learn when it gives up is taken back.
+        // The answer replaces the timeout.
         self.due.retain(|(due_ms, _, due)| {
             !matches!(due, Due::Event(unanswered) if *due_ms == given_up_ms && is_same_call(unanswered, &event))
         });
@@ -514,7 +514,7 @@
         self.answer(event, given_up_ms);
     }
 
-    /// Kills what runs where the lease is over; ends that were not taken note of may be repeated.
+    /// Ends the runs of endpoints whose lease has expired.
     fn lapse(&mut self) {
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
@@ -528,13 +528,13 @@
     }
 }
 
-/// Returns the account of a job, and its quota.
+/// Returns the account of a job and its quota.
 fn account_of(job: JobId) -> (&'static str, u64) {
     let number = u64::from_str_radix(job.as_str(), 16).expect("hexadecimal digits");
     ACCOUNTS[usize::try_from(number).expect("few jobs") % ACCOUNTS.len()]
 }
 
-/// Returns the endpoint that an effect calls, and for how long that may wait.
+/// Returns the endpoint that an effect calls, and how long the endpoint may hold the answer.
 fn endpoint_of(effect: &Effect) -> Option<(u32, u64)> {
     match effect {
         Effect::Start(order) => Some((order.endpoint, 0)),
@@ -546,7 +546,7 @@
     }
 }
 
-/// Returns what a caller learns when it gives a call up.
+/// Returns the event for a call that times out.
 fn unanswered(effect: &Effect, endpoint: u32) -> Option<Event> {
     match effect {
         Effect::Start(order) => Some(Event::Started {
