--- a/crates/engine/tests/demand.rs
+++ b/crates/engine/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Which VMs a pool gets for the work that waits there.
+//! Assignment of VMs to pools by waiting work.
 
 mod common;
 
@@ -7,7 +7,7 @@
     lynxwheel_engine::{Event, JobSpec, Resources, StepSpec, VmEntry},
 };
 
-/// Room of every VM: 16 cores, as the pools of today have them.
+/// Processor of each VM, in thousandths of a core.
 const CPU_MILLIS: u64 = 16_000;
 
 /// Returns a VM that is switched off.
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns the VMs that were ordered into the pool, each once, sorted by name.
+/// Returns the VMs that were ordered into the pool, without duplicates and sorted by name.
 fn moved_in(fleet: &Fleet) -> Vec<String> {
     let mut names: Vec<String> = fleet
         .moves()
@@ -36,7 +36,7 @@
     names
 }
 
-/// Hands in one step, and returns the VMs that are moved into the pool for it.
+/// Submits one step, and returns the VMs that are moved into the pool for it.
 fn moved_for(step: StepSpec, spares: Vec<VmEntry>) -> Vec<String> {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", CPU_MILLIS);
@@ -54,8 +54,8 @@
     moved_in(&fleet)
 }
 
-/// Hands in jobs of four tasks with one core for a second each, and returns how many VMs of 16 cores
-/// are asked for within a time.
+/// Submits jobs of four one-second tasks with one core each, and returns the number of VMs of 16
+/// cores that are ordered within a time.
 fn moved_while(jobs: u64, every_ms: u64, within_ms: u64) -> usize {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", CPU_MILLIS);
@@ -83,8 +83,8 @@
 }
 
 loads! {
-    /// A queue's turn begins: ten jobs a second, 40 cores in all. The first jobs still found room, so
-    /// nothing waited, and VMs were asked for only when callers had no time left for them.
+    /// Guards against VMs that are ordered only once work is waiting, which is too late for the
+    /// first jobs of a burst.
     growing_load_orders_vms_early: 4, 100, 400 => 1..=3;
 
     single_job_within_the_capacity_orders_none: 1, 0, 1_000 => 0..=0;
@@ -99,50 +99,47 @@
 }
 
 cases! {
-    /// Work for a label waits for good. The pool has room enough on VMs without the label, so none
-    /// is asked for.
+    /// Guards against work that waits forever for a label because the pool has capacity on other
+    /// VMs.
     label_missing_from_the_pool_orders_a_matching_vm:
         StepSpec { required_label: "b".into(), ..step(2) },
         vec![spare("vm-a", "a", "r1", 0), spare("vm-b", "b", "r1", 0)] => ["vm-b"];
 
-    /// A burst of work for a label that no VM has. The pool takes all others in for nothing and
-    /// keeps them, and every other pool starves (0.13 to 0.33 of a calm day's worth where 0.37 to
-    /// 0.47 is reached otherwise).
+    /// Guards against a pool that takes in all VMs for work that none of them can run.
     label_of_no_vm_orders_none:
         StepSpec { required_label: "c".into(), ..step(60) },
         vec![spare("vm-a", "a", "r1", 0), spare("vm-b", "b", "r1", 0)] => [] as [&str; 0];
 
-    /// Tasks with accelerators wait while VMs without any come one after the other.
+    /// Guards against VMs without accelerators being ordered for tasks that need them.
     accelerator_tasks_order_a_vm_with_accelerators:
         StepSpec { resources: Resources { gpus: 1, ..step(1).resources }, ..step(1) },
         vec![spare("vm-a", "a", "r1", 0), spare("vm-g", "a", "r1", 4)] => ["vm-g"];
 
-    /// Tasks take twice as long away from their data, and any VM that was off came first.
+    /// Guards against ignoring the rack of the data, outside of which tasks are slower.
     vm_in_the_rack_of_the_data_comes_first:
         StepSpec { data_rack: "r2".into(), ..step(30) },
         vec![spare("vm-1", "a", "r1", 0), spare("vm-2", "a", "r2", 0)] => ["vm-2"];
 
-    /// Memory is used up and the processor is not: the pool was taken to have room.
+    /// Guards against a shortage of memory being hidden by free processor.
     memory_shortage_orders_a_vm:
         StepSpec { resources: Resources { memory_mb: 16_000, cpu_millis: 100, gpus: 0 }, ..step(6) },
         vec![spare("vm-1", "a", "r1", 0)] => ["vm-1"];
 
-    /// One large job: 60 tasks of one core for 3 s. Asked for by its work, it took seven times the VMs
-    /// that run all of it at once, and other pools went without.
+    /// Guards against ordering VMs by the total work of a large job instead of what it can use at
+    /// once.
     large_job_orders_no_more_vms_than_it_can_use:
         StepSpec { estimated_ms: 3_000, ..step(60) },
         (1..20).map(|number| spare(&format!("vm-{number:02}"), "a", "r1", 0)).collect()
             => ["vm-01", "vm-02", "vm-03"];
 
-    /// Long-running tasks of which one may be on an endpoint ask for endpoints. Counted as work,
-    /// they took every VM in while they waited.
+    /// Guards against counting tasks with a limit per endpoint as work, which orders too many VMs.
     tasks_that_may_not_share_order_one_vm_each:
         StepSpec { long_running: true, max_per_endpoint: 1, ..step(3) },
         (1..8).map(|number| spare(&format!("vm-{number}"), "a", "r1", 0)).collect()
             => ["vm-1", "vm-2"];
 }
 
-/// Guards against VMs that are fetched for tasks which their account's quota keeps from starting.
+/// Guards against VMs being moved for tasks that their account's quota keeps from starting.
 #[test]
 fn tasks_that_wait_for_a_quota_order_no_vms() {
     for (cores, wanted) in [(16, 0), (0, 1)] {
