--- a/crates/engine/tests/encodings.rs
+++ b/crates/engine/tests/encodings.rs
@@ -1,5 +1,5 @@
-//! Encodings of stored records and of what nodes send each other, held as bytes: owners of other
-//! builds read and write them.
+//! Golden encodings of stored records and of messages between nodes, which owners of other builds
+//! read and write.
 
 mod common;
 
@@ -15,7 +15,7 @@
     std::{fmt::Debug, net::SocketAddr},
 };
 
-/// Digits of held bytes in one line.
+/// Number of hexadecimal digits per line.
 const LINE_DIGITS: usize = 90;
 
 fn hex(bytes: &[u8]) -> String {
@@ -30,7 +30,7 @@
     bytes.collect()
 }
 
-/// Compares an encoding with the bytes held; where it differs, shows it as it would be held.
+/// Compares an encoding with the golden bytes; prints the encoding if they differ.
 fn assert_held(encoded: &[u8], held: &str) {
     let encoded = hex(encoded);
     let starts = (0..encoded.len()).step_by(LINE_DIGITS);
@@ -39,8 +39,8 @@
     assert!(encoded == held, "encoded as\n{}", lines.join("\\\n"));
 }
 
-/// Checks that a value is encoded with its field names as the bytes held, and that what they are
-/// decoded as is the value again.
+/// Checks that a value is encoded with field names as the golden bytes, and that decoding them
+/// returns the value.
 fn check<T: Debug + DeserializeOwned + Serialize>(value: &T, held: &str) {
     assert_held(&rmp_serde::to_vec_named(value).expect("a value"), held);
     let decoded: T = rmp_serde::from_slice(&bytes(held)).expect("a value");
@@ -70,7 +70,7 @@
     }
 }
 
-/// A queue of which every field is set.
+/// Returns a queue with all fields set.
 fn full_queue() -> Queue {
     Queue {
         host: "tiles.example".into(),
@@ -85,7 +85,7 @@
     }
 }
 
-/// A step of which every field is set, if it comes after others.
+/// Returns a step with all fields set, if it depends on others.
 fn full_step(depends_on: Vec<u16>) -> StepSpec {
     StepSpec {
         count: 300,
@@ -107,7 +107,7 @@
     }
 }
 
-/// A job of which every field is set.
+/// Returns a job with all fields set.
 fn full_spec() -> JobSpec {
     JobSpec {
         payload: "z=7&x=3".into(),
@@ -142,7 +142,7 @@
     }
 }
 
-/// Report with an end of each kind.
+/// Returns a report with an end of each kind.
 fn report() -> EndpointReport {
     let kinds = [
         EndKind::Done,
@@ -196,7 +196,8 @@
 }
 
 held! {
-    /// A node takes no configuration from one of another build, or another than is in force.
+    /// Guards against a node that cannot read the configuration of another build, or reads another
+    /// one.
     fleet_config: config() => "\
         85a776657273696f6e0ca67175657565739189a4686f7374ad74696c65732e6578616d706c65ab706174685f70\
         7265666978a72f74696c65732fa4706f6f6ca574696c6573a87072696f7269747903ac6d61785f617474656d70\
@@ -214,7 +215,7 @@
         6d79ccb01563cc8cccbc197bccdbcccccce1cc875dcce4ccfaccad0092dc0020703039cce8cc81cc85cc964b38\
         0eccf6cced7dccef54cc8a2d3cccbd7fcc90412e2bccaccca114ccdf5acca3ccc65b01";
 
-    /// Runs and ends that an endpoint reports are lost.
+    /// Guards against losing runs and ends reported by an endpoint.
     endpoint_report: report() => "\
         84a8636c6f636b5f6d73ce002625a0a772756e6e696e679185a47461736b84a36a6f62dc001035633065376132\
         316439346233366638aa6f6363757272656e636503a47374657001a5696e646578cd012ca372756e02aa636865\
@@ -236,21 +237,21 @@
         74657001a5696e646578cd012ca372756e02a46b696e64a7556e6b6e6f776eaa636865636b706f696e74a46861\
         6c66aa69735f7061727469616cc3";
 
-    /// A task is started otherwise than the owner ordered.
+    /// Guards against starting a task with other values than ordered.
     start_order_alone: start_order() => "\
         88a8656e64706f696e7411a47461736b84a36a6f62dc001035633065376132316439346233366638aa6f636375\
         7272656e636503a47374657001a5696e646578cd012ca372756e02a77061796c6f6164a77a3d3726783d33a66f\
         726967696e81a2563492940a000001cd1b95ab646561646c696e655f6d73ce00263d10aa636865636b706f696e\
         74a468616c66a67469636b6574a87469636b65742d31";
 
-    /// A call goes to another endpoint, or to none.
+    /// Guards against calling another endpoint, or none.
     endpoint_address: EndpointAddress { id: "i-1".into(), address: address(9_000) } =>
         "82a26964a3692d31a76164647265737381a2563492940a000001cd2328";
 
-    /// A call that was carried out counts as unknown.
+    /// Guards against treating a completed call as unknown.
     outcome_done: done() => "81a4446f6e65ce002625a0";
 
-    /// A renewal that was answered counts as unknown.
+    /// Guards against treating an answered renewal as unknown.
     outcome_done_with_report: CallOutcome::Done(report()) => "\
         81a4446f6e6584a8636c6f636b5f6d73ce002625a0a772756e6e696e679185a47461736b84a36a6f62dc001035\
         633065376132316439346233366638aa6f6363757272656e636503a47374657001a5696e646578cd012ca37275\
@@ -272,42 +273,43 @@
         6e636503a47374657001a5696e646578cd012ca372756e02a46b696e64a7556e6b6e6f776eaa636865636b706f\
         696e74a468616c66aa69735f7061727469616cc3";
 
-    /// The runs of a life that is over count as running.
+    /// Guards against counting the runs of an ended incarnation as active.
     outcome_other_life: CallOutcome::<u64>::OtherLife => "a94f746865724c696665";
 
-    /// An owner goes on that was succeeded.
+    /// Guards against an owner that continues after it was replaced.
     outcome_fenced: CallOutcome::<u64>::Fenced => "a646656e636564";
 
-    /// A run that has ended at its endpoint counts as placed there.
+    /// Guards against counting a run as placed after it has ended at its endpoint.
     outcome_refused_old_run: refused(Refusal::OldRun) => "81a752656675736564a64f6c6452756e";
 
-    /// A late order is taken for one that was carried out.
+    /// Guards against treating an expired order as carried out.
     outcome_refused_late: refused(Refusal::Late) => "81a752656675736564a44c617465";
 
-    /// A full endpoint gets more.
+    /// Guards against sending more tasks to a full endpoint.
     outcome_refused_no_room: refused(Refusal::NoRoom) => "81a752656675736564a64e6f526f6f6d";
 
-    /// A ticket that does not hold is used again.
+    /// Guards against reusing an invalid ticket.
     outcome_refused_ticket: refused(Refusal::Ticket) => "81a752656675736564a65469636b6574";
 
-    /// An endpoint that is unhealthy gets more.
+    /// Guards against sending more tasks to an unhealthy endpoint.
     outcome_refused_unhealthy: refused(Refusal::Unhealthy) =>
         "81a752656675736564a9556e6865616c746879";
 
-    /// A malformed order is repeated for ever.
+    /// Guards against retrying a malformed order forever.
     outcome_refused_invalid: refused(Refusal::Invalid) => "81a752656675736564a7496e76616c6964";
 
-    /// A call that was not made counts as one that may be carried out late.
+    /// Guards against treating an unsent call as one that may still take effect.
     outcome_unsent: CallOutcome::<u64>::Unsent => "a6556e73656e74";
 
-    /// A call that may be carried out late counts as not made, and the task runs twice.
+    /// Guards against treating a call that may still take effect as unsent, so that the task runs
+    /// twice.
     outcome_unknown: CallOutcome::<u64>::Unknown => "a7556e6b6e6f776e";
 }
 
-/// Epoch of the owners that write.
+/// Epoch of the writing owners.
 const EPOCH: u64 = 70_000;
 
-/// Returns a fleet whose owner has an epoch, with an account and so many endpoints.
+/// Returns a fleet whose owner has an epoch, with an account and a number of endpoints.
 fn fleet(endpoints: u32) -> Fleet {
     let mut fleet = Fleet::new();
     fleet.engine = Engine::new(EngineSettings::default()).with_epoch(EPOCH);
@@ -318,7 +320,7 @@
     fleet
 }
 
-/// Returns the stored record with a key.
+/// Returns the stored record of a key.
 fn stored(fleet: &Fleet, key: &str) -> Record {
     let mut records = fleet.stored.iter();
     let record = records.find(|record| record.key == key);
@@ -333,7 +335,7 @@
     stored(fleet, &format!("s/{}", job_id(job)))
 }
 
-/// Returns a record with the value that is held.
+/// Returns a record with the golden value.
 fn held_record(key: &str, held: &str) -> Record {
     Record {
         key: key.into(),
@@ -341,16 +343,16 @@
     }
 }
 
-/// Returns an engine that has read records.
+/// Returns an engine restored from records.
 fn restored(records: &[Record], now: Now) -> Engine {
     let mut engine = Engine::new(EngineSettings::default()).with_epoch(EPOCH);
     assert_eq!(engine.restore(records, now), Vec::<&str>::new());
     engine
 }
 
-/// Returns the records of jobs that an owner writes of what it has read of them.
+/// Returns the job records that a restored owner writes.
 ///
-/// Jobs are written once more when their queue has changed; here it changes back.
+/// Jobs are written again when their queue has changed, so the queue is changed and changed back.
 fn written_again(records: &[Record], queue: &Queue, now: Now) -> Vec<Record> {
     let mut engine = restored(records, now);
     assert!(engine.jobs().all(|job| job.queue == *queue));
@@ -369,7 +371,7 @@
     engine.take_batch(now).records
 }
 
-/// Checks both records of a job, and that an owner that reads the bytes held writes the same.
+/// Checks both records of a job, and that an owner restored from the golden bytes writes the same.
 fn check_job(fleet: &Fleet, job: u64, queue: &Queue, held_spec: &str, held_progress: &str) {
     let spec = spec_of(fleet, job);
     assert_held(&spec.value, held_spec);
@@ -382,7 +384,7 @@
     assert_eq!(written_again(&held, queue, fleet.now), [spec, progress]);
 }
 
-/// A job that waits for its first occurrence is lost with its owner, or changed.
+/// Guards against losing or changing a job that waits for its first occurrence.
 #[test]
 fn job_with_every_field_set() {
     let mut fleet = fleet(0);
@@ -405,7 +407,7 @@
 
 const PROGRESS_QUEUED: &str = "95a6517565756564009090a96163636f756e742d31";
 
-/// Returns a job of two steps that is due twice at once.
+/// Returns a job of two steps with two occurrences that are due.
 fn due_twice(fleet: &Fleet) -> JobSpec {
     JobSpec {
         payload: "z=7".into(),
@@ -422,7 +424,7 @@
     }
 }
 
-/// Ends a run, with a checkpoint.
+/// Ends a run with a checkpoint.
 fn end_run(fleet: &mut Fleet, task: &str, kind: EndKind, checkpoint: &str) {
     let name = format!("{}.{task}", job_id(1));
     let name: TaskRef = name.parse().expect("a task's name");
@@ -438,8 +440,8 @@
     panic!("{task} runs nowhere");
 }
 
-/// Returns a fleet with a job of which a task is done, one runs again from a checkpoint after it
-/// failed, and others run for the first time.
+/// Returns a fleet with a job of which one task is done, one runs again from a checkpoint after a
+/// failure, and others run for the first time.
 fn fleet_at_work() -> Fleet {
     let mut fleet = fleet(2);
     let spec = due_twice(&fleet);
@@ -456,7 +458,8 @@
     jobs.find(|job| job.id == job_id(1)).expect("a job")
 }
 
-/// Runs are started again after a take-over that still run, or from the beginning.
+/// Guards against restarting active runs after a takeover, or starting tasks without their
+/// checkpoint.
 #[test]
 fn job_at_work() {
     let fleet = fleet_at_work();
@@ -468,7 +471,7 @@
     check_job(&fleet, 1, &queue(), SPEC_AT_WORK, PROGRESS_AT_WORK);
 }
 
-/// A successor takes runs that were to stop for runs at work.
+/// Guards against a successor that treats stopping runs as working.
 #[test]
 fn cancelled_job_whose_runs_are_to_stop() {
     let mut fleet = fleet_at_work();
@@ -501,7 +504,7 @@
     01cd23289292009292950100c3a090950201c2a468616c6691930200c391950000c2a09092019292950100c2a0\
     91930101c3950100c2a091930101c391950000c2a090a96163636f756e742d31";
 
-/// Returns a fleet with a job of one task that has ended.
+/// Returns a fleet with an ended job of one task.
 fn fleet_after(kind: EndKind) -> Fleet {
     let mut fleet = fleet(1);
     let once = Queue {
@@ -519,7 +522,7 @@
     fleet
 }
 
-/// Checks the record that is left of a job that has ended, and what a successor tells of it.
+/// Checks the remaining record of an ended job, and the state that a successor reports.
 fn check_ended(fleet: &Fleet, state: JobState, held: &str) {
     let progress = progress_of(fleet, 1);
     assert_held(&progress.value, held);
@@ -529,7 +532,7 @@
     assert!(!engine.can_access(job_id(1), "account-2"));
 }
 
-/// A completed job is not known after a take-over, or is told to another account.
+/// Guards against losing a completed job in a takeover, or showing it to another account.
 #[test]
 fn completed_job() {
     check_ended(&fleet_after(EndKind::Done), JobState::Completed, COMPLETED);
@@ -537,7 +540,7 @@
 
 const COMPLETED: &str = "95a9436f6d706c65746564019090a96163636f756e742d31";
 
-/// A failed job is not known after a take-over, or is told to another account.
+/// Guards against losing a failed job in a takeover, or showing it to another account.
 #[test]
 fn failed_job() {
     check_ended(&fleet_after(EndKind::Failed), JobState::Failed, FAILED);
@@ -545,7 +548,7 @@
 
 const FAILED: &str = "95a64661696c656401909192009191950101c2a090a96163636f756e742d31";
 
-/// Orders the maintenance of VMs, all at once.
+/// Orders maintenance of VMs, all at once.
 fn order_wave(fleet: &mut Fleet, wave: u64, vms: &[&str]) {
     fleet.handle(Event::WaveOrdered(WaveOrder {
         wave,
@@ -555,13 +558,13 @@
     }));
 }
 
-/// Lists two VMs that are switched off, and allows orders for them.
+/// Lists two VMs that are switched off, and allows VM orders.
 fn list_vms(fleet: &mut Fleet) {
     fleet.handle(Event::VmsListed(vec![spare("vm-1"), spare("vm-2")]));
     fleet.engine.allow_vm_orders(true);
 }
 
-/// Returns a fleet of two VMs whose maintenance is ordered, of which some are known to have begun.
+/// Returns a fleet of two VMs with ordered maintenance, some of which is known to have begun.
 fn fleet_in_maintenance(begun: &[&str]) -> Fleet {
     let mut fleet = fleet(0);
     list_vms(&mut fleet);
@@ -577,20 +580,20 @@
     fleet
 }
 
-/// Tells whether the maintenance of a VM was ordered.
+/// Returns whether maintenance of the VM was ordered.
 fn is_ordered(fleet: &Fleet, name: &str) -> bool {
     let mut orders = fleet.orders.iter();
     orders.any(|order| matches!(order, Effect::MaintainVm { vm, .. } if vm == name))
 }
 
-/// Replaces the owner by one that has read records.
+/// Replaces the owner by one restored from records.
 fn take_over(fleet: &mut Fleet, records: &[Record]) {
     fleet.stored = records.to_vec();
     fleet.orders.clear();
     fleet.take_over();
 }
 
-/// A wave begins anew after a take-over, and VMs are maintained twice or too late.
+/// Guards against restarting a wave after a takeover, so that VMs are maintained twice or too late.
 #[test]
 fn wave_under_way() {
     let mut fleet = fleet_in_maintenance(&["vm-1"]);
@@ -598,7 +601,7 @@
     take_over(&mut fleet, &[held_record("w/12", WAVE_UNDER_WAY)]);
     list_vms(&mut fleet);
     order_wave(&mut fleet, 12, &["vm-1", "vm-2"]);
-    // Written again with the order that is repeated, of which the outcome is not known.
+    // Written again with the retried order, whose outcome is unknown.
     fleet.stored.clear();
     fleet.advance(100);
     assert!(is_ordered(&fleet, "vm-2") && !is_ordered(&fleet, "vm-1"));
@@ -607,7 +610,7 @@
 
 const WAVE_UNDER_WAY: &str = "9492a4766d2d31a4766d2d3291a4766d2d31c2ce004c4b40";
 
-/// A wave that is completed begins anew after a take-over.
+/// Guards against restarting a completed wave after a takeover.
 #[test]
 fn wave_completed() {
     let mut fleet = fleet_in_maintenance(&["vm-1", "vm-2"]);
@@ -631,8 +634,8 @@
 
 const WAVE_COMPLETED: &str = "9492a4766d2d31a4766d2d3292a4766d2d31a4766d2d32c3ce004c4b40";
 
-/// Tells when a successor orders something for a VM, in milliseconds after its take-over, if it
-/// knows that the process of an earlier owner is over since then.
+/// Returns when a successor orders the VM, in milliseconds after its takeover, given the epoch of
+/// an owner that is known to have ended.
 fn ordered_after_ms(name: &str, held: &str, over_epoch: u64) -> u64 {
     let mut fleet = fleet_in_maintenance(&["vm-1"]);
     let key = format!("v/{name}");
@@ -647,7 +650,7 @@
     fleet.now.steady_ms - taken_ms
 }
 
-/// Two owners order the same VM within seconds, or the later one waits without need.
+/// Guards against orders of two owners for a VM within seconds, and against unnecessary delays.
 #[test]
 fn vm_whose_order_is_settled() {
     let fleet = fleet_in_maintenance(&["vm-1"]);
@@ -658,7 +661,7 @@
 
 const VM_SETTLED: &str = "93ce004c4ba4c3ce00011170";
 
-/// Two owners order the same VM within seconds, as the later one takes an order for settled.
+/// Guards against orders of two owners for a VM within seconds because one was treated as settled.
 #[test]
 fn vm_whose_order_is_not_settled() {
     let fleet = fleet_in_maintenance(&["vm-1"]);
@@ -669,7 +672,7 @@
 
 const VM_NOT_SETTLED: &str = "93ce004c4ba4c2ce00011170";
 
-/// A VM that was ordered long ago rests after a take-over, as the time of the order is not read.
+/// Guards against a cooldown of VMs whose last order was long ago.
 #[test]
 fn vm_that_was_ordered_long_ago() {
     let mut fleet = fleet_in_maintenance(&["vm-1"]);
