--- a/crates/engine/tests/fair_shares.rs
+++ b/crates/engine/tests/fair_shares.rs
@@ -1,4 +1,4 @@
-//! One account that floods the fleet beside others that send their usual: who waits, and who starts.
+//! Fair shares between accounts with excess demand and others.
 
 mod common;
 
@@ -35,7 +35,7 @@
     fleet
 }
 
-/// Returns a full fleet of two accounts, of which the first has handed in far more than its usual.
+/// Returns a full fleet of two accounts, the first of which has excess demand.
 fn fleet_with_excess_demand() -> Fleet {
     let mut fleet = fleet_of_two();
     for number in 1..=10 {
@@ -65,7 +65,7 @@
     an_account_without_weight_gets_nothing: [claim(0.0, 4.0, 9.0), claim(1.0, 4.0, 9.0)], 0.0 => 4.0;
 }
 
-/// Guards against demand that varies being taken for demand that floods.
+/// Guards against usual variation being treated as excess demand.
 #[test]
 fn excess_demand_begins_at_twice_the_share() {
     assert!(!claim(1.0, 4.0, 7.9).has_excess_demand(4.0));
@@ -73,7 +73,7 @@
     assert!(!claim(1.0, 4.0, 8.0).has_excess_demand(f64::INFINITY));
 }
 
-/// Guards against an account whose jobs came first keeping all room that becomes free.
+/// Guards against the account that submitted first keeping all capacity that becomes free.
 #[test]
 fn freed_capacity_goes_to_the_account_below_its_share() {
     let mut fleet = fleet_with_excess_demand();
@@ -88,7 +88,7 @@
     assert_eq!(fleet.running_cores(|job| job == job_id(90)), 8);
 }
 
-/// Guards against an account whose demand rises a little being held back for others.
+/// Guards against delaying an account whose demand rises only slightly.
 #[test]
 fn moderate_demand_starts_in_the_usual_order() {
     let mut fleet = fleet_of_two();
@@ -100,7 +100,7 @@
     assert_eq!(fleet.running_cores(|job| job == job_id(90)), CORES - 24);
 }
 
-/// Guards against room kept idle for accounts that do not want it.
+/// Guards against capacity being kept idle for accounts that do not use it.
 #[test]
 fn idle_capacity_goes_to_the_account_with_excess_demand() {
     let mut fleet = fleet_with_excess_demand();
@@ -109,7 +109,7 @@
     assert_eq!(fleet.running_cores(|_| true), CORES);
 }
 
-/// Guards against a job that waits behind others without a word in the log.
+/// Guards against a wait for other accounts that does not appear in the log.
 #[test]
 fn waiting_for_other_accounts_is_logged() {
     let mut fleet = fleet_with_excess_demand();
