--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -1,10 +1,9 @@
-//! Random histories of owners, endpoints and the store, checked after each step.
+//! Random simulations of owners, endpoints and the store, checked after each step.
 //!
-//! Endpoints fall silent and come back, in their old life or a new one; the store goes away; owners
-//! are lost and replaced, with what they had stored; runs end in every way; quotas are raised and cut.
-//! Whatever happens, a task has no two runs under way on endpoints that are up, nothing starts after it
-//! is done, room is never overdrawn, nothing starts for an account above its quota, and a job that was
-//! accepted stays known.
+//! Endpoints become unresponsive or restart, the store becomes unavailable, owners are replaced,
+//! runs end in all ways, and quotas change. In all cases no task has two active runs, no done task
+//! starts again, neither endpoint capacity nor account quotas are exceeded, and accepted jobs stay
+//! known.
 
 mod common;
 
@@ -19,20 +18,20 @@
 
 const STEPS: usize = 250;
 
-/// Room of each endpoint in runs of one core.
+/// Capacity of each endpoint, in runs of one core.
 const CORES: u64 = 4;
 
-/// Client accounts; jobs are theirs by turns, and the first stands for none.
+/// Client accounts, where the first means none. Jobs are assigned in turn.
 const ACCOUNTS: [&str; 3] = ["", "maps", "post"];
 
-/// Cores that an account may have running at most.
+/// Range of account quotas, in cores.
 const QUOTAS: std::ops::Range<u64> = 1..9;
 
 struct History {
     fleet: Fleet,
-    /// Cores that each account may have running; 0 is no limit.
+    /// Quota of each account in cores; 0 means unlimited.
     quotas: [u64; 3],
-    /// Runs that were under way at the last check.
+    /// Active runs at the last check.
     running: Vec<(TaskRef, u32)>,
     random: ChaCha8Rng,
     jobs: u64,
@@ -139,12 +138,12 @@
         }
     }
 
-    /// Ends a life; another begins at the same address.
+    /// Replaces an incarnation by a new one at the same address.
     fn crash(&mut self, endpoint: usize) {
         self.incarnations += 1;
         let id = format!("i-{}", self.incarnations);
         let fake = &mut self.fleet.endpoints[endpoint];
-        // What was done and not told is lost with the life.
+        // Completions that were not reported are lost with the incarnation.
         let lost: Vec<TaskRef> = fake.ended.iter().map(|ended| ended.task).collect();
         self.done.retain(|task| !lost.contains(task));
         fake.id.clone_from(&id);
@@ -160,7 +159,7 @@
     }
 
     fn take_over(&mut self) {
-        // What the old owner could not store is lost with it.
+        // Changes that the previous owner could not store are lost with it.
         self.fleet.is_store_down = false;
         self.fleet.take_over();
         self.fleet.settle();
@@ -212,7 +211,7 @@
         }
     }
 
-    /// Ends all trouble; every job must come to its end.
+    /// Ends all faults, after which every job must end.
     fn recover(&mut self) {
         self.fleet.is_store_down = false;
         for endpoint in &mut self.fleet.endpoints {
@@ -236,7 +235,7 @@
     }
 }
 
-/// Returns the place of a job's account.
+/// Returns the index of a job's account.
 fn account_of(job: JobId) -> usize {
     let number = u64::from_str_radix(job.as_str(), 16).expect("hexadecimal digits");
     usize::try_from(number).expect("few jobs") % ACCOUNTS.len()
