--- a/crates/engine/tests/incarnations.rs
+++ b/crates/engine/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of endpoints: what is kept of those that have ended.
+//! Handling of ended endpoint incarnations.
 
 mod common;
 
@@ -7,7 +7,7 @@
     lynxwheel_engine::{CallOutcome, EndpointReport, Event, JobState, TaskRef},
 };
 
-/// Lists a new life in the place of the newest one.
+/// Registers a new incarnation in place of the latest endpoint.
 fn replace(fleet: &mut Fleet, id: &str) {
     let mut entry = fleet.entries.pop().expect("an endpoint");
     fleet.endpoints.pop();
@@ -21,8 +21,7 @@
     fleet.settle();
 }
 
-/// VMs move all day, and each move ends a life of an endpoint. The owner grows and slows down by
-/// the hour, as it keeps them all and looks at all of them again and again.
+/// Guards against the table of incarnations growing without bound as VMs move.
 #[test]
 fn ended_incarnations_are_removed() {
     let mut fleet = Fleet::new();
@@ -36,8 +35,7 @@
     assert_eq!(fleet.engine.endpoints().keys().len(), 1);
 }
 
-/// An answer that comes after all that time names a life that has been forgotten. It concerns
-/// nobody, and work goes on.
+/// Guards against late answers that refer to a removed incarnation.
 #[test]
 fn late_answer_of_a_removed_incarnation_is_ignored() {
     let mut fleet = Fleet::new();
@@ -68,8 +66,8 @@
     assert_eq!(fleet.job_state(1), Some(JobState::Completed));
 }
 
-/// Guards against a report of a replaced incarnation that comes late and ends the one in its place, whose
-/// runs then start a second time elsewhere.
+/// Guards against a late report of a replaced incarnation ending its successor, whose runs would be
+/// started a second time.
 #[test]
 fn late_report_of_a_replaced_incarnation_ends_no_other() {
     let mut fleet = Fleet::new();
