--- a/crates/engine/tests/latency.rs
+++ b/crates/engine/tests/latency.rs
@@ -1,4 +1,4 @@
-//! How soon the engine learns of what happens on endpoints.
+//! Delay until the engine learns of ended runs.
 
 mod common;
 
@@ -7,9 +7,7 @@
     lynxwheel_engine::JobState,
 };
 
-/// Callers of short jobs wait up to a second for nothing. An endpoint without work is asked once a
-/// second; a job started there right after such a question, and its end was told only when
-/// the next one was due.
+/// Guards against the end of a first run being reported only with the next periodic renewal.
 #[test]
 fn first_run_on_an_idle_endpoint_has_a_renewal_in_flight() {
     let mut fleet = Fleet::new();
