--- a/crates/engine/tests/origins.rs
+++ b/crates/engine/tests/origins.rs
@@ -1,4 +1,4 @@
-//! Payloads that are kept where their job came in.
+//! Payloads kept by the node that accepted the job.
 
 mod common;
 
@@ -12,7 +12,7 @@
     ([10, 0, 0, 7], 7_060).into()
 }
 
-/// Returns the starts that the engine orders now.
+/// Returns the starts released by the next batch.
 fn starts(fleet: &mut Fleet) -> Vec<StartOrder> {
     fleet.handle(Event::Tick);
     let batch = fleet.engine.take_batch(fleet.now);
@@ -33,7 +33,7 @@
     });
 }
 
-/// Returns a fleet with the first start of a job that came in at another node.
+/// Returns a fleet with the first start of a job that another node accepted.
 fn fleet_with_a_start() -> (Fleet, StartOrder) {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", 16_000);
@@ -61,8 +61,8 @@
     assert_eq!(start.payload, "tile 7");
 }
 
-/// Tasks of a job never start. The node that took the job is gone with its payload, and a sound endpoint
-/// is blamed for each start that could not be sent.
+/// Guards against blaming an endpoint for starts that fail because the node with the payload is
+/// gone.
 #[test]
 fn start_without_its_payload_includes_it_when_retried() {
     let (mut fleet, start) = fleet_with_a_start();
