--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement by the indexes against a plain search through everything.
+//! Comparison of indexed placement with an exhaustive search.
 
 mod common;
 
@@ -16,22 +16,22 @@
 
 const ROUNDS: usize = 60;
 
-/// A step with waiting tasks, and its place in the order of starts.
+/// A step with waiting tasks and its rank in the start order.
 struct Candidate {
-    /// Long-running first, then on time, late, and too late to earn anything by being early.
+    /// Urgency (long-running, on time, late, too late), priority, slack, first task.
     rank: (u8, u32, i64, TaskRef),
     spec: StepSpec,
     waiting: Vec<u16>,
 }
 
-/// Room of an endpoint and its tasks of one step, as they change while tasks are placed.
+/// Free resources of an endpoint and its tasks during placement.
 struct Slot<'a> {
     endpoint: &'a Endpoint,
     free: Resources,
     placed: Vec<TaskRef>,
 }
 
-/// Returns the starts that a search through all jobs and endpoints would decide on.
+/// Returns the starts that an exhaustive search chooses.
 fn expected(engine: &Engine, now_ms: u64) -> Vec<(TaskRef, EndpointKey)> {
     let mut slots: Vec<Slot> = engine
         .endpoints()
@@ -116,8 +116,7 @@
     found
 }
 
-/// Returns how urgent a step is, and the time that its job may wait; the objective is 1.6 times its
-/// chain and 600 ms.
+/// Returns the urgency and slack of a step, with an objective of 1.6 critical paths and 600 ms.
 fn urgency(job: &Job, spec: &StepSpec, left_ms: u64, now_ms: u64) -> (u8, i64) {
     let objective_ms = job.spec.critical_path_ms() * 8 / 5 + job.queue.target_latency_ms;
     let passed_ms = now_ms - job.accepted_ms;
@@ -187,7 +186,7 @@
     fleet
 }
 
-/// Returns the starts that were decided on and have not gone out.
+/// Returns the decided starts that were not sent yet.
 fn placed(engine: &Engine) -> Vec<(TaskRef, EndpointKey)> {
     let mut placed: Vec<(TaskRef, EndpointKey)> = engine
         .jobs()
