--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of client accounts, as endpoints and callers see them.
+//! Quotas of client accounts.
 
 mod common;
 
@@ -35,7 +35,7 @@
     reply.map(|(_, answer)| *answer)
 }
 
-/// Returns a fleet in which an account of three cores has handed in a step of eight tasks.
+/// Returns a fleet in which an account with a quota of three cores has submitted eight tasks.
 fn fleet_at_the_quota() -> Fleet {
     let mut fleet = fleet_with(&[account("maps", 3)]);
     fleet.submit_as("maps", 1, step(8));
@@ -44,7 +44,7 @@
 }
 
 cases! {
-    /// Guards against a step wider than its account's quota being started whole.
+    /// Guards against starting a step beyond its account's quota.
     a_step_above_the_quota_runs_in_parts: {
         let mut fleet = fleet_at_the_quota();
         for expected in [3, 3, 2] {
@@ -55,7 +55,7 @@
         assert_eq!(fleet.job_state(1), Some(JobState::Completed));
     };
 
-    /// Guards against runs whose end is not known being counted as over.
+    /// Guards against runs with an unknown end not counting as running.
     runs_on_a_silent_endpoint_count: {
         let mut fleet = fleet_at_the_quota();
         for endpoint in &mut fleet.endpoints {
@@ -66,7 +66,7 @@
         assert_eq!(all(&fleet), 3);
     };
 
-    /// Guards against a new owner that starts a quota's worth beside the runs of the one before.
+    /// Guards against a new owner that ignores runs started by the previous one.
     a_new_owner_counts_the_runs_of_the_previous_one: {
         let mut fleet = fleet_at_the_quota();
         for endpoint in &mut fleet.endpoints {
@@ -79,7 +79,7 @@
         assert_eq!(fleet.engine.running_resources("maps").cpu_millis, 3_000);
     };
 
-    /// Guards against a new owner that starts tasks before it knows any quota.
+    /// Guards against a new owner that starts tasks before it knows the quotas.
     nothing_starts_before_a_configuration_is_known: {
         let mut fleet = Fleet::new();
         fleet.engine = lynxwheel_engine::Engine::new(lynxwheel_engine::EngineSettings::default());
@@ -92,7 +92,7 @@
         assert_eq!(all(&fleet), 1);
     };
 
-    /// Guards against a cut that stops runs, and against starts above the cut quota.
+    /// Guards against a reduced quota stopping runs, and against starts beyond it.
     a_reduced_quota_stops_nothing_and_starts_nothing: {
         let mut fleet = fleet_at_the_quota();
         fleet.configure_accounts(&[account("maps", 1)]);
@@ -103,7 +103,7 @@
         assert_eq!(all(&fleet), 1);
     };
 
-    /// Guards against orders that were decided by the higher quota and go out after the cut.
+    /// Guards against sending orders that were decided before the quota was reduced.
     unstored_decisions_are_reverted_when_the_quota_is_reduced: {
         let mut fleet = fleet_with(&[account("maps", 6)]);
         fleet.submit_as("maps", 1, step(6));
@@ -114,7 +114,7 @@
         assert_eq!(all(&fleet), 2);
     };
 
-    /// Guards against an order without answer that is repeated, and first carried out, after the cut.
+    /// Guards against retrying an order beyond a quota that was reduced in the meantime.
     unanswered_orders_are_not_retried_above_the_quota: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, step(2));
@@ -135,7 +135,7 @@
         assert_eq!(all(&fleet), 1);
     };
 
-    /// Guards against tasks that are placed beyond the quota and taken back with every batch.
+    /// Guards against placing tasks beyond the quota and reverting them with each batch.
     no_more_is_placed_than_the_quota_allows: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, step(8));
@@ -147,7 +147,7 @@
         assert_eq!(fleet.engine.running_resources("maps").cpu_millis, 3_000);
     };
 
-    /// Guards against a job that waits for good, as no quota lets it run.
+    /// Guards against accepting a job that can never run within the quota.
     jobs_above_the_quota_are_refused: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         let wide = |gang| StepSpec { gang, ..step(4) };
@@ -162,7 +162,7 @@
         assert_eq!(fleet.job_state(1), None);
     };
 
-    /// Guards against a gang of which only a part fits into the quota being started.
+    /// Guards against starting a gang that fits into the quota only in part.
     a_gang_waits_until_all_of_it_fits: {
         let mut fleet = fleet_with(&[account("maps", 5)]);
         fleet.submit_as("maps", 1, step(3));
@@ -175,7 +175,8 @@
         assert_eq!(all(&fleet), 4);
     };
 
-    /// Guards against filling tasks, which take no room of an endpoint, passing the quota.
+    /// Guards against filler tasks bypassing the quota, as they reserve no processor of an
+    /// endpoint.
     filler_and_long_running_tasks_count: {
         let mut fleet = fleet_with(&[account("maps", 3)]);
         fleet.submit_as("maps", 1, StepSpec { filler: true, long_running: true, ..step(5) });
@@ -183,7 +184,7 @@
         assert_eq!(all(&fleet), 3);
     };
 
-    /// Guards against a run that is being stopped making room before it has ended.
+    /// Guards against counting a run as ended while it is being stopped.
     runs_that_are_being_stopped_count: {
         let mut fleet = fleet_at_the_quota();
         for endpoint in &mut fleet.endpoints {
@@ -197,7 +198,7 @@
         assert_eq!(fleet.job_state(1), Some(JobState::Cancelled));
     };
 
-    /// Guards against a job that waits without a word: the log has to say for what.
+    /// Guards against a wait for the quota that does not appear in the log.
     waiting_for_a_quota_is_logged_with_its_values: {
         let mut fleet = fleet_at_the_quota();
         fleet.advance(900);
@@ -212,7 +213,7 @@
         assert_eq!(waits[0].quota.cpu_millis, 3_000);
     };
 
-    /// Guards against an account at its quota holding up the work of others.
+    /// Guards against an account at its quota delaying the work of others.
     others_run_beside_an_account_at_its_quota: {
         let mut fleet = fleet_with(&[account("maps", 3), account("post", 0)]);
         fleet.submit_as("maps", 1, step(40));
@@ -222,7 +223,7 @@
         assert_eq!(fleet.running_cores(|job| job == job_id(2)), 9);
     };
 
-    /// Guards against a stranger that reads, cancels or hands in again the job of another account.
+    /// Guards against reading, cancelling or resubmitting a job of another account.
     a_job_is_inaccessible_to_other_accounts: {
         let mut fleet = fleet_at_the_quota();
         let cancel = |account: &str, token| Event::Cancel {
@@ -247,7 +248,7 @@
         fleet.handle(cancel("maps", 8));
         fleet.settle();
         assert_eq!(answer(&fleet, 8), Some(CallerAnswer::Cancelled));
-        // Also when only the end of the job is remembered.
+        // Also if only the final state of the job is kept.
         fleet.end_all(EndKind::Stopped);
         fleet.advance(2_000);
         fleet.take_over();
@@ -255,7 +256,7 @@
         assert_eq!(fleet.job_state(1), Some(JobState::Cancelled));
     };
 
-    /// Guards against state that grows with every account that ever was.
+    /// Guards against usage data growing with every account that was ever configured.
     unused_accounts_are_removed: {
         let mut tracker = QuotaTracker::default();
         for round in 0..100 {
@@ -271,7 +272,7 @@
         assert_eq!(tracker.numbers(), []);
     };
 
-    /// Guards against nodes that give one key to different accounts.
+    /// Guards against nodes that assign a shared key to different accounts.
     a_key_of_two_accounts_identifies_the_first_by_name: {
         let key = KeyDigest::new(b"shared");
         let holding = |name| ClientAccount { keys: vec![key], ..account(name, 0) };
@@ -284,7 +285,7 @@
         }
     };
 
-    /// Guards against keys in logs: only a fingerprint is printed.
+    /// Guards against logging keys.
     a_key_is_printed_as_its_fingerprint: {
         let key = KeyDigest::new(b"pqk8bdk9eevyxq2yyaza");
         assert_eq!(format!("{key:?}"), format!("KeyDigest({key})"));
