--- a/crates/engine/tests/renewals.rs
+++ b/crates/engine/tests/renewals.rs
@@ -1,4 +1,4 @@
-//! How long endpoints may keep the answers to renewals.
+//! Time for which endpoints may hold renewals.
 
 mod common;
 
@@ -7,7 +7,7 @@
     lynxwheel_engine::{Effect, JobSpec, StepSpec},
 };
 
-/// Returns the wait of the newest renewal of an endpoint that runs one task of a step.
+/// Returns the hold time of the latest renewal for an endpoint that runs one task of a step.
 fn wait_with(step: StepSpec) -> Option<u64> {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", 16_000);
@@ -34,8 +34,7 @@
 }
 
 cases! {
-    /// Callers wait for jobs whose tasks ended long ago. The answer that told of the ends was lost,
-    /// and the next one came only when the whole wait of the lost one was over.
+    /// Guards against a lost answer delaying the end of a finite task by a long hold time.
     finite_task_has_a_short_hold_time: step(1) => 300;
 
     long_running_task_has_a_long_hold_time:
