--- a/crates/engine/tests/restore.rs
+++ b/crates/engine/tests/restore.rs
@@ -1,4 +1,4 @@
-//! What a later owner makes of the records of an earlier one.
+//! Recovery of a new owner from stored records.
 
 mod common;
 
@@ -7,9 +7,7 @@
     lynxwheel_engine::JobState,
 };
 
-/// A caller asks for a job that ended just before the owner was lost, and is told that there is
-/// no such job. The new owner found the job's details still stored, wrote its end once more, and
-/// took the end for one of long ago, as it had no time for it.
+/// Guards against forgetting a job that ended just before the owner was lost.
 #[test]
 fn job_that_ended_before_a_takeover_stays_known() {
     let mut fleet = Fleet::new();
@@ -17,7 +15,7 @@
     fleet.submit(1, 1);
     fleet.settle();
     fleet.end_all_done();
-    // The end is stored; the owner is lost before it drops the details.
+    // The end is stored, but the owner is lost before it deletes the job description.
     fleet.settle_without_cleaning();
     assert_eq!(fleet.job_state(1), Some(JobState::Completed));
     fleet.take_over();
@@ -27,10 +25,8 @@
     assert_eq!(fleet.engine.job_state(job_id(1)), Some(JobState::Completed));
 }
 
-/// A customer is charged twice: after a take-over a task runs on two endpoints. The list of VMs
-/// still names an endpoint's life that has ended, while the registry already has its successor,
-/// on which the task runs. The new owner had heard of the ended life later, from the jobs'
-/// records, took it for the successor, and started the task again elsewhere.
+/// Guards against an outdated VM list ending the current incarnation of an endpoint, whose tasks
+/// would be started a second time.
 #[test]
 fn outdated_vm_list_after_a_takeover_ends_no_current_incarnation() {
     let mut fleet = Fleet::new();
@@ -51,9 +47,8 @@
     }
 }
 
-/// A long-running task is away for 9 s after each take-over, though its VM came back long ago with
-/// a new life. The successor knows the old life only from the job's record, cannot tell that the
-/// new one replaces it, and waits for leases.
+/// Guards against waiting for the leases of an inherited incarnation after its successor at the
+/// same address has answered.
 #[test]
 fn answering_incarnation_ends_an_older_one_at_its_address() {
     let mut fleet = Fleet::new();
@@ -73,9 +68,8 @@
     assert_eq!(fleet.starts(&format!("{}.0.0.0", job_id(1))), 2);
 }
 
-/// Twelve tasks run twice. After a take-over an entry of a life that had ended three seconds before
-/// was written late; it was taken for a new life in the place of the sound one, whose runs were
-/// started again elsewhere.
+/// Guards against a late registry entry of an ended incarnation ending the current one, whose tasks
+/// would be started a second time.
 #[test]
 fn late_entry_of_an_ended_incarnation_ends_no_current_one() {
     let mut fleet = Fleet::new();
