--- a/crates/engine/tests/shortage.rs
+++ b/crates/engine/tests/shortage.rs
@@ -1,4 +1,4 @@
-//! Who gets the VMs when there are too few for all that waits.
+//! Distribution of VMs between pools when there are too few.
 
 mod common;
 
@@ -7,7 +7,7 @@
     lynxwheel_engine::{Event, FleetConfig, JobSpec, Queue, StepSpec},
 };
 
-/// Another pool with a queue of its own.
+/// Another pool with its own queue.
 const OTHER: &str = "crews";
 
 fn other_queue() -> Queue {
@@ -45,13 +45,12 @@
     fleet.submit_to(queue, number, spec);
 }
 
-/// Returns the pools to which VMs were ordered, in that order.
+/// Returns the pools into which VMs were ordered, in order.
 fn ordered(fleet: &Fleet) -> Vec<&str> {
     fleet.moves().into_iter().map(|(_, pool)| pool).collect()
 }
 
-/// A pool has fallen behind: its jobs are late whatever is done, and there are many of them. It took
-/// every VM, so that the jobs of the pool whose turn came next were late, too.
+/// Guards against a pool with late work taking the VMs that others need to be on time.
 #[test]
 fn late_work_takes_no_vm_from_work_that_can_be_on_time() {
     let mut fleet = two_pools();
@@ -74,8 +73,7 @@
     assert_eq!(ordered(&fleet), [OTHER, POOL]);
 }
 
-/// Long-running tasks have lost their VMs. They were handed in long ago, and counted as late they
-/// waited until no quick job was left.
+/// Guards against treating long-running tasks as late.
 #[test]
 fn long_running_work_is_never_late() {
     let mut fleet = two_pools();
