--- a/crates/engine/tests/store_unavailable.rs
+++ b/crates/engine/tests/store_unavailable.rs
@@ -1,4 +1,4 @@
-//! Jobs that are handed in while nothing can be stored.
+//! Jobs submitted while the store is unavailable.
 
 mod common;
 
@@ -12,7 +12,7 @@
     replies.map(|(_, answer)| *answer).collect()
 }
 
-/// Returns a fleet whose store went away with the batch of job 1 under way.
+/// Returns a fleet whose store has become unavailable with the batch of job 1 in flight.
 fn fleet_without_store() -> Fleet {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", 16_000);
@@ -29,8 +29,8 @@
     fleet.advance(100);
 }
 
-/// A shop's order is lost: its caller was kept until its deadline while the store was away, was told
-/// that the outcome is not known, and may not hand the order in a second time.
+/// Guards against an unknown outcome for jobs that were never sent to the store, as their callers
+/// could not submit them again.
 #[test]
 fn unsent_job_is_refused_while_the_store_is_unavailable() {
     let mut fleet = fleet_without_store();
@@ -42,7 +42,7 @@
     assert_eq!(answers(&fleet, 3), [CallerAnswer::Refused]);
 }
 
-/// A refused job must never run: one that may be stored already is not refused.
+/// Guards against refusing a job that may be stored and would then run.
 #[test]
 fn job_that_may_be_stored_is_not_refused() {
     let mut fleet = fleet_without_store();
