--- a/crates/engine/tests/stragglers.rs
+++ b/crates/engine/tests/stragglers.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still.
+//! Detection of stuck runs.
 
 mod common;
 
@@ -20,8 +20,7 @@
     fleet
 }
 
-/// Crews wait for a map that never comes. Tasks on one worker stand still for seconds while it
-/// answers every renewal and calls itself healthy, and nobody looked at their progress.
+/// Guards against stuck runs on an endpoint that keeps answering renewals.
 #[test]
 fn stuck_run_restarts_elsewhere() {
     let mut fleet = fleet_with_a_run();
@@ -41,8 +40,7 @@
     assert_eq!(started(&fleet), 1);
 }
 
-/// Sound runs are stopped by the hundred and begin again from nothing. The owner has fallen seconds
-/// behind, and reads several reports of the same moment one after the other.
+/// Guards against an owner that processes several reports late and stops runs that make progress.
 #[test]
 fn owner_with_delayed_reports_stops_no_progressing_run() {
     let mut fleet = fleet_with_a_run();
