--- a/crates/engine/tests/vm_cooldowns.rs
+++ b/crates/engine/tests/vm_cooldowns.rs
@@ -1,4 +1,4 @@
-//! How long VMs rest after a change of owners.
+//! Cooldowns of VMs after a change of owner.
 
 mod common;
 
@@ -7,17 +7,17 @@
     lynxwheel_engine::{Event, JobSpec, StepSpec, VmOutcome},
 };
 
-/// Epoch of the owner whose orders count; the tests' engines have none set.
+/// Epoch of the previous owner; the engines of the tests use the default.
 const EPOCH: u64 = 0;
 
-/// Counts the orders that move a VM into the pool.
+/// Returns the number of orders that move a VM into the pool.
 fn moves(fleet: &Fleet) -> usize {
     let moves = fleet.moves();
     moves.iter().filter(|(_, pool)| *pool == POOL).count()
 }
 
-/// Returns a fleet whose owner was lost just after it had ordered a VM into the pool, with work
-/// that asks for that VM again.
+/// Returns a fleet whose owner was lost after ordering a VM into the pool, with work that requires
+/// the VM again.
 fn after_loss(is_answered: bool) -> Fleet {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", 16_000);
@@ -48,7 +48,7 @@
     fleet
 }
 
-/// Offers the VM again, and returns whether it is ordered within a time.
+/// Lists the VM again, and returns whether it is ordered within a time.
 fn is_ordered_within(fleet: &mut Fleet, ms: u64) -> bool {
     fleet.handle(Event::VmsListed(vec![spare("vm-1")]));
     fleet.advance(ms);
@@ -67,24 +67,22 @@
 }
 
 cases! {
-    /// An owner that may still live gives an order for the same VM right after its successor's.
+    /// Guards against orders of two live owners for the same VM following each other closely.
     vm_of_a_possibly_live_owner_is_in_cooldown: true, |_| {}, 2_500 => false;
 
     cooldown_of_a_possibly_live_owner_ends: true, |_| {}, 3_400 => true;
 
-    /// All nodes are lost in the turn of a pool and come back at once. Its jobs wait: every VM
-    /// rests for 3 s for fear of an owner whose process is known to be over.
+    /// Guards against a cooldown of all VMs after a restart of all nodes.
     vm_of_an_ended_owner_is_available_immediately:
         true, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 200 => true;
 
-    /// The order of the ended owner may be on its way still; carried out after the successor's, it
-    /// would take the VM away from where that sent it.
+    /// Guards against an order of the ended owner taking effect after one of its successor.
     vm_with_an_order_in_flight_is_in_cooldown:
         false, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 1_000 => false;
 
     cooldown_of_an_order_in_flight_ends:
         false, |fleet| fleet.engine.end_vm_cooldowns(EPOCH, fleet.now.steady_ms + 1_200), 1_500 => true;
 
-    /// Two owners were lost within three seconds, and only the later one is known to be over.
+    /// Guards against releasing VMs of an owner that is not known to have ended.
     vm_of_another_epoch_is_in_cooldown: true, |fleet| fleet.engine.end_vm_cooldowns(EPOCH + 1, 0), 2_500 => false;
 }
