--- a/crates/engine/tests/vm_orders.rs
+++ b/crates/engine/tests/vm_orders.rs
@@ -1,4 +1,4 @@
-//! Orders for VMs whose calls are slow, unanswered or refused.
+//! VM orders with slow, missing or negative answers.
 
 mod common;
 
@@ -9,7 +9,7 @@
     },
 };
 
-/// Returns a fleet with VMs in the pool that run nothing, of which some may be switched off.
+/// Returns a fleet with idle VMs, some of which may be switched off.
 fn idle_fleet() -> Fleet {
     let mut fleet = Fleet::new();
     for number in 1..=4 {
@@ -46,7 +46,8 @@
     fleet.settle();
 }
 
-/// Counts the runs on the endpoint of a VM after more work came than the others hold.
+/// Returns the number of runs on a VM's endpoint after submitting more work than the others can
+/// run.
 fn runs_beside_work(fleet: &mut Fleet, vm: &str) -> usize {
     let spec = JobSpec {
         steps: vec![StepSpec {
@@ -62,9 +63,7 @@
     endpoint.expect("an endpoint").running.len()
 }
 
-/// Jobs start over for no reason that their caller sees. A VM's service was slow, so an order was
-/// given twice; the second call was refused and the VM took work again, and then the first call was
-/// carried out and ended that work.
+/// Guards against starting work on a VM while an unanswered order may still take effect and end it.
 #[test]
 fn vm_with_an_order_that_may_take_effect_gets_no_work() {
     let mut fleet = idle_fleet();
@@ -84,8 +83,8 @@
     assert!(runs_beside_work(&mut fleet, &vm) > 0);
 }
 
-/// One task runs on two sound VMs. A call took long, and its order was given once more beside it; the
-/// late answer was taken for that to the next order for the VM, whose runs then counted as lost.
+/// Guards against a second call for a VM while one is in flight, whose answer would be taken for
+/// that of a later order.
 #[test]
 fn order_is_not_retried_while_a_call_is_in_flight() {
     let mut fleet = idle_fleet();
@@ -94,8 +93,7 @@
     assert_eq!(moves_of(&fleet, &vm), 1);
 }
 
-/// Returns how many VMs a pool gets within a time, of many that are off, when the service takes so
-/// many orders a second.
+/// Returns how many VMs are ordered into a pool within a time at a given rate limit.
 fn fetched_within(ms: u64, vm_orders_per_s: u64) -> usize {
     let mut fleet = Fleet::new();
     let settings = EngineSettings {
@@ -129,8 +127,7 @@
         .count()
 }
 
-/// A turn asks for hundreds of VMs at once, and the service refuses what goes beyond its rate. Which
-/// orders got through was left to chance, and the VMs of the others rested for seconds.
+/// Guards against exceeding the rate limit of the VM service, which refuses further orders.
 #[test]
 fn orders_respect_the_rate_limit_of_the_service() {
     assert!((30..=42).contains(&fetched_within(1_000, 32)));
