--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance, moves, and what they may cut off.
+//! Maintenance waves.
 
 mod common;
 
@@ -49,7 +49,7 @@
     names
 }
 
-/// Hands in a job whose tasks last, of which one may be unavailable.
+/// Submits a job with long-running tasks, one of which may be unavailable.
 fn submit_long_running(fleet: &mut Fleet, count: u16, max_per_endpoint: u16) {
     let spec = StepSpec {
         long_running: true,
@@ -67,7 +67,7 @@
     );
 }
 
-/// Returns a fleet of three VMs with an endpoint each.
+/// Returns a fleet of three VMs with one endpoint each.
 fn three_vms() -> (Fleet, Vec<VmEntry>) {
     let mut fleet = Fleet::new();
     let mut vms = Vec::new();
@@ -82,8 +82,7 @@
     (fleet, vms)
 }
 
-/// Two VMs of a wave are down where one is allowed. The list of VMs was asked for before the first
-/// maintenance began and came after; it shows the VM as up, and the next one was ordered.
+/// Guards against a VM list from before a maintenance ending it, so that one VM too many is down.
 #[test]
 fn outdated_vm_list_does_not_end_a_maintenance() {
     let (mut fleet, vms) = three_vms();
@@ -100,8 +99,7 @@
     assert_eq!(maintained(&fleet), [first]);
 }
 
-/// A long-running task is cut off though its budget is spent. One of its siblings sits on an
-/// endpoint that has fallen silent; what it told last, at work, was taken for how it stands.
+/// Guards against counting a sibling on an unresponsive endpoint as available.
 #[test]
 fn unresponsive_sibling_counts_as_unavailable() {
     let (mut fleet, _) = three_vms();
@@ -120,8 +118,7 @@
     assert_eq!(stops, 0, "{:?}", fleet.orders.last());
 }
 
-/// A wave ends late. Its owner is lost in the middle, and the successor, which reads the order
-/// anew, takes the wave for one that has just begun and leaves busy VMs alone.
+/// Guards against a takeover restarting the time of a wave.
 #[test]
 fn wave_keeps_its_start_time_after_a_takeover() {
     let (mut fleet, vms) = three_vms();
@@ -143,8 +140,7 @@
     );
 }
 
-/// Two owners order the same VM within seconds, and the platform sees them take turns. A
-/// successor waits with VMs that its predecessor ordered lately, and only with these.
+/// Guards against two owners ordering the same VM within seconds, and against delaying other VMs.
 #[test]
 fn successor_waits_only_for_recently_ordered_vms() {
     let (mut fleet, vms) = three_vms();
@@ -163,9 +159,8 @@
     assert!(maintained(&fleet).contains(&"vm-1".to_string()));
 }
 
-/// Two long-running tasks of a step are away where one may be. The owner could not reach the store
-/// and had decided to stop one of them; the order went out as a repeat of one that had not been
-/// sent. The successor knew nothing of it and stopped another.
+/// Guards against sending a stop as a retry before it is stored: a successor would not know of it
+/// and would interrupt another task beyond the budget.
 #[test]
 fn stop_that_is_not_stored_is_not_repeated() {
     let (mut fleet, _) = three_vms();
@@ -182,9 +177,8 @@
     assert_ne!(fleet.orders.iter().filter(is_stop).count(), 0);
 }
 
-/// A customer is charged twice. The answer to a maintenance was slow, the order was repeated, and
-/// the VM had come back with a new life that ran tasks when the repeat was answered as done. The
-/// new life was taken for the one that had ended, and its tasks were started elsewhere.
+/// Guards against a late answer to a retried order ending the next incarnation on the VM, whose
+/// tasks would be started a second time.
 #[test]
 fn late_answer_to_an_order_does_not_end_the_next_incarnation() {
     let (mut fleet, _) = three_vms();
@@ -205,7 +199,7 @@
         vm: "vm-1".into(),
         outcome: VmOutcome::Done,
     });
-    // Room elsewhere, so that lost tasks would start again.
+    // Free capacity elsewhere allows lost tasks to start again.
     for (task, run) in fleet.endpoints[1].running.clone() {
         fleet.endpoints[1].end(&task, run, EndKind::Done);
     }
@@ -217,9 +211,7 @@
     }
 }
 
-/// Two long-running tasks of a step are away where one may be. The first was to be stopped for a
-/// wave while the store was down; before the decision could be stored the endpoint of the second
-/// crashed, and the order went out all the same when the store came back.
+/// Guards against sending a stop after a sibling was lost while the decision waited to be stored.
 #[test]
 fn stop_is_reverted_when_a_sibling_is_lost_before_it_is_stored() {
     let (mut fleet, _) = three_vms();
@@ -237,9 +229,7 @@
     assert_eq!(fleet.orders.iter().filter(is_stop).count(), 0);
 }
 
-/// A long-running task is away for good, and its VM takes no work. All tasks of its step ran on the
-/// only VM with their label. One was stopped for maintenance and could go on nowhere else; with it
-/// away the budget allowed no other to be stopped.
+/// Guards against a VM that stays cordoned because its long-running tasks can run nowhere else.
 #[test]
 fn drain_without_progress_is_aborted() {
     let (mut fleet, _) = three_vms();
