--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Answers of non-idempotent requests, kept for second attempts.
+//! Attempts of keyed requests on this node and the responses stored for duplicates.
 
 use {
     crate::refusal::Refusal,
@@ -15,40 +15,40 @@
     tokio::{sync::watch, time::Instant},
 };
 
-/// Bytes of one kept answer at most; larger ones are passed on but not kept.
-pub(crate) const MAX_ANSWER_BYTES: usize = 256 * 1024;
+/// Maximum size of a stored response; larger ones are forwarded but not stored.
+pub(crate) const MAX_STORED_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Bytes of all kept answers at most; the oldest go first.
-const MAX_KEPT_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of all stored responses; the oldest are evicted first.
+const MAX_STORED_BYTES: usize = 8 * 1024 * 1024;
 
-/// Bytes that a kept answer takes besides its body and headers.
-const ROW_BYTES: usize = 256;
+/// Estimated memory of an entry in addition to its body and headers.
+const ENTRY_OVERHEAD_BYTES: usize = 256;
 
-/// Time for which an answer is kept.
-const KEEP: Duration = Duration::from_mins(10);
+/// Time for which a response is stored.
+const RETENTION: Duration = Duration::from_mins(10);
 
-/// One header of a kept answer.
+/// A header of a stored response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredHeader {
-    /// Name.
+    /// Header name.
     pub name: String,
-    /// Value.
+    /// Raw header value.
     pub value: Vec<u8>,
 }
 
-/// Whole answer of an endpoint.
+/// A complete response of an endpoint, kept for duplicates of its request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: Vec<StoredHeader>,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
 impl StoredResponse {
-    /// Keeps an answer that is in memory as a whole.
+    /// Creates a stored response from a fully buffered one.
     #[must_use]
     pub fn new(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> Self {
         let headers = headers
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Builds the answer for a second attempt.
+    /// Builds the HTTP response for a duplicate request.
     #[must_use]
     pub fn to_response(&self) -> Response<Body> {
         let mut response = Response::new(full_body(self.body.clone()));
@@ -86,163 +86,164 @@
             .iter()
             .map(|header| header.name.len() + header.value.len())
             .sum();
-        ROW_BYTES + headers + self.body.len()
+        ENTRY_OVERHEAD_BYTES + headers + self.body.len()
     }
 }
 
-/// How far the first attempt of a key has come on this node.
+/// Progress of the first attempt of a key on this node.
 #[derive(Clone, Debug)]
 pub(crate) enum Progress {
-    /// Under way.
+    /// Still running.
     Running,
-    /// Ended with an answer that is kept.
+    /// Ended with a response that is stored.
     Answered(Arc<StoredResponse>),
-    /// Ended with an answer too large to keep.
+    /// Ended with a response too large to store, with this status code.
     TooLarge(u16),
-    /// Ended with a refusal, which second attempts that waited get too.
+    /// Ended with a refusal, which waiting duplicates receive too.
     Refused(Refusal),
 }
 
-/// What the table says of a key when an attempt arrives.
+/// Result of looking up the key of an arriving request.
 #[derive(Debug)]
 pub(crate) enum Attempt {
-    /// The first attempt on this node.
+    /// No other attempt of the key is known on this node.
     First,
-    /// Another attempt came first.
-    Second {
+    /// Another attempt of the key came first.
+    Duplicate {
         /// Digest of the first attempt's request.
         request_digest: u64,
-        /// How far it has come.
+        /// Progress of the first attempt.
         progress: watch::Receiver<Progress>,
     },
 }
 
-/// Attempts under way and answers kept, by key; copies share them.
+/// Running attempts and stored responses by key; clones share them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Answers {
-    table: Arc<Mutex<Table>>,
+pub(crate) struct Attempts {
+    table: Arc<Mutex<AttemptTable>>,
 }
 
 #[derive(Debug, Default)]
-struct Table {
-    rows: Vec<Row>,
-    ended: VecDeque<Ended>,
-    kept_bytes: usize,
+struct AttemptTable {
+    entries: Vec<AttemptEntry>,
+    finished: VecDeque<FinishedAttempt>,
+    stored_bytes: usize,
 }
 
 #[derive(Debug)]
-struct Row {
+struct AttemptEntry {
     key: RequestKey,
     request_digest: u64,
     progress: watch::Sender<Progress>,
 }
 
-/// A kept answer's place in the order in which answers are dropped.
+/// A finished attempt in the order of eviction.
 #[derive(Debug)]
-struct Ended {
+struct FinishedAttempt {
     key: RequestKey,
-    at: Instant,
+    finished_at: Instant,
     size_bytes: usize,
 }
 
-impl Answers {
-    /// Notes an attempt; the first one of a key runs.
+impl Attempts {
+    /// Registers an attempt; only the first one of a key may run.
     pub(crate) fn begin(&self, key: RequestKey, request_digest: u64) -> Attempt {
         let mut table = self.table();
-        table.drop_old(Instant::now());
+        table.evict(Instant::now());
         match table.find(key) {
-            Ok(row) => table.rows[row].attempt(),
-            Err(row) => {
-                let new = Row {
+            Ok(index) => table.entries[index].duplicate(),
+            Err(index) => {
+                let entry = AttemptEntry {
                     key,
                     request_digest,
                     progress: watch::Sender::new(Progress::Running),
                 };
-                table.rows.insert(row, new);
+                table.entries.insert(index, entry);
                 Attempt::First
             }
         }
     }
 
-    /// Looks an attempt up without beginning one.
+    /// Returns the attempt of a key without registering one.
     pub(crate) fn find(&self, key: RequestKey) -> Option<Attempt> {
         let mut table = self.table();
-        table.drop_old(Instant::now());
-        let row = table.find(key).ok()?;
-        Some(table.rows[row].attempt())
+        table.evict(Instant::now());
+        let index = table.find(key).ok()?;
+        Some(table.entries[index].duplicate())
     }
 
-    /// Ends the first attempt of a key and keeps its answer.
-    pub(crate) fn end(&self, key: RequestKey, progress: Progress) {
+    /// Finishes the first attempt of a key and stores its result.
+    pub(crate) fn finish(&self, key: RequestKey, progress: Progress) {
         let size_bytes = match &progress {
-            Progress::Answered(answer) => answer.size_bytes(),
-            _ => ROW_BYTES,
+            Progress::Answered(response) => response.size_bytes(),
+            _ => ENTRY_OVERHEAD_BYTES,
         };
         let mut table = self.table();
-        let Ok(row) = table.find(key) else {
+        let Ok(index) = table.find(key) else {
             return;
         };
-        table.rows[row].progress.send_replace(progress);
-        table.kept_bytes += size_bytes;
-        table.ended.push_back(Ended {
+        table.entries[index].progress.send_replace(progress);
+        table.stored_bytes += size_bytes;
+        table.finished.push_back(FinishedAttempt {
             key,
-            at: Instant::now(),
+            finished_at: Instant::now(),
             size_bytes,
         });
-        table.drop_old(Instant::now());
+        table.evict(Instant::now());
     }
 
-    /// Tells those who wait how the first attempt ended without ending it.
-    pub(crate) fn tell(&self, key: RequestKey, refusal: &Refusal) {
+    /// Sends a refusal to waiting duplicates without finishing the attempt.
+    pub(crate) fn notify_refused(&self, key: RequestKey, refusal: &Refusal) {
         let table = self.table();
-        if let Ok(row) = table.find(key) {
+        if let Ok(index) = table.find(key) {
             let progress = Progress::Refused(refusal.clone());
-            table.rows[row].progress.send_replace(progress);
+            table.entries[index].progress.send_replace(progress);
         }
     }
 
-    /// Forgets a key, so that it may be used again.
-    pub(crate) fn forget(&self, key: RequestKey) {
+    /// Removes a key, so that it may be used again.
+    pub(crate) fn remove(&self, key: RequestKey) {
         let mut table = self.table();
-        if let Ok(row) = table.find(key) {
-            table.rows.remove(row);
+        if let Ok(index) = table.find(key) {
+            table.entries.remove(index);
         }
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, AttemptTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Row {
-    fn attempt(&self) -> Attempt {
-        Attempt::Second {
+impl AttemptEntry {
+    fn duplicate(&self) -> Attempt {
+        Attempt::Duplicate {
             request_digest: self.request_digest,
             progress: self.progress.subscribe(),
         }
     }
 }
 
-impl Table {
+impl AttemptTable {
     fn find(&self, key: RequestKey) -> Result<usize, usize> {
-        self.rows.binary_search_by_key(&key, |row| row.key)
+        self.entries.binary_search_by_key(&key, |entry| entry.key)
     }
 
-    fn drop_old(&mut self, now: Instant) {
-        while let Some(oldest) = self.ended.front() {
-            let is_due = self.kept_bytes > MAX_KEPT_BYTES || now > oldest.at + KEEP;
-            if !is_due {
+    fn evict(&mut self, now: Instant) {
+        while let Some(oldest) = self.finished.front() {
+            let must_evict =
+                self.stored_bytes > MAX_STORED_BYTES || now > oldest.finished_at + RETENTION;
+            if !must_evict {
                 return;
             }
-            let Some(Ended {
+            let Some(FinishedAttempt {
                 key, size_bytes, ..
-            }) = self.ended.pop_front()
+            }) = self.finished.pop_front()
             else {
                 return;
             };
-            self.kept_bytes -= size_bytes;
-            if let Ok(row) = self.find(key) {
-                self.rows.remove(row);
+            self.stored_bytes -= size_bytes;
+            if let Ok(index) = self.find(key) {
+                self.entries.remove(index);
             }
         }
     }
@@ -250,8 +251,8 @@
 
 /// Waits until an attempt has ended, but no longer than `deadline`.
 ///
-/// Returns `None` when the key was forgotten meanwhile.
-pub(crate) async fn wait_ended(
+/// Returns `None` if the key was removed in the meantime.
+pub(crate) async fn wait_until_ended(
     mut progress: watch::Receiver<Progress>,
     deadline: Instant,
 ) -> Option<Progress> {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -5,7 +5,7 @@
         caller_request::CallerRequest,
         dispatch::Dispatcher,
         forward::PEER_RUN_PATH,
-        keys::Keys,
+        keyed_requests::KeyedRequests,
         limits::TeamRates,
         payload::{MAX_KEPT_BYTES, MAX_KEYED_BYTES, Payload},
         refusal::{Refusal, RefusalReason},
@@ -28,7 +28,7 @@
     tables: Tables,
     rates: TeamRates,
     dispatcher: Dispatcher,
-    keys: Keys,
+    keyed: KeyedRequests,
 }
 
 impl Gateway {
@@ -47,7 +47,7 @@
         Self {
             tables,
             rates: TeamRates::default(),
-            keys: Keys::new(node, dispatcher.clone()),
+            keyed: KeyedRequests::new(node, dispatcher.clone()),
             dispatcher,
         }
     }
@@ -97,12 +97,12 @@
     /// A node that stopped before would leave keys pending that only it knows the outcome of, and
     /// their callers would be told "outcome unknown" from then on.
     pub async fn wait_for_outcomes(&self) {
-        self.keys.wait_for_outcomes().await;
+        self.keyed.wait_for_outcomes().await;
     }
 
     /// Answers a peer that asks for the answer of a key, to be mounted on the peer listener.
     pub async fn handle_peer_answer(self, request: Request<Incoming>) -> Response<Body> {
-        self.keys.answer_peer(request).await
+        self.keyed.handle_peer_answer(request).await
     }
 
     /// Returns the load that this node puts on endpoints, for its peers.
@@ -140,7 +140,7 @@
         match &request.key {
             Some(key) if !request.is_idempotent() => {
                 match Payload::read(incoming, MAX_KEYED_BYTES, deadline).await? {
-                    Payload::Kept(body) => self.keys.run(request, key, body, deadline).await,
+                    Payload::Kept(body) => self.keyed.run(request, key, body, deadline).await,
                     Payload::Streamed(_) => Err(Refusal::not_run(
                         RefusalReason::BodyTooLarge,
                         "a body with an idempotency key may have 1 MiB",
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keyed_requests.rs
@@ -1,18 +1,21 @@
-//! Running non-idempotent requests at most once.
+//! At-most-once execution of non-idempotent requests with an idempotency key.
 //!
-//! The intent of a key enters the log before the first dispatch and the first intent of a key wins
-//! on every node, so a second attempt is never dispatched. It gets the first one's answer from the
-//! node that ran it, or is told that the outcome is unknown.
+//! The intent of a key is appended to the log before the first dispatch, and every node accepts
+//! only the first intent of a key, so a duplicate is never dispatched. It receives the first
+//! attempt's response from the node that ran it, or the refusal that the outcome is unknown.
 
 use {
     crate::{
-        answers::{Answers, Attempt, MAX_ANSWER_BYTES, Progress, StoredResponse, wait_ended},
+        attempts::{
+            Attempt, Attempts, MAX_STORED_RESPONSE_BYTES, Progress, StoredResponse,
+            wait_until_ended,
+        },
         caller_request::CallerRequest,
         dispatch::Dispatcher,
         intents::{Intended, Intents},
         key_age::{KeyAge, check_key_age},
         payload::Payload,
-        peers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest, answer_peer},
+        peer_answers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest, answer_peer_request},
         refusal::{Refusal, RefusalReason},
     },
     bytes::Bytes,
@@ -29,21 +32,21 @@
     },
 };
 
-/// Time after which to come back to a key that is not settled, in milliseconds.
+/// Retry delay for callers of a key whose outcome is not known yet, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Connections to one peer for its answers.
+/// Maximum number of connections to one peer for its stored responses.
 const PEER_CONNECTIONS: usize = 8;
 
-/// Time for which a peer's answer may be late beyond its own wait.
-const PEER_MARGIN: Duration = Duration::from_millis(500);
+/// Time added to the wait requested from a peer, for the exchange itself.
+const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Result of an attempt, for its caller.
+/// Response to an attempt, or its refusal.
 type Outcome = Result<Response<Body>, Refusal>;
 
-/// A request with its key, owned by the task that runs it.
+/// A run of a keyed request, owned by the task that executes it.
 #[derive(Debug)]
-struct Run {
+struct KeyedRun {
     request: CallerRequest,
     key: RequestKey,
     request_digest: u64,
@@ -51,40 +54,40 @@
     deadline: Instant,
 }
 
-/// Runs requests with keys; copies share the state.
+/// Runs requests with idempotency keys; clones share the state.
 #[derive(Clone, Debug)]
-pub(crate) struct Keys {
+pub(crate) struct KeyedRequests {
     node: Node,
     dispatcher: Dispatcher,
     intents: Intents,
-    answers: Answers,
+    attempts: Attempts,
     peers: Arc<Clients>,
-    under_way: Arc<watch::Sender<()>>,
+    in_flight: Arc<watch::Sender<()>>,
 }
 
-impl Keys {
+impl KeyedRequests {
     pub(crate) fn new(node: Node, dispatcher: Dispatcher) -> Self {
         Self {
             intents: Intents::new(node.clone()),
-            answers: Answers::default(),
+            attempts: Attempts::default(),
             peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
-            under_way: Arc::new(watch::Sender::new(())),
+            in_flight: Arc::new(watch::Sender::new(())),
             node,
             dispatcher,
         }
     }
 
-    /// Answers a peer's question for the answer of a key.
-    pub(crate) async fn answer_peer(&self, request: Request<Incoming>) -> Response<Body> {
-        answer_peer(&self.answers, self.node.incarnation(), request).await
+    /// Answers a peer's request for the response of a key.
+    pub(crate) async fn handle_peer_answer(&self, request: Request<Incoming>) -> Response<Body> {
+        answer_peer_request(&self.attempts, self.node.incarnation(), request).await
     }
 
-    /// Waits until the outcome of every request that was begun is in the log.
+    /// Waits until the outcome of every started request is in the log.
     pub(crate) async fn wait_for_outcomes(&self) {
-        self.under_way.closed().await;
+        self.in_flight.closed().await;
     }
 
-    /// Runs a request unless an attempt with its key came before, on any node.
+    /// Runs a request unless an earlier attempt with its key exists on any node.
     pub(crate) async fn run(
         &self,
         request: &CallerRequest,
@@ -96,36 +99,36 @@
         let key = request.request_key(key);
         let request_digest = request.digest(&body);
         loop {
-            if let Some(Attempt::Second {
-                request_digest: first,
+            if let Some(Attempt::Duplicate {
+                request_digest: first_digest,
                 progress,
-            }) = self.answers.find(key)
+            }) = self.attempts.find(key)
             {
-                check_digest(first, request_digest)?;
-                match wait_ended(progress, deadline).await {
-                    Some(progress) => return second_outcome(progress),
-                    // The first attempt met a key that is settled elsewhere; look again.
+                check_digest(first_digest, request_digest)?;
+                match wait_until_ended(progress, deadline).await {
+                    Some(progress) => return outcome_of(progress),
+                    // The first attempt found the key taken by another node: check the log.
                     None => continue,
                 }
             }
-            if let Some(entry) = self.entry(key) {
-                return self.settle(&entry, request_digest, deadline).await;
+            if let Some(entry) = self.blocking_entry(key) {
+                return self.answer(&entry, request_digest, deadline).await;
             }
-            if let Attempt::Second { .. } = self.answers.begin(key, request_digest) {
+            if let Attempt::Duplicate { .. } = self.attempts.begin(key, request_digest) {
                 continue;
             }
-            let run = Run {
+            let run = KeyedRun {
                 request: request.clone(),
                 key,
                 request_digest,
                 body,
                 deadline,
             };
-            return self.start(run).await;
+            return self.spawn(run).await;
         }
     }
 
-    /// Refuses keys whose earlier attempts may have been forgotten.
+    /// Refuses keys so old that earlier attempts may no longer be recorded.
     fn check_age(&self, request: &CallerRequest) -> Result<(), Refusal> {
         let keep_ms = self.node.state().key_keep_ms();
         match check_key_age(request.issued_ms, self.node.clock().now_ms(), keep_ms) {
@@ -141,83 +144,88 @@
         }
     }
 
-    /// Returns the entry of a key that must not be used again.
-    fn entry(&self, key: RequestKey) -> Option<KeyEntry> {
+    /// Returns the entry of a key in the log, unless the key may be used again.
+    fn blocking_entry(&self, key: RequestKey) -> Option<KeyEntry> {
         let state = self.node.state();
         let entry = state.key(key)?;
-        let may_be_used_again = entry.state == KeyState::Ended(KeyOutcome::NotRun);
-        (!may_be_used_again).then(|| entry.clone())
+        let is_reusable = entry.state == KeyState::Ended(KeyOutcome::NotRun);
+        (!is_reusable).then(|| entry.clone())
     }
 
-    /// Runs the first attempt in a task of its own.
+    /// Runs the first attempt in a separate task.
     ///
-    /// A caller that goes away drops its handler. Without the task this would abandon the request
-    /// between its intent and its outcome, and second attempts would wait for nothing.
-    async fn start(&self, run: Run) -> Outcome {
+    /// The handler is dropped when its caller disconnects, but a request whose intent is in the log
+    /// must still get an outcome, for which duplicates wait.
+    async fn spawn(&self, run: KeyedRun) -> Outcome {
         let (reply, outcome) = oneshot::channel();
         let deadline = run.deadline;
-        let keys = self.clone();
-        let guard = self.under_way.subscribe();
+        let requests = self.clone();
+        let guard = self.in_flight.subscribe();
         tokio::spawn(async move {
-            keys.execute(&run, reply).await;
+            requests.execute(&run, reply).await;
             drop(guard);
         });
         match tokio::time::timeout_at(deadline, outcome).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => Err(unknown()),
-            Err(_) => Err(pending()),
+            Ok(Err(_)) => Err(unknown_refusal()),
+            Err(_) => Err(pending_refusal()),
         }
     }
 
-    async fn execute(&self, run: &Run, reply: oneshot::Sender<Outcome>) {
+    async fn execute(&self, run: &KeyedRun, reply: oneshot::Sender<Outcome>) {
         match self.intents.propose(run.key, run.request_digest).await {
             Intended::Accepted => self.dispatch(run, reply).await,
             Intended::Taken => {
-                self.answers.forget(run.key);
-                let outcome = match self.entry(run.key) {
-                    Some(entry) => self.settle(&entry, run.request_digest, run.deadline).await,
-                    None => Err(pending()),
+                self.attempts.remove(run.key);
+                let outcome = match self.blocking_entry(run.key) {
+                    Some(entry) => self.answer(&entry, run.request_digest, run.deadline).await,
+                    None => Err(pending_refusal()),
                 };
                 send(reply, outcome);
             }
             Intended::NotAppended(refusal) => {
-                self.answers.tell(run.key, &refusal);
-                self.answers.forget(run.key);
+                self.attempts.notify_refused(run.key, &refusal);
+                self.attempts.remove(run.key);
                 send(reply, Err(refusal));
             }
             Intended::Unknown { id, refusal } => {
-                self.answers.tell(run.key, &refusal);
+                self.attempts.notify_refused(run.key, &refusal);
                 send(reply, Err(refusal));
                 self.intents.withdraw(run.key, id).await;
-                self.answers.forget(run.key);
+                self.attempts.remove(run.key);
             }
         }
     }
 
-    /// Runs a request whose intent was accepted and records its outcome.
-    async fn dispatch(&self, run: &Run, reply: oneshot::Sender<Outcome>) {
+    /// Dispatches a request whose intent was accepted and records its outcome.
+    async fn dispatch(&self, run: &KeyedRun, reply: oneshot::Sender<Outcome>) {
         let result = if Instant::now() < run.deadline {
             let mut payload = Payload::Kept(run.body.clone());
             self.dispatcher
                 .run(&run.request, &mut payload, run.deadline)
                 .await
         } else {
-            Err(late())
+            Err(deadline_refusal())
         };
         match result {
-            Ok(response) => self.keep(run, response, reply).await,
-            Err(refusal) => self.give_up(run, refusal, reply).await,
+            Ok(response) => self.finish(run, response, reply).await,
+            Err(refusal) => self.finish_refused(run, refusal, reply).await,
         }
     }
 
-    async fn keep(&self, run: &Run, response: Response<Body>, reply: oneshot::Sender<Outcome>) {
+    async fn finish(
+        &self,
+        run: &KeyedRun,
+        response: Response<Body>,
+        reply: oneshot::Sender<Outcome>,
+    ) {
         let (parts, body) = response.into_parts();
         let status = parts.status.as_u16();
-        let (progress, response) = match gather_body(body, MAX_ANSWER_BYTES).await {
+        let (progress, response) = match gather_body(body, MAX_STORED_RESPONSE_BYTES).await {
             Ok(Gathered::Whole(body)) => {
-                let kept = StoredResponse::new(parts.status, &parts.headers, &body);
-                let response = kept.to_response();
-                (Progress::Answered(Arc::new(kept)), response)
+                let stored = StoredResponse::new(parts.status, &parts.headers, &body);
+                let response = stored.to_response();
+                (Progress::Answered(Arc::new(stored)), response)
             }
             Ok(Gathered::Longer(body)) => (
                 Progress::TooLarge(status),
@@ -226,61 +234,66 @@
             Err(error) => {
                 let detail = format!("the answer is not whole, not run again: {error}");
                 let refusal = Refusal::may_have_run(RefusalReason::OutcomeUnknown, detail);
-                return self.give_up(run, refusal, reply).await;
+                return self.finish_refused(run, refusal, reply).await;
             }
         };
-        self.answers.end(run.key, progress);
+        self.attempts.finish(run.key, progress);
         send(reply, Ok(response));
         self.intents
             .record(run.key, KeyOutcome::Answered(status))
             .await;
     }
 
-    async fn give_up(&self, run: &Run, refusal: Refusal, reply: oneshot::Sender<Outcome>) {
+    async fn finish_refused(
+        &self,
+        run: &KeyedRun,
+        refusal: Refusal,
+        reply: oneshot::Sender<Outcome>,
+    ) {
         if refusal.did_not_run {
-            // The key stays taken on this node until the log says that it may be used again.
-            self.answers.tell(run.key, &refusal);
+            // The key stays taken on this node until the outcome is in the log.
+            self.attempts.notify_refused(run.key, &refusal);
             send(reply, Err(refusal));
             self.intents.record(run.key, KeyOutcome::NotRun).await;
-            self.answers.forget(run.key);
+            self.attempts.remove(run.key);
         } else {
-            self.answers
-                .end(run.key, Progress::Refused(refusal.clone()));
+            self.attempts
+                .finish(run.key, Progress::Refused(refusal.clone()));
             send(reply, Err(refusal));
             self.intents.record(run.key, KeyOutcome::Unknown).await;
         }
     }
 
-    /// Answers a second attempt by what the log says of the first one.
-    async fn settle(&self, entry: &KeyEntry, request_digest: u64, deadline: Instant) -> Outcome {
+    /// Answers a duplicate from the first attempt's entry in the log.
+    async fn answer(&self, entry: &KeyEntry, request_digest: u64, deadline: Instant) -> Outcome {
         check_digest(entry.request_digest, request_digest)?;
         if entry.state == KeyState::Ended(KeyOutcome::Unknown) {
-            return Err(unknown());
+            return Err(unknown_refusal());
         }
         let is_pending = entry.state == KeyState::Pending;
-        let answer = if self.has_later_run(entry) {
+        let answer = if self.is_holder_restarted(entry) {
             PeerAnswer::OtherRun
         } else {
             let left = deadline.saturating_duration_since(Instant::now());
             let wait = if is_pending { left } else { Duration::ZERO };
-            self.ask_holder(entry, wait).await
+            self.query_holder(entry, wait).await
         };
         match answer {
-            PeerAnswer::Answered(kept) => Ok(kept.to_response()),
-            PeerAnswer::TooLarge(status) => Err(not_kept(status)),
+            PeerAnswer::Answered(stored) => Ok(stored.to_response()),
+            PeerAnswer::TooLarge(status) => Err(not_stored_refusal(status)),
             PeerAnswer::Refused(refusal) => Err(refusal),
             PeerAnswer::Running | PeerAnswer::NotKept | PeerAnswer::OtherRun => {
                 Err(match entry.state {
-                    KeyState::Ended(KeyOutcome::Answered(status)) => not_kept(status),
-                    _ if answer == PeerAnswer::OtherRun => unknown(),
-                    _ => pending(),
+                    KeyState::Ended(KeyOutcome::Answered(status)) => not_stored_refusal(status),
+                    _ if answer == PeerAnswer::OtherRun => unknown_refusal(),
+                    _ => pending_refusal(),
                 })
             }
         }
     }
 
-    /// Tells whether the holder was started again, so that nothing more can come of the entry's run.
-    fn has_later_run(&self, entry: &KeyEntry) -> bool {
+    /// Returns whether the holder was restarted since the entry, so that its attempt is lost.
+    fn is_holder_restarted(&self, entry: &KeyEntry) -> bool {
         let state = self.node.state();
         state
             .writers()
@@ -288,70 +301,72 @@
             .is_some_and(|writer| writer.incarnation != entry.incarnation)
     }
 
-    /// Asks the holder for the answer; a holder that is silent and does not answer is taken for
-    /// gone, which is final for the caller.
-    async fn ask_holder(&self, entry: &KeyEntry, wait: Duration) -> PeerAnswer {
+    /// Asks the holder for the response.
+    ///
+    /// A holder that sends no heartbeats and cannot be reached is treated as restarted, so that the
+    /// caller gets a final result.
+    async fn query_holder(&self, entry: &KeyEntry, wait: Duration) -> PeerAnswer {
         let peers = &self.node.settings().peers;
         let Ok(row) = peers.binary_search_by(|peer| peer.node.cmp(&entry.holder)) else {
             return PeerAnswer::NotKept;
         };
-        let question = PeerAnswerRequest {
+        let query = PeerAnswerRequest {
             key: entry.key,
             incarnation: entry.incarnation,
             wait_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
         };
-        let is_silent = self.node.live_nodes().binary_search(&entry.holder).is_err();
-        let limit = if is_silent {
-            PEER_MARGIN
+        let is_unresponsive = self.node.live_nodes().binary_search(&entry.holder).is_err();
+        let timeout = if is_unresponsive {
+            PEER_TIMEOUT_MARGIN
         } else {
-            wait + PEER_MARGIN
+            wait + PEER_TIMEOUT_MARGIN
         };
         let client = self.peers.get(peers[row].address);
-        let answered = client.exchange(PEER_ANSWER_PATH, &question, limit).await;
-        match answered {
+        let reply = client.exchange(PEER_ANSWER_PATH, &query, timeout).await;
+        match reply {
             Ok(answer) => answer,
-            Err(_) if is_silent => PeerAnswer::OtherRun,
+            Err(_) if is_unresponsive => PeerAnswer::OtherRun,
             Err(_) => PeerAnswer::NotKept,
         }
     }
 }
 
-fn check_digest(first: u64, second: u64) -> Result<(), Refusal> {
-    if first == second {
+fn check_digest(first: u64, duplicate: u64) -> Result<(), Refusal> {
+    if first == duplicate {
         return Ok(());
     }
     let detail = "the key was used for another request; this one did not run";
     Err(Refusal::not_run(RefusalReason::KeyReused, detail))
 }
 
-fn second_outcome(progress: Progress) -> Outcome {
+fn outcome_of(progress: Progress) -> Outcome {
     match progress {
-        Progress::Answered(kept) => Ok(kept.to_response()),
-        Progress::TooLarge(status) => Err(not_kept(status)),
+        Progress::Answered(stored) => Ok(stored.to_response()),
+        Progress::TooLarge(status) => Err(not_stored_refusal(status)),
         Progress::Refused(refusal) => Err(refusal),
-        Progress::Running => Err(pending()),
+        Progress::Running => Err(pending_refusal()),
     }
 }
 
-fn pending() -> Refusal {
+fn pending_refusal() -> Refusal {
     let detail = "outcome unknown, not run again: the first attempt may be running";
     Refusal::may_have_run(RefusalReason::KeyPending, detail).with_retry_after_ms(RETRY_AFTER_MS)
 }
 
-fn unknown() -> Refusal {
+fn unknown_refusal() -> Refusal {
     Refusal::may_have_run(
         RefusalReason::OutcomeUnknown,
         "outcome unknown, not run again",
     )
 }
 
-fn not_kept(status: u16) -> Refusal {
+fn not_stored_refusal(status: u16) -> Refusal {
     let detail =
         format!("not run again: the first attempt was answered with {status}, no longer kept");
     Refusal::may_have_run(RefusalReason::KeyEnded, detail)
 }
 
-fn late() -> Refusal {
+fn deadline_refusal() -> Refusal {
     Refusal::not_run(
         RefusalReason::Timeout,
         "the deadline passed before the start",
@@ -360,6 +375,6 @@
 }
 
 fn send(reply: oneshot::Sender<Outcome>, outcome: Outcome) {
-    // A caller that went away asks again with its key.
+    // The send fails if the caller disconnected, which may retry with its key.
     drop(reply.send(outcome));
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,7 +17,7 @@
 //! # }
 //! ```
 
-mod answers;
+mod attempts;
 mod caller_request;
 mod dispatch;
 mod ejection;
@@ -26,16 +26,16 @@
 mod gateway;
 mod intents;
 mod key_age;
-mod keys;
+mod keyed_requests;
 mod limits;
 mod payload;
-mod peers;
+mod peer_answers;
 mod queue;
 mod refusal;
 mod shares;
 mod table;
 
-pub use answers::{StoredHeader, StoredResponse};
+pub use attempts::{StoredHeader, StoredResponse};
 pub use caller_request::{
     CLASS_HEADER, CallerRequest, DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER, ISSUED_HEADER,
     REQUEST_ID_HEADER, TEAM_HEADER,
@@ -43,5 +43,5 @@
 pub use forward::PEER_RUN_PATH;
 pub use gateway::Gateway;
 pub use key_age::{KeyAge, check_key_age, uuid_v7_timestamp_ms};
-pub use peers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest};
+pub use peer_answers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest};
 pub use refusal::{DID_NOT_RUN_HEADER, Refusal, RefusalReason};
