--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that the system gives by itself.
+//! Refusals: responses that the gateway sends itself.
 
 use {
     http::{HeaderValue, Response, StatusCode, header},
@@ -6,7 +6,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Answer header that is set only when the request is proven not to have run.
+/// Response header that is set only if the request is known not to have run.
 pub const DID_NOT_RUN_HEADER: &str = "lynxwheel-did-not-run";
 
 /// Why a request is refused.
@@ -15,38 +15,38 @@
 pub enum RefusalReason {
     /// The request is malformed.
     BadRequest,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     SlowBody,
     /// The body is too large.
     BodyTooLarge,
-    /// The team sent more than its rate.
+    /// The team exceeds its request rate.
     RateExceeded,
-    /// The path names no service.
+    /// The path names an unknown service.
     UnknownService,
     /// The service has no available endpoint.
     NoEndpoint,
     /// Every slot is taken.
     NoFreeSlot,
-    /// The log takes no records, which the request needs.
+    /// The log, which the request needs, accepts no records.
     LogUnavailable,
     /// The key was used for another request.
     KeyReused,
     /// The key's request is still running.
     KeyPending,
-    /// The key's request ran; its answer is not kept here.
+    /// The key's request ran; its response is not stored.
     KeyEnded,
-    /// The key is older than keys are kept.
+    /// The key is older than the retention of keys.
     KeyTooOld,
-    /// No more keys can be kept now.
+    /// The maximum number of keys is stored.
     KeysFull,
     /// The request may have run; it is not run again.
     OutcomeUnknown,
-    /// The endpoint did not answer in time.
+    /// The endpoint did not respond in time.
     Timeout,
 }
 
 impl RefusalReason {
-    /// Returns the status that goes with it.
+    /// Returns the HTTP status of the refusal.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -67,27 +67,27 @@
 }
 
 impl RefusalReason {
-    /// Tells whether what follows on the connection can no longer be trusted to be a request.
-    fn spoils_connection(self) -> bool {
+    /// Returns whether the connection must be closed, as the next request may start anywhere in it.
+    fn must_close_connection(self) -> bool {
         matches!(self, Self::BadRequest | Self::SlowBody | Self::BodyTooLarge)
     }
 }
 
-/// A refusal as the caller gets it.
+/// A refusal as sent to the caller.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Reason.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// Whether the request is proven not to have run.
+    /// Whether the request is known not to have run.
     pub did_not_run: bool,
-    /// When to come back, in milliseconds; 0 means that it is of no use.
+    /// Retry delay, in milliseconds; 0 if a retry is of no use.
     pub retry_after_ms: u64,
-    /// What people should know.
+    /// Human-readable explanation.
     pub detail: String,
 }
 
 impl Refusal {
-    /// Refuses a request that has not run.
+    /// Creates the refusal of a request that has not run.
     #[must_use]
     pub fn not_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Gives up on a request that may have run.
+    /// Creates the refusal of a request that may have run.
     #[must_use]
     pub fn may_have_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
@@ -109,29 +109,29 @@
         }
     }
 
-    /// Takes "did not run" back when an earlier attempt of the request may have run.
+    /// Clears `did_not_run` if an earlier attempt of the request may have run.
     ///
-    /// The last attempt may be refused before it starts while an earlier one, whose connection
-    /// broke, did run; its caller would be told that nothing had happened.
+    /// The last attempt may be refused before it starts although an earlier one ran and its
+    /// connection broke.
     #[must_use]
     pub fn after_attempts(mut self, may_have_run: bool) -> Self {
         self.did_not_run &= !may_have_run;
         self
     }
 
-    /// Tells when to come back.
+    /// Sets the retry delay.
     #[must_use]
     pub fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = retry_after_ms;
         self
     }
 
-    /// Builds the answer.
+    /// Builds the HTTP response.
     #[must_use]
     pub fn to_response(&self) -> Response<Body> {
         let mut response = json_answer(self.reason.status(), self);
         let headers = response.headers_mut();
-        if self.reason.spoils_connection() {
+        if self.reason.must_close_connection() {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         if self.did_not_run {
