--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -1,4 +1,4 @@
-//! What a caller's request says about itself.
+//! Parsing of callers' requests.
 
 use {
     crate::{
@@ -10,60 +10,60 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_128},
 };
 
-/// Header that names a non-idempotent request, so that it runs at most once.
+/// Header that identifies a non-idempotent request, so that it runs at most once.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Header with the time at which the key was first used, in milliseconds since the epoch.
 pub const ISSUED_HEADER: &str = "lynxwheel-issued-ms";
 
-/// Header with the time that the caller waits, in milliseconds.
+/// Header with the time for which the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "lynxwheel-deadline-ms";
 
-/// Header with the class.
+/// Header with the class of the request.
 pub const CLASS_HEADER: &str = "lynxwheel-class";
 
 /// Header with the caller's team.
 pub const TEAM_HEADER: &str = "lynxwheel-team";
 
-/// Header by which callers name their request in logs.
+/// Header with the caller's identifier of the request, used in log lines.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Characters of an idempotency key at most.
-const MAX_KEY_CHARS: usize = 255;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 255;
 
 /// A caller's request without its body.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Service named by the path's first segment.
+    /// Service, named by the first segment of the path.
     pub service: String,
-    /// Rest of the path, with the query.
+    /// Remaining path, with the query.
     pub path: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Caller's name for the request.
+    /// Caller's identifier of the request; empty if not given.
     pub request_id: String,
-    /// Team, empty when not told.
+    /// Caller's team; empty if not given.
     pub team: String,
-    /// Class.
+    /// Class, by which queued requests are ordered.
     pub class: Class,
-    /// Time that the caller waits, in milliseconds.
+    /// Time for which the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// Idempotency key.
     pub key: Option<String>,
-    /// When the key was first used, in milliseconds since the epoch, if the caller tells.
+    /// Time of the first use of the key, in milliseconds since the epoch, if known.
     pub issued_ms: Option<u64>,
-    /// Whether another node passed it on, which has done all but the dispatch.
+    /// Whether a peer forwarded the request, which only remains to be dispatched.
     pub is_forwarded: bool,
 }
 
 impl CallerRequest {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of a malformed head.
+    /// Returns a refusal if the head is malformed.
     pub fn from_parts(parts: Parts) -> Result<Self, Refusal> {
         check_host(&parts)?;
         let path = parts.uri.path().trim_start_matches('/');
@@ -73,29 +73,32 @@
             .query()
             .map(|query| format!("?{query}"))
             .unwrap_or_default();
-        let class = match text(&parts.headers, CLASS_HEADER)? {
+        let class = match header_text(&parts.headers, CLASS_HEADER)? {
             None => Class::default(),
             Some(name) => {
-                Class::from_text(&name).ok_or_else(|| bad(CLASS_HEADER, "no such class"))?
+                Class::from_text(&name).ok_or_else(|| bad_header(CLASS_HEADER, "no such class"))?
             }
         };
-        let deadline_ms = number(&parts.headers, DEADLINE_HEADER)?;
-        let key = text(&parts.headers, IDEMPOTENCY_KEY_HEADER)?;
+        let deadline_ms = header_number(&parts.headers, DEADLINE_HEADER)?;
+        let key = header_text(&parts.headers, IDEMPOTENCY_KEY_HEADER)?;
         if key
             .as_ref()
-            .is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_CHARS)
+            .is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES)
         {
-            return Err(bad(IDEMPOTENCY_KEY_HEADER, "must have 1 to 255 characters"));
+            return Err(bad_header(
+                IDEMPOTENCY_KEY_HEADER,
+                "must have 1 to 255 characters",
+            ));
         }
-        let issued_ms = match number(&parts.headers, ISSUED_HEADER)? {
+        let issued_ms = match header_number(&parts.headers, ISSUED_HEADER)? {
             Some(issued_ms) => Some(issued_ms),
             None => key.as_deref().and_then(uuid_v7_timestamp_ms),
         };
         Ok(Self {
             service: service.to_owned(),
             path: format!("/{rest}{query}"),
-            request_id: text(&parts.headers, REQUEST_ID_HEADER)?.unwrap_or_default(),
-            team: text(&parts.headers, TEAM_HEADER)?.unwrap_or_default(),
+            request_id: header_text(&parts.headers, REQUEST_ID_HEADER)?.unwrap_or_default(),
+            team: header_text(&parts.headers, TEAM_HEADER)?.unwrap_or_default(),
             method: parts.method,
             headers: parts.headers,
             class,
@@ -106,13 +109,13 @@
         })
     }
 
-    /// Tells whether the request may be run again.
+    /// Returns whether the request may run more than once.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
         self.method.is_idempotent()
     }
 
-    /// Returns the digest under which the key is kept.
+    /// Returns the digest under which the caller's key is recorded.
     #[must_use]
     pub fn request_key(&self, key: &str) -> RequestKey {
         RequestKey(xxh3_128(
@@ -120,7 +123,7 @@
         ))
     }
 
-    /// Returns a digest that differs for another request under the same key.
+    /// Returns a digest that detects another request with the same key.
     #[must_use]
     pub fn digest(&self, body: &[u8]) -> u64 {
         let head = format!("{}\n{}\n{}\n", self.method, self.path, xxh3_64(body));
@@ -128,37 +131,37 @@
     }
 }
 
-/// Refuses heads with several hosts, of which two readers could take a different one.
+/// Refuses heads with several `Host` headers, which a proxy could interpret differently.
 fn check_host(parts: &Parts) -> Result<(), Refusal> {
     if parts.headers.get_all(header::HOST).iter().count() > 1 {
-        return Err(bad("host", "must come once"));
+        return Err(bad_header("host", "must come once"));
     }
     Ok(())
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Result<Option<String>, Refusal> {
+fn header_text(headers: &HeaderMap, name: &str) -> Result<Option<String>, Refusal> {
     headers
         .get(name)
         .map(|value| {
             value
                 .to_str()
                 .map(str::to_owned)
-                .map_err(|_| bad(name, "must be ASCII"))
+                .map_err(|_| bad_header(name, "must be ASCII"))
         })
         .transpose()
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, Refusal> {
-    text(headers, name)?
+fn header_number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, Refusal> {
+    header_text(headers, name)?
         .map(|number| {
             number
                 .parse()
-                .map_err(|_| bad(name, "must be a whole number"))
+                .map_err(|_| bad_header(name, "must be a whole number"))
         })
         .transpose()
 }
 
-fn bad(header: &str, reason: &str) -> Refusal {
+fn bad_header(header: &str, reason: &str) -> Refusal {
     Refusal::not_run(
         RefusalReason::BadRequest,
         format!("header {header}: {reason}"),
