--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -6,7 +6,7 @@
         endpoints::{Endpoint, Slot},
         forward::{NotStarted, not_started, outgoing, outgoing_to_peer, remove_hop_headers},
         limits::RetryBudget,
-        payload::{Payload, STALL},
+        payload::{Payload, STALL_TIMEOUT},
         queue::Place,
         refusal::{DID_NOT_RUN_HEADER, Refusal, RefusalReason},
         table::{Row, ServiceRow, Spare, Tables},
@@ -79,7 +79,7 @@
         if let Some(peer) = self.peer_with_slots(request) {
             let sent = self.send_to_peer(request, peer, payload, deadline).await;
             let is_refused = sent.as_ref().is_err_and(|refusal| refusal.did_not_run);
-            if !is_refused || !payload.is_at_hand() || !self.budget.take() {
+            if !is_refused || !payload.can_send() || !self.budget.take() {
                 return sent;
             }
         }
@@ -100,7 +100,7 @@
                 tried.insert(row, vm);
             }
             let may_retry = failure.did_not_run || request.is_idempotent();
-            let can_retry = payload.is_at_hand() && tried.len() < MAX_ATTEMPTS;
+            let can_retry = payload.can_send() && tried.len() < MAX_ATTEMPTS;
             if !may_retry || !can_retry || Instant::now() >= deadline || !self.budget.take() {
                 return Err(failure.after_attempts(may_have_run));
             }
@@ -328,7 +328,7 @@
 fn incoming(response: Response<Body>, slot: Slot) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
     remove_hop_headers(&mut parts.headers);
-    let body = holding_body(bounded_body(body, STALL, u64::MAX), slot);
+    let body = holding_body(bounded_body(body, STALL_TIMEOUT, u64::MAX), slot);
     Response::from_parts(parts, body)
 }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Callers' requests from their arrival to their answer.
+//! Entry points for callers' and peers' requests.
 
 use {
     crate::{
@@ -7,7 +7,7 @@
         forward::PEER_RUN_PATH,
         keyed_requests::KeyedRequests,
         limits::TeamRates,
-        payload::{MAX_KEPT_BYTES, MAX_KEYED_BYTES, Payload},
+        payload::{MAX_BUFFERED_BYTES, MAX_KEYED_BYTES, Payload},
         refusal::{Refusal, RefusalReason},
         table::Tables,
     },
@@ -22,7 +22,7 @@
     tokio::time::Instant,
 };
 
-/// Serves callers; copies share the state.
+/// Handles requests of callers and peers; clones share the state.
 #[derive(Clone, Debug)]
 pub struct Gateway {
     tables: Tables,
@@ -32,13 +32,13 @@
 }
 
 impl Gateway {
-    /// Creates the request path of a node.
+    /// Creates the gateway of a node.
     #[must_use]
     pub fn new(node: Node) -> Self {
         Self::with_policy(node, least_loaded_in_share)
     }
 
-    /// Creates the request path of a node with another way to choose endpoints.
+    /// Creates the gateway of a node with the given policy for choosing endpoints.
     #[must_use]
     pub fn with_policy(node: Node, policy: RoutePolicy) -> Self {
         let tables = Tables::new(node.clone());
@@ -52,16 +52,17 @@
         }
     }
 
-    /// Answers a request.
+    /// Handles a request of a caller.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let (parts, incoming) = request.into_parts();
         match CallerRequest::from_parts(parts) {
-            Ok(request) => self.answer(&request, incoming).await,
+            Ok(request) => self.respond(&request, incoming).await,
             Err(refusal) => refusal.to_response(),
         }
     }
 
-    /// Runs a request that a peer without own slots passes on, to be mounted on the peer listener.
+    /// Handles a request forwarded by a peer; mounted on the peer listener under
+    /// [`PEER_RUN_PATH`].
     pub async fn handle_peer_run(self, request: Request<Incoming>) -> Response<Body> {
         let (mut parts, incoming) = request.into_parts();
         let path = parts.uri.path_and_query().map_or("", PathAndQuery::as_str);
@@ -73,13 +74,13 @@
         match CallerRequest::from_parts(parts) {
             Ok(mut request) => {
                 request.is_forwarded = true;
-                self.answer(&request, incoming).await
+                self.respond(&request, incoming).await
             }
             Err(refusal) => refusal.to_response(),
         }
     }
 
-    async fn answer(&self, request: &CallerRequest, incoming: Incoming) -> Response<Body> {
+    async fn respond(&self, request: &CallerRequest, incoming: Incoming) -> Response<Body> {
         match self.run(request, incoming).await {
             Ok(response) => response,
             Err(refusal) => {
@@ -92,26 +93,27 @@
         }
     }
 
-    /// Waits until the outcome of every keyed request that was begun is in the log.
+    /// Waits until the outcome of every started keyed request is in the log.
     ///
-    /// A node that stopped before would leave keys pending that only it knows the outcome of, and
-    /// their callers would be told "outcome unknown" from then on.
+    /// If the node stopped earlier, these keys would stay pending and duplicates would be refused
+    /// with an unknown outcome.
     pub async fn wait_for_outcomes(&self) {
         self.keyed.wait_for_outcomes().await;
     }
 
-    /// Answers a peer that asks for the answer of a key, to be mounted on the peer listener.
+    /// Handles a peer's request for the response of a key; mounted on the peer listener under
+    /// [`crate::PEER_ANSWER_PATH`].
     pub async fn handle_peer_answer(self, request: Request<Incoming>) -> Response<Body> {
         self.keyed.handle_peer_answer(request).await
     }
 
-    /// Returns the load that this node puts on endpoints, for its peers.
+    /// Returns this node's requests in progress on each endpoint, for its peers.
     #[must_use]
     pub fn endpoint_loads(&self) -> Vec<EndpointLoad> {
         self.tables.loads()
     }
 
-    /// Returns the endpoints that this node saw leaving or failing, for its peers.
+    /// Returns the endpoints that this node has ejected, for its peers.
     #[must_use]
     pub fn ejected_endpoints(&self) -> Vec<EndpointLoad> {
         self.tables.leaving()
@@ -122,16 +124,16 @@
         request: &CallerRequest,
         incoming: Incoming,
     ) -> Result<Response<Body>, Refusal> {
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         let table = self.tables.load();
         let service = table.service(&request.service).ok_or_else(|| {
             let detail = format!("there is no service {}", request.service);
             Refusal::not_run(RefusalReason::UnknownService, detail)
         })?;
         let spec = &service.spec;
-        let deadline = arrived + allowed(request, spec);
+        let deadline = arrived_at + time_limit(request, spec);
         if request.is_forwarded {
-            let mut payload = Payload::read(incoming, MAX_KEPT_BYTES, deadline).await?;
+            let mut payload = Payload::read(incoming, MAX_BUFFERED_BYTES, deadline).await?;
             return self.dispatcher.run(request, &mut payload, deadline).await;
         }
         let now_ms = self.tables.now_ms();
@@ -140,7 +142,7 @@
         match &request.key {
             Some(key) if !request.is_idempotent() => {
                 match Payload::read(incoming, MAX_KEYED_BYTES, deadline).await? {
-                    Payload::Kept(body) => self.keyed.run(request, key, body, deadline).await,
+                    Payload::Buffered(body) => self.keyed.run(request, key, body, deadline).await,
                     Payload::Streamed(_) => Err(Refusal::not_run(
                         RefusalReason::BodyTooLarge,
                         "a body with an idempotency key may have 1 MiB",
@@ -148,15 +150,15 @@
                 }
             }
             _ => {
-                let mut payload = Payload::read(incoming, MAX_KEPT_BYTES, deadline).await?;
+                let mut payload = Payload::read(incoming, MAX_BUFFERED_BYTES, deadline).await?;
                 self.dispatcher.run(request, &mut payload, deadline).await
             }
         }
     }
 }
 
-/// Returns the time for which a request may take.
-fn allowed(request: &CallerRequest, service: &ServiceSpec) -> Duration {
-    let asked_ms = request.deadline_ms.unwrap_or(service.deadline_ms);
-    Duration::from_millis(asked_ms.min(service.deadline_ms))
+/// Returns the time that a request may take.
+fn time_limit(request: &CallerRequest, service: &ServiceSpec) -> Duration {
+    let requested_ms = request.deadline_ms.unwrap_or(service.deadline_ms);
+    Duration::from_millis(requested_ms.min(service.deadline_ms))
 }
--- a/crates/gateway/src/keyed_requests.rs
+++ b/crates/gateway/src/keyed_requests.rs
@@ -12,7 +12,7 @@
         },
         caller_request::CallerRequest,
         dispatch::Dispatcher,
-        intents::{Intended, Intents},
+        intents::{IntentOutcome, Intents},
         key_age::{KeyAge, check_key_age},
         payload::Payload,
         peer_answers::{PEER_ANSWER_PATH, PeerAnswer, PeerAnswerRequest, answer_peer_request},
@@ -174,8 +174,8 @@
 
     async fn execute(&self, run: &KeyedRun, reply: oneshot::Sender<Outcome>) {
         match self.intents.propose(run.key, run.request_digest).await {
-            Intended::Accepted => self.dispatch(run, reply).await,
-            Intended::Taken => {
+            IntentOutcome::Accepted => self.dispatch(run, reply).await,
+            IntentOutcome::KeyTaken => {
                 self.attempts.remove(run.key);
                 let outcome = match self.blocking_entry(run.key) {
                     Some(entry) => self.answer(&entry, run.request_digest, run.deadline).await,
@@ -183,12 +183,12 @@
                 };
                 send(reply, outcome);
             }
-            Intended::NotAppended(refusal) => {
+            IntentOutcome::NotAppended(refusal) => {
                 self.attempts.notify_refused(run.key, &refusal);
                 self.attempts.remove(run.key);
                 send(reply, Err(refusal));
             }
-            Intended::Unknown { id, refusal } => {
+            IntentOutcome::Unknown { id, refusal } => {
                 self.attempts.notify_refused(run.key, &refusal);
                 send(reply, Err(refusal));
                 self.intents.withdraw(run.key, id).await;
@@ -200,7 +200,7 @@
     /// Dispatches a request whose intent was accepted and records its outcome.
     async fn dispatch(&self, run: &KeyedRun, reply: oneshot::Sender<Outcome>) {
         let result = if Instant::now() < run.deadline {
-            let mut payload = Payload::Kept(run.body.clone());
+            let mut payload = Payload::Buffered(run.body.clone());
             self.dispatcher
                 .run(&run.request, &mut payload, run.deadline)
                 .await
--- a/crates/gateway/src/payload.rs
+++ b/crates/gateway/src/payload.rs
@@ -1,4 +1,4 @@
-//! Body of a caller's request on its way to an endpoint.
+//! Request bodies, buffered or streamed to an endpoint.
 
 use {
     crate::refusal::{Refusal, RefusalReason},
@@ -10,74 +10,74 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// Bytes of a body that is kept for a retry at most.
-pub(crate) const MAX_KEPT_BYTES: usize = 64 * 1024;
+/// Maximum size of a body that is buffered for retries.
+pub(crate) const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// Bytes of a body with an idempotency key at most; it is read as a whole for its digest.
+/// Maximum size of a body with an idempotency key, which is buffered for its digest.
 pub(crate) const MAX_KEYED_BYTES: usize = 1024 * 1024;
 
-/// Bytes of a body at most.
+/// Maximum size of a body.
 const MAX_BYTES: u64 = 256 * 1024 * 1024;
 
-/// Time within which the next part of a body must come.
-pub(crate) const STALL: Duration = Duration::from_secs(10);
+/// Maximum time between two parts of a body.
+pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Body of a request: kept in memory, or passed on as it comes.
+/// Body of a request.
 #[derive(Debug)]
 pub(crate) enum Payload {
-    /// In memory as a whole; can be sent again.
-    Kept(Bytes),
-    /// Too large to keep; can be sent once.
+    /// Fully buffered; can be sent repeatedly.
+    Buffered(Bytes),
+    /// Too large to buffer; can be sent once.
     Streamed(Option<Body>),
 }
 
 impl Payload {
-    /// Reads a body up to `kept_bytes`.
+    /// Reads a body and buffers it if it has at most `max_buffered_bytes`.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of a body that breaks off, is too large or is late.
+    /// Returns a refusal if the body is truncated, too large or late.
     pub(crate) async fn read(
         incoming: Incoming,
-        kept_bytes: usize,
+        max_buffered_bytes: usize,
         deadline: Instant,
     ) -> Result<Self, Refusal> {
         if incoming.is_end_stream() {
-            return Ok(Self::Kept(Bytes::new()));
+            return Ok(Self::Buffered(Bytes::new()));
         }
         if incoming.size_hint().lower() > MAX_BYTES {
-            return Err(refusal_of(&BodyError::TooLarge));
+            return Err(body_refusal(&BodyError::TooLarge));
         }
         let body = incoming.map_err(BodyError::from).boxed_unsync();
-        let body = bounded_body(body, STALL, MAX_BYTES);
-        let gathered = timeout_at(deadline, gather_body(body, kept_bytes))
+        let body = bounded_body(body, STALL_TIMEOUT, MAX_BYTES);
+        let gathered = timeout_at(deadline, gather_body(body, max_buffered_bytes))
             .await
-            .map_err(|_| refusal_of(&BodyError::Stalled))?
-            .map_err(|error| refusal_of(&error))?;
+            .map_err(|_| body_refusal(&BodyError::Stalled))?
+            .map_err(|error| body_refusal(&error))?;
         Ok(match gathered {
-            Gathered::Whole(bytes) => Self::Kept(bytes),
+            Gathered::Whole(bytes) => Self::Buffered(bytes),
             Gathered::Longer(body) => Self::Streamed(Some(body)),
         })
     }
 
-    /// Returns the body to send, or `None` when it is used up.
+    /// Returns the body to send, or `None` if a streamed body was already sent.
     pub(crate) fn take(&mut self) -> Option<Body> {
         match self {
-            Self::Kept(bytes) => Some(full_body(bytes.clone())),
+            Self::Buffered(bytes) => Some(full_body(bytes.clone())),
             Self::Streamed(body) => body.take(),
         }
     }
 
-    /// Tells whether the body can be sent.
-    pub(crate) fn is_at_hand(&self) -> bool {
+    /// Returns whether the body can be sent.
+    pub(crate) fn can_send(&self) -> bool {
         match self {
-            Self::Kept(_) => true,
+            Self::Buffered(_) => true,
             Self::Streamed(body) => body.is_some(),
         }
     }
 }
 
-fn refusal_of(error: &BodyError) -> Refusal {
+fn body_refusal(error: &BodyError) -> Refusal {
     let reason = match error {
         BodyError::Broken { .. } => RefusalReason::BadRequest,
         BodyError::Stalled => RefusalReason::SlowBody,
