--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         caller_request::CallerRequest,
-        endpoints::{Endpoint, Slot},
+        endpoint::{Endpoint, Slot},
         forward::{NotStarted, not_started, outgoing, outgoing_to_peer, remove_hop_headers},
         limits::RetryBudget,
         payload::{Payload, STALL_TIMEOUT},
-        queue::Place,
+        queue::QueueTicket,
         refusal::{DID_NOT_RUN_HEADER, Refusal, RefusalReason},
         table::{Row, ServiceRow, Spare, Tables},
     },
@@ -75,7 +75,7 @@
         payload: &mut Payload,
         deadline: Instant,
     ) -> Result<Response<Body>, Refusal> {
-        self.budget.note_request();
+        self.budget.record_request();
         if let Some(peer) = self.peer_with_slots(request) {
             let sent = self.send_to_peer(request, peer, payload, deadline).await;
             let is_refused = sent.as_ref().is_err_and(|refusal| refusal.did_not_run);
@@ -167,17 +167,17 @@
         tried: &[VmName],
         deadline: Instant,
     ) -> Result<Slot, Refusal> {
-        let mut place: Option<Place> = None;
+        let mut ticket: Option<QueueTicket> = None;
         loop {
             let table = self.tables.load();
             let service = table.service(&request.service).ok_or_else(|| {
                 Refusal::not_run(RefusalReason::UnknownService, "the service was withdrawn")
             })?;
-            let is_turn = match &place {
-                Some(place) => place.is_first(),
+            let is_first = match &ticket {
+                Some(ticket) => ticket.is_first(),
                 None => service.queue.lengths(request.class).ahead == 0,
             };
-            if is_turn {
+            if is_first {
                 match self.choose(request, service, table.offset, tried) {
                     Choice::Taken(slot) => return Ok(slot),
                     Choice::NoEndpoint => return Err(no_endpoint()),
@@ -189,9 +189,9 @@
                 return Err(Refusal::not_run(RefusalReason::Timeout, detail)
                     .with_retry_after_ms(RETRY_AFTER_MS));
             }
-            match &place {
-                Some(place) => place.wait(deadline).await,
-                None => place = Some(enqueue(request, service, deadline)?),
+            match &ticket {
+                Some(ticket) => ticket.wait(deadline).await,
+                None => ticket = Some(admit_to_queue(request, service, deadline)?),
             }
         }
     }
@@ -207,7 +207,7 @@
         let rows: Vec<&Row> = service
             .rows
             .iter()
-            .filter(|row| !row.endpoint.ejection.is_out(now_ms))
+            .filter(|row| !row.endpoint.ejection.is_ejected(now_ms))
             .filter(|row| tried.binary_search(&row.endpoint.vm).is_err())
             .collect();
         let views: Vec<EndpointView<'_>> = rows
@@ -220,8 +220,10 @@
         };
         let choice = (self.policy)(&route, &views);
         let slot = choice.endpoint.and_then(|index| {
-            let slot = rows[index].endpoint.enter(choice.limit, &service.queue)?;
-            slot.endpoint().ejection.note_trial(now_ms);
+            let slot = rows[index]
+                .endpoint
+                .try_acquire(choice.limit, &service.queue)?;
+            slot.endpoint().ejection.record_trial(now_ms);
             Some(slot)
         });
         let vm = slot.as_ref().map_or("", |slot| slot.endpoint().vm.as_str());
@@ -263,7 +265,7 @@
             }
             return Err(refusal);
         }
-        endpoint.ejection.note_success();
+        endpoint.ejection.record_success();
         Ok(incoming(response, slot))
     }
 }
@@ -290,11 +292,11 @@
 }
 
 /// Puts a request into the queue, or refuses it when it cannot be served in time.
-fn enqueue(
+fn admit_to_queue(
     request: &CallerRequest,
     service: &ServiceRow,
     deadline: Instant,
-) -> Result<Place, Refusal> {
+) -> Result<QueueTicket, Refusal> {
     if service.slots() == 0 {
         return Err(no_endpoint());
     }
@@ -306,11 +308,11 @@
         ahead: lengths.ahead,
         max_waiting: MAX_WAITING,
         slots: service.slots(),
-        mean_service_us: service.queue.mean_us(),
+        mean_service_us: service.queue.mean_service_us(),
         remaining_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX),
     };
     match admit(&view) {
-        Admission::Wait => Ok(service.queue.join(request.class)),
+        Admission::Wait => Ok(service.queue.enqueue(request.class)),
         Admission::QueueFull { retry_after_ms } => Err(Refusal::not_run(
             RefusalReason::NoFreeSlot,
             "every slot is taken and the queue is full",
@@ -334,7 +336,7 @@
 
 fn note_failure(endpoint: &Endpoint, error: &TransportError, now_ms: u64) {
     if !error.may_have_run {
-        endpoint.ejection.note_failure(now_ms);
+        endpoint.ejection.record_failure(now_ms);
         info!(event = "endpoint_out", vm = endpoint.vm.as_str(), reason = error.step.as_str(); "");
     }
 }
@@ -343,7 +345,7 @@
     let (refused, detail) = match reason {
         NotStarted::Busy => (RefusalReason::NoFreeSlot, "the endpoint has no free slot"),
         NotStarted::Gone => {
-            endpoint.ejection.note_failure(now_ms);
+            endpoint.ejection.record_failure(now_ms);
             info!(event = "endpoint_out", vm = endpoint.vm.as_str(), reason = "not_started"; "");
             (RefusalReason::NoEndpoint, "the endpoint is leaving")
         }
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints, and the slots and connections that this node uses on them.
+//! Endpoints with the slots and connections that this node uses.
 
 use {
     crate::{ejection::Ejection, queue::ServiceQueue},
@@ -16,10 +16,10 @@
     },
 };
 
-/// One life of a VM's endpoint.
+/// The endpoint of one incarnation of a VM.
 ///
-/// Connections and counts belong to the life, since the platform gives addresses and names anew:
-/// a late answer or a count of the former life never reaches the next one.
+/// The platform reuses addresses and names, so connections and counters belong to an incarnation:
+/// a late response or a count of a previous one never affects the next.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) vm: VmName,
@@ -34,7 +34,7 @@
 }
 
 impl Endpoint {
-    /// Creates the endpoint of a VM's life; `None` when its address is none.
+    /// Creates the endpoint of a VM; returns `None` if its address is invalid.
     pub(crate) fn new(vm: &VmState, max_connections: usize) -> Option<Self> {
         let address: SocketAddr = vm.address.parse().ok()?;
         Some(Self {
@@ -50,12 +50,12 @@
         })
     }
 
-    /// Returns the requests of this node in progress on it.
+    /// Returns the number of this node's requests in progress.
     pub(crate) fn in_progress(&self) -> u32 {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Returns the requests of the other nodes in progress on it, as they last told.
+    /// Returns the number of the peers' requests in progress, as last reported.
     pub(crate) fn peers_in_progress(&self) -> u32 {
         self.peers_in_progress.load(Ordering::Relaxed)
     }
@@ -64,7 +64,7 @@
         self.peers_in_progress.store(count, Ordering::Relaxed);
     }
 
-    /// Returns the load as peers are told.
+    /// Returns this node's load on the endpoint, as reported to peers.
     pub(crate) fn load(&self) -> EndpointLoad {
         EndpointLoad {
             vm: self.vm.clone(),
@@ -73,26 +73,30 @@
         }
     }
 
-    /// Takes a slot when fewer than `limit` are taken.
-    pub(crate) fn enter(self: &Arc<Self>, limit: u32, queue: &Arc<ServiceQueue>) -> Option<Slot> {
-        let enter = |count: u32| (count < limit).then_some(count + 1);
+    /// Acquires a slot if this node uses fewer than `limit`.
+    pub(crate) fn try_acquire(
+        self: &Arc<Self>,
+        limit: u32,
+        queue: &Arc<ServiceQueue>,
+    ) -> Option<Slot> {
+        let increment = |count: u32| (count < limit).then_some(count + 1);
         self.in_progress
-            .fetch_update(Ordering::AcqRel, Ordering::Relaxed, enter)
+            .fetch_update(Ordering::AcqRel, Ordering::Relaxed, increment)
             .ok()?;
         Some(Slot {
             endpoint: Arc::clone(self),
             queue: Arc::clone(queue),
-            since: Instant::now(),
+            acquired_at: Instant::now(),
         })
     }
 }
 
-/// A request in progress on an endpoint; dropping it frees the slot and wakes the next request.
+/// A slot in use; dropping it frees the slot and wakes the next queued request.
 #[derive(Debug)]
 pub(crate) struct Slot {
     endpoint: Arc<Endpoint>,
     queue: Arc<ServiceQueue>,
-    since: Instant,
+    acquired_at: Instant,
 }
 
 impl Slot {
@@ -108,7 +112,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.endpoint.in_progress.fetch_sub(1, Ordering::AcqRel);
-        self.queue.note_service(self.since.elapsed());
+        self.queue.record_service_time(self.acquired_at.elapsed());
         self.queue.wake();
     }
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         caller_request::{CallerRequest, DEADLINE_HEADER},
-        endpoints::Endpoint,
+        endpoint::Endpoint,
     },
     http::{
         HeaderMap, HeaderName, HeaderValue, Request, Response, StatusCode, Uri,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -6,7 +6,7 @@
         dispatch::Dispatcher,
         forward::PEER_RUN_PATH,
         keyed_requests::KeyedRequests,
-        limits::TeamRates,
+        limits::TeamRateLimits,
         payload::{MAX_BUFFERED_BYTES, MAX_KEYED_BYTES, Payload},
         refusal::{Refusal, RefusalReason},
         table::Tables,
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Gateway {
     tables: Tables,
-    rates: TeamRates,
+    rate_limits: TeamRateLimits,
     dispatcher: Dispatcher,
     keyed: KeyedRequests,
 }
@@ -46,7 +46,7 @@
         let dispatcher = Dispatcher::new(node.clone(), tables.clone(), policy);
         Self {
             tables,
-            rates: TeamRates::default(),
+            rate_limits: TeamRateLimits::default(),
             keyed: KeyedRequests::new(node, dispatcher.clone()),
             dispatcher,
         }
@@ -137,7 +137,7 @@
             return self.dispatcher.run(request, &mut payload, deadline).await;
         }
         let now_ms = self.tables.now_ms();
-        self.rates
+        self.rate_limits
             .take(&spec.name, &request.team, spec.team_rate_per_s, now_ms)?;
         match &request.key {
             Some(key) if !request.is_idempotent() => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -21,7 +21,7 @@
 mod caller_request;
 mod dispatch;
 mod ejection;
-mod endpoints;
+mod endpoint;
 mod forward;
 mod gateway;
 mod intents;
@@ -32,7 +32,7 @@
 mod peer_answers;
 mod queue;
 mod refusal;
-mod shares;
+mod slot_shares;
 mod table;
 
 pub use attempts::{StoredHeader, StoredResponse};
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rates of teams and the budget of retries.
+//! Rate limits of teams and the retry budget.
 
 use {
     crate::refusal::{Refusal, RefusalReason},
@@ -12,27 +12,27 @@
     },
 };
 
-/// Teams whose rate is kept at once; names are the callers' own, so their number must be bounded.
+/// Maximum number of token buckets, as callers choose the names of teams.
 const MAX_TEAMS: usize = 4_096;
 
-/// Time in which an empty bucket is full again, in milliseconds.
+/// Time in which an empty bucket refills, in milliseconds.
 const REFILL_MS: u64 = 1_000;
 
-/// Rates of teams; copies share them.
+/// Token buckets of teams; clones share them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct TeamRates {
-    rows: Arc<Mutex<Vec<TeamRate>>>,
+pub(crate) struct TeamRateLimits {
+    buckets: Arc<Mutex<Vec<TeamBucket>>>,
 }
 
 #[derive(Debug)]
-struct TeamRate {
+struct TeamBucket {
     service: ServiceName,
     team: String,
     bucket: TokenBucket,
 }
 
-impl TeamRates {
-    /// Counts a request of a team; `rate_per_s` 0 means no limit.
+impl TeamRateLimits {
+    /// Takes a token for a request of a team; a `rate_per_s` of 0 means no limit.
     pub(crate) fn take(
         &self,
         service: &ServiceName,
@@ -43,43 +43,42 @@
         if rate_per_s == 0 {
             return Ok(());
         }
-        let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        if rows.len() >= MAX_TEAMS {
-            // A bucket is full again after a second, and then needs no row.
-            rows.retain(|row| now_ms < row.bucket.updated_ms + REFILL_MS);
+        let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
+        if buckets.len() >= MAX_TEAMS {
+            // A full bucket equals a new one and needs no entry.
+            buckets.retain(|entry| now_ms < entry.bucket.updated_ms + REFILL_MS);
         }
-        let found = rows.binary_search_by(|row| {
-            (row.service.as_str(), row.team.as_str()).cmp(&(service.as_str(), team))
+        let found = buckets.binary_search_by(|entry| {
+            (entry.service.as_str(), entry.team.as_str()).cmp(&(service.as_str(), team))
         });
-        let row = match found {
-            Ok(row) => row,
-            Err(_) if rows.len() >= MAX_TEAMS => {
-                return Err(refusal("too many teams at once", REFILL_MS));
+        let index = match found {
+            Ok(index) => index,
+            Err(_) if buckets.len() >= MAX_TEAMS => {
+                return Err(rate_refusal("too many teams at once", REFILL_MS));
             }
-            Err(row) => {
+            Err(index) => {
                 let bucket = TokenBucket::full(rate_per_s, now_ms);
-                let new = TeamRate {
+                let entry = TeamBucket {
                     service: service.clone(),
                     team: team.to_owned(),
                     bucket,
                 };
-                rows.insert(row, new);
-                row
+                buckets.insert(index, entry);
+                index
             }
         };
-        let taken = rows[row].bucket.take(rate_per_s, now_ms);
-        taken.map_err(|retry_after_ms| refusal("the team is above its rate", retry_after_ms))
+        let taken = buckets[index].bucket.take(rate_per_s, now_ms);
+        taken.map_err(|retry_after_ms| rate_refusal("the team is above its rate", retry_after_ms))
     }
 }
 
-fn refusal(detail: &str, retry_after_ms: u64) -> Refusal {
+fn rate_refusal(detail: &str, retry_after_ms: u64) -> Refusal {
     Refusal::not_run(RefusalReason::RateExceeded, detail).with_retry_after_ms(retry_after_ms)
 }
 
-/// Budget that bounds the retries of all requests together; copies share it.
+/// Budget that bounds the retries of all requests together; clones share it.
 ///
-/// Without it an overload feeds itself: endpoints refuse, every refusal becomes up to three
-/// requests, and the endpoints refuse more.
+/// Prevents retry storms, in which retries overload endpoints that already refuse requests.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     budget: Arc<AtomicU32>,
@@ -92,16 +91,16 @@
         }
     }
 
-    /// Counts a request.
-    pub(crate) fn note_request(&self) {
+    /// Adds the share of a request to the budget.
+    pub(crate) fn record_request(&self) {
         let next = |budget| Some(budget_after_request(budget));
-        // The closure always returns a budget, so the update cannot fail.
+        // The closure always returns `Some`, so the update cannot fail.
         let _ = self
             .budget
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
     }
 
-    /// Takes a retry when the budget suffices.
+    /// Takes a retry from the budget if it suffices.
     pub(crate) fn take(&self) -> bool {
         self.budget
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, budget_after_retry)
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot of their service.
+//! Queues of requests that wait for a slot of their service.
 
 use {
     lynxwheel_protocol::Class,
@@ -15,40 +15,40 @@
     },
 };
 
-/// Pause after which a waiting request looks by itself, for slots that come without a wake-up,
-/// such as those of a new endpoint.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which a waiting request polls for slots that appear without a notification, such as
+/// those of a new endpoint.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Weight of the newest service time in the mean, as a power of two.
-const MEAN_SHIFT: u32 = 4;
+/// Weight of a new service time in the moving average, as a negative power of two.
+const MEAN_WEIGHT_SHIFT: u32 = 4;
 
-/// Waiting requests of one service, served by class and then by arrival.
+/// Queue of a service, ordered by class and then by arrival.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceQueue {
-    waiting: Mutex<Waiting>,
+    list: Mutex<WaitList>,
     mean_us: AtomicU64,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
-    rows: Vec<Waiter>,
-    arrivals: u64,
+struct WaitList {
+    waiters: Vec<Waiter>,
+    arrival_count: u64,
 }
 
 #[derive(Debug)]
 struct Waiter {
-    turn: Turn,
+    position: QueuePosition,
     wake: Arc<Notify>,
 }
 
-/// Order in which waiting requests are served.
+/// Position of a waiting request in the queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Turn {
+struct QueuePosition {
     class: Class,
     arrival: u64,
 }
 
-/// Lengths of the queue as a request of some class finds them.
+/// Length of the queue and number of requests ahead of a new one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueLengths {
     pub(crate) waiting: usize,
@@ -58,103 +58,104 @@
 impl ServiceQueue {
     /// Returns the lengths for a request of `class`.
     pub(crate) fn lengths(&self, class: Class) -> QueueLengths {
-        let waiting = self.waiting();
+        let list = self.list();
         QueueLengths {
-            waiting: waiting.rows.len(),
-            ahead: waiting
-                .rows
-                .partition_point(|waiter| waiter.turn.class <= class),
+            waiting: list.waiters.len(),
+            ahead: list
+                .waiters
+                .partition_point(|waiter| waiter.position.class <= class),
         }
     }
 
-    /// Puts a request into the queue.
-    pub(crate) fn join(self: &Arc<Self>, class: Class) -> Place {
-        let mut waiting = self.waiting();
-        waiting.arrivals += 1;
-        let turn = Turn {
+    /// Adds a request to the queue.
+    pub(crate) fn enqueue(self: &Arc<Self>, class: Class) -> QueueTicket {
+        let mut list = self.list();
+        list.arrival_count += 1;
+        let position = QueuePosition {
             class,
-            arrival: waiting.arrivals,
+            arrival: list.arrival_count,
         };
         let wake = Arc::new(Notify::new());
-        let row = waiting.rows.partition_point(|waiter| waiter.turn < turn);
+        let index = list
+            .waiters
+            .partition_point(|waiter| waiter.position < position);
         let waiter = Waiter {
-            turn,
+            position,
             wake: Arc::clone(&wake),
         };
-        waiting.rows.insert(row, waiter);
-        Place {
+        list.waiters.insert(index, waiter);
+        QueueTicket {
             queue: Arc::clone(self),
-            turn,
+            position,
             wake,
         }
     }
 
-    /// Wakes the request whose turn it is.
+    /// Wakes the first request in the queue.
     pub(crate) fn wake(&self) {
-        if let Some(first) = self.waiting().rows.first() {
+        if let Some(first) = self.list().waiters.first() {
             first.wake.notify_one();
         }
     }
 
-    /// Notes for how long a request took its slot.
-    pub(crate) fn note_service(&self, taken: Duration) {
-        let taken_us = u64::try_from(taken.as_micros()).unwrap_or(u64::MAX);
-        let mean_us = self.mean_us();
+    /// Adds the time for which a request used its slot to the moving average.
+    pub(crate) fn record_service_time(&self, elapsed: Duration) {
+        let elapsed_us = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
+        let mean_us = self.mean_service_us();
         let next_us = if mean_us == 0 {
-            taken_us
+            elapsed_us
         } else {
-            mean_us - (mean_us >> MEAN_SHIFT) + (taken_us >> MEAN_SHIFT)
+            mean_us - (mean_us >> MEAN_WEIGHT_SHIFT) + (elapsed_us >> MEAN_WEIGHT_SHIFT)
         };
         self.mean_us.store(next_us, Ordering::Relaxed);
     }
 
-    /// Returns the mean time for which a request takes a slot, in microseconds.
-    pub(crate) fn mean_us(&self) -> u64 {
+    /// Returns the mean time for which a request uses a slot, in microseconds.
+    pub(crate) fn mean_service_us(&self) -> u64 {
         self.mean_us.load(Ordering::Relaxed)
     }
 
-    fn waiting(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn list(&self) -> MutexGuard<'_, WaitList> {
+        self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A request's place in the queue; dropping it leaves the queue.
+/// A request's entry in the queue; dropping it removes the entry.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct QueueTicket {
     queue: Arc<ServiceQueue>,
-    turn: Turn,
+    position: QueuePosition,
     wake: Arc<Notify>,
 }
 
-impl Place {
-    /// Tells whether it is this request's turn.
+impl QueueTicket {
+    /// Returns whether the request is the first in the queue.
     pub(crate) fn is_first(&self) -> bool {
-        let waiting = self.queue.waiting();
-        waiting
-            .rows
+        let list = self.queue.list();
+        list.waiters
             .first()
-            .is_some_and(|first| first.turn == self.turn)
+            .is_some_and(|first| first.position == self.position)
     }
 
-    /// Waits for a reason to look for a slot again.
+    /// Waits for a notification, the poll interval or the deadline.
     pub(crate) async fn wait(&self, deadline: Instant) {
-        let until = deadline.min(Instant::now() + LOOK_PAUSE);
-        // Either end of the wait leads to the same look.
+        let until = deadline.min(Instant::now() + POLL_INTERVAL);
+        // The caller checks for a slot in either case.
         drop(timeout_at(until, self.wake.notified()).await);
     }
 }
 
-impl Drop for Place {
+impl Drop for QueueTicket {
     fn drop(&mut self) {
-        let mut waiting = self.queue.waiting();
-        if let Ok(row) = waiting
-            .rows
-            .binary_search_by_key(&self.turn, |waiter| waiter.turn)
+        let mut list = self.queue.list();
+        if let Ok(index) = list
+            .waiters
+            .binary_search_by_key(&self.position, |waiter| waiter.position)
         {
-            waiting.rows.remove(row);
+            list.waiters.remove(index);
         }
-        drop(waiting);
-        // A wake-up that this request got may belong to the next one now.
+        drop(list);
+        // Pass on a notification that this request received but did not use.
         self.queue.wake();
     }
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        endpoints::Endpoint,
+        endpoint::Endpoint,
         queue::ServiceQueue,
-        shares::{EndpointShares, NodeView},
+        slot_shares::{EndpointShares, SharingNodes},
     },
     arc_swap::ArcSwap,
     lynxwheel_coordination::{LocalEndpoints, Node, NodeSettings, PeerStatus},
@@ -110,7 +110,7 @@
 #[derive(Debug, Default)]
 struct Maker {
     endpoints: Vec<Known>,
-    view: NodeView,
+    view: SharingNodes,
     unreachable: Vec<Unreachable>,
 }
 
@@ -193,7 +193,7 @@
         let state = self.node.state();
         let former = self.latest.load_full();
         let peers = self.node.peers().live_peers(now_ms);
-        maker.view.see(self.node.live_nodes(), now_ms);
+        maker.view.update(self.node.live_nodes(), now_ms);
         maker.unreachable.retain(|peer| now_ms < peer.until_ms);
         let pools = by_pool(&state);
         let services = state
@@ -251,7 +251,7 @@
 
     fn leaving(&self, now_ms: u64) -> Vec<EndpointLoad> {
         let all = self.endpoints.iter().map(|known| &known.endpoint);
-        all.filter(|endpoint| endpoint.ejection.is_out_by_own_evidence(now_ms))
+        all.filter(|endpoint| endpoint.ejection.is_ejected_by_this_node(now_ms))
             .map(|endpoint| endpoint.load())
             .collect()
     }
@@ -365,7 +365,7 @@
                 .iter()
                 .any(|peer| find_load(&peer.hello.leaving, endpoint).is_some());
             if is_leaving {
-                endpoint.ejection.note_peer(now_ms);
+                endpoint.ejection.record_peer_report(now_ms);
             }
         }
     }
