--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,15 +1,18 @@
-//! Sending a request to an endpoint, and trying another where that is safe.
+//! Dispatch of requests to endpoints, with retries where they are safe.
 
 use {
     crate::{
         caller_request::CallerRequest,
         endpoint::{Endpoint, Slot},
-        forward::{NotStarted, not_started, outgoing, outgoing_to_peer, remove_hop_headers},
+        forward::{
+            NotStarted, build_endpoint_request, build_peer_request, not_started_reason,
+            remove_hop_by_hop_headers,
+        },
         limits::RetryBudget,
         payload::{Payload, STALL_TIMEOUT},
         queue::QueueTicket,
         refusal::{DID_NOT_RUN_HEADER, Refusal, RefusalReason},
-        table::{Row, ServiceRow, Spare, Tables},
+        routing_table::{EndpointRoute, PeerSlots, RoutingTables, ServiceRoutes},
     },
     http::Response,
     log::info,
@@ -23,52 +26,53 @@
     tokio::time::Instant,
 };
 
-/// Attempts of one request at most.
+/// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Requests of one service that wait for a slot at most.
+/// Maximum length of the queue of a service.
 const MAX_WAITING: usize = 256;
 
-/// Connections to one peer for passing requests on.
+/// Maximum number of connections to one peer for forwarded requests.
 const PEER_CONNECTIONS: usize = 64;
 
-/// Time after which to come back when no endpoint can take a request, in milliseconds.
+/// Retry delay for callers while no endpoint can take a request, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Sends requests to endpoints; copies share the state.
+/// Dispatches requests to endpoints; clones share the state.
 #[derive(Clone, Debug)]
 pub(crate) struct Dispatcher {
     node: Node,
-    tables: Tables,
+    routing_tables: RoutingTables,
     budget: RetryBudget,
     policy: RoutePolicy,
     peers: Arc<Clients>,
 }
 
-/// Outcome of one look for a slot.
-enum Choice {
-    /// A slot is taken.
-    Taken(Slot),
-    /// Every slot is taken.
+/// Result of choosing a slot.
+enum SlotChoice {
+    /// A slot was acquired.
+    Acquired(Slot),
+    /// Every slot is in use.
     NoFreeSlot,
     /// No endpoint is left to try.
     NoEndpoint,
 }
 
 impl Dispatcher {
-    pub(crate) fn new(node: Node, tables: Tables, policy: RoutePolicy) -> Self {
+    pub(crate) fn new(node: Node, routing_tables: RoutingTables, policy: RoutePolicy) -> Self {
         Self {
             node,
-            tables,
+            routing_tables,
             budget: RetryBudget::new(),
             policy,
             peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
         }
     }
 
-    /// Runs a request on some endpoint of its service.
+    /// Runs a request on an endpoint of its service.
     ///
-    /// Another endpoint is tried only when the request is idempotent or proven not to have run.
+    /// The request is retried on another endpoint only if it is idempotent or known not to have
+    /// run.
     pub(crate) async fn run(
         &self,
         request: &CallerRequest,
@@ -76,11 +80,11 @@
         deadline: Instant,
     ) -> Result<Response<Body>, Refusal> {
         self.budget.record_request();
-        if let Some(peer) = self.peer_with_slots(request) {
-            let sent = self.send_to_peer(request, peer, payload, deadline).await;
-            let is_refused = sent.as_ref().is_err_and(|refusal| refusal.did_not_run);
-            if !is_refused || !payload.can_send() || !self.budget.take() {
-                return sent;
+        if let Some(peer) = self.forwarding_peer(request) {
+            let result = self.forward_to_peer(request, peer, payload, deadline).await;
+            let did_not_run = result.as_ref().is_err_and(|refusal| refusal.did_not_run);
+            if !did_not_run || !payload.can_send() || !self.budget.take() {
+                return result;
             }
         }
         let mut tried: Vec<VmName> = Vec::new();
@@ -91,52 +95,54 @@
                 Err(refusal) => return Err(refusal.after_attempts(may_have_run)),
             };
             let vm = slot.endpoint().vm.clone();
-            let failure = match self.send(request, slot, payload, deadline).await {
+            let failure = match self
+                .send_to_endpoint(request, slot, payload, deadline)
+                .await
+            {
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
             may_have_run |= !failure.did_not_run;
-            if let Err(row) = tried.binary_search(&vm) {
-                tried.insert(row, vm);
+            if let Err(index) = tried.binary_search(&vm) {
+                tried.insert(index, vm);
             }
-            let may_retry = failure.did_not_run || request.is_idempotent();
+            let is_retry_safe = failure.did_not_run || request.is_idempotent();
             let can_retry = payload.can_send() && tried.len() < MAX_ATTEMPTS;
-            if !may_retry || !can_retry || Instant::now() >= deadline || !self.budget.take() {
+            if !is_retry_safe || !can_retry || Instant::now() >= deadline || !self.budget.take() {
                 return Err(failure.after_attempts(may_have_run));
             }
             metrics::counter!("lynxwheel_retries_total").increment(1);
         }
     }
 
-    /// Returns the peer to which a request is passed on because this node has no slot for it.
+    /// Returns the peer to which a request is forwarded because this node has no slot for it.
     ///
-    /// A pool with fewer slots than there are nodes leaves some nodes without any, and a balancer
-    /// that lost a node may send its neighbour twice as much. The peer takes the request on its own
-    /// slots, so the endpoints' bounds hold as before. A short queue is worked off here: what is
-    /// known of the peers is up to a second old, and nodes that passed on every burst would flood
-    /// the few peers that were idle then.
-    fn peer_with_slots(&self, request: &CallerRequest) -> Option<SocketAddr> {
+    /// A pool with fewer slots than nodes leaves some nodes without any, and a load balancer may
+    /// send a node more than its share. The peer uses its own slots, so the limits of the endpoints
+    /// hold. Requests that find a short queue are not forwarded: the peers' loads are up to a second
+    /// old, and forwarding every burst would overload the peers that were idle then.
+    fn forwarding_peer(&self, request: &CallerRequest) -> Option<SocketAddr> {
         if request.is_forwarded {
             return None;
         }
-        let table = self.tables.load();
+        let table = self.routing_tables.load();
         let service = table.service(&request.service)?;
-        let is_behind = service.queue.lengths(request.class).ahead >= service.slots() as usize;
-        if !is_behind {
+        let is_backlogged = service.queue.lengths(request.class).ahead >= service.slots() as usize;
+        if !is_backlogged {
             return None;
         }
-        let spare = pick_spare(&service.spares, request.digest(&[]))?;
-        if service.slots() > 0 && !spare.has_surplus() {
+        let peer = choose_peer(&service.peer_slots, request.digest(&[]))?;
+        if service.slots() > 0 && !peer.has_surplus() {
             return None;
         }
         info!(event = "routing", request = request.request_id.as_str(),
-            service = request.service.as_str(), node = spare.node.as_str(),
-            reason = "passed_on", offset = table.offset; "");
+            service = request.service.as_str(), node = peer.node.as_str(),
+            reason = "passed_on", offset = table.offset; "request forwarded to a peer");
         metrics::counter!("lynxwheel_passed_on_total").increment(1);
-        Some(spare.address)
+        Some(peer.address)
     }
 
-    async fn send_to_peer(
+    async fn forward_to_peer(
         &self,
         request: &CallerRequest,
         peer: SocketAddr,
@@ -146,21 +152,21 @@
         let Some(body) = payload.take() else {
             return Err(no_endpoint());
         };
-        let outgoing =
-            outgoing_to_peer(request, peer, body, deadline).map_err(|error| refusal_of(&error))?;
+        let outgoing = build_peer_request(request, peer, body, deadline)
+            .map_err(|error| transport_refusal(&error))?;
         let sent = self.peers.get(peer).send(outgoing, deadline).await;
         let mut response = sent.map_err(|error| {
-            self.tables.note_unreachable(peer);
-            refusal_of(&error)
+            self.routing_tables.record_unreachable(peer);
+            transport_refusal(&error)
         })?;
-        remove_hop_headers(response.headers_mut());
+        remove_hop_by_hop_headers(response.headers_mut());
         if response.headers().contains_key(DID_NOT_RUN_HEADER) {
             return Err(no_endpoint());
         }
         Ok(response)
     }
 
-    /// Takes a slot, after a wait in the service's queue where admission allows it.
+    /// Acquires a slot, waiting in the service's queue if admission allows it.
     async fn acquire(
         &self,
         request: &CallerRequest,
@@ -169,7 +175,7 @@
     ) -> Result<Slot, Refusal> {
         let mut ticket: Option<QueueTicket> = None;
         loop {
-            let table = self.tables.load();
+            let table = self.routing_tables.load();
             let service = table.service(&request.service).ok_or_else(|| {
                 Refusal::not_run(RefusalReason::UnknownService, "the service was withdrawn")
             })?;
@@ -178,10 +184,10 @@
                 None => service.queue.lengths(request.class).ahead == 0,
             };
             if is_first {
-                match self.choose(request, service, table.offset, tried) {
-                    Choice::Taken(slot) => return Ok(slot),
-                    Choice::NoEndpoint => return Err(no_endpoint()),
-                    Choice::NoFreeSlot => {}
+                match self.choose_slot(request, service, table.offset, tried) {
+                    SlotChoice::Acquired(slot) => return Ok(slot),
+                    SlotChoice::NoEndpoint => return Err(no_endpoint()),
+                    SlotChoice::NoFreeSlot => {}
                 }
             }
             if Instant::now() >= deadline {
@@ -196,23 +202,23 @@
         }
     }
 
-    fn choose(
+    fn choose_slot(
         &self,
         request: &CallerRequest,
-        service: &ServiceRow,
+        service: &ServiceRoutes,
         offset: u64,
         tried: &[VmName],
-    ) -> Choice {
+    ) -> SlotChoice {
         let now_ms = self.node.clock().now_ms();
-        let rows: Vec<&Row> = service
-            .rows
+        let routes: Vec<&EndpointRoute> = service
+            .routes
             .iter()
-            .filter(|row| !row.endpoint.ejection.is_ejected(now_ms))
-            .filter(|row| tried.binary_search(&row.endpoint.vm).is_err())
+            .filter(|route| !route.endpoint.ejection.is_ejected(now_ms))
+            .filter(|route| tried.binary_search(&route.endpoint.vm).is_err())
             .collect();
-        let views: Vec<EndpointView<'_>> = rows
+        let views: Vec<EndpointView<'_>> = routes
             .iter()
-            .map(|row| view(row, service.spec.slots_per_endpoint))
+            .map(|route| endpoint_view(route, service.spec.slots_per_endpoint))
             .collect();
         let route = RouteRequest {
             zone: &self.node.settings().identity.zone,
@@ -220,7 +226,7 @@
         };
         let choice = (self.policy)(&route, &views);
         let slot = choice.endpoint.and_then(|index| {
-            let slot = rows[index]
+            let slot = routes[index]
                 .endpoint
                 .try_acquire(choice.limit, &service.queue)?;
             slot.endpoint().ejection.record_trial(now_ms);
@@ -229,15 +235,15 @@
         let vm = slot.as_ref().map_or("", |slot| slot.endpoint().vm.as_str());
         info!(event = "routing", request = request.request_id.as_str(),
             service = request.service.as_str(), vm = vm, reason = choice.reason.as_str(),
-            offset = offset; "");
+            offset = offset; "endpoint chosen");
         match slot {
-            Some(slot) => Choice::Taken(slot),
-            None if choice.reason == RouteReason::NoEndpoint => Choice::NoEndpoint,
-            None => Choice::NoFreeSlot,
+            Some(slot) => SlotChoice::Acquired(slot),
+            None if choice.reason == RouteReason::NoEndpoint => SlotChoice::NoEndpoint,
+            None => SlotChoice::NoFreeSlot,
         }
     }
 
-    async fn send(
+    async fn send_to_endpoint(
         &self,
         request: &CallerRequest,
         slot: Slot,
@@ -248,53 +254,54 @@
         let Some(body) = payload.take() else {
             return Err(no_endpoint());
         };
-        let outgoing =
-            outgoing(request, &endpoint, body, deadline).map_err(|error| refusal_of(&error))?;
+        let outgoing = build_endpoint_request(request, &endpoint, body, deadline)
+            .map_err(|error| transport_refusal(&error))?;
         let response = match endpoint.client.send(outgoing, deadline).await {
             Ok(response) => response,
             Err(error) => {
-                note_failure(&endpoint, &error, self.node.clock().now_ms());
-                return Err(refusal_at(&error, deadline));
+                record_failure(&endpoint, &error, self.node.clock().now_ms());
+                return Err(refusal_at_deadline(&error, deadline));
             }
         };
-        if let Some(reason) = not_started(&response) {
+        if let Some(reason) = not_started_reason(&response) {
             let now_ms = self.node.clock().now_ms();
-            let refusal = note_not_started(&endpoint, reason, now_ms);
-            if reason == NotStarted::Gone {
+            let refusal = record_not_started(&endpoint, reason, now_ms);
+            if reason == NotStarted::Unavailable {
                 self.node.peers().announce();
             }
             return Err(refusal);
         }
         endpoint.ejection.record_success();
-        Ok(incoming(response, slot))
+        Ok(build_caller_response(response, slot))
     }
 }
 
-/// Picks the better of two peers, so that nodes with the same old news do not all pick one.
-fn pick_spare(spares: &[Spare], seed: u64) -> Option<&Spare> {
-    let count = u64::try_from(spares.len())
+/// Chooses the better of two peers by `seed`, so that nodes with the same data choose different
+/// ones.
+fn choose_peer(peer_slots: &[PeerSlots], seed: u64) -> Option<&PeerSlots> {
+    let count = u64::try_from(peer_slots.len())
         .ok()
         .filter(|count| *count > 0)?;
     let at = |seed: u64| usize::try_from(seed % count).unwrap_or(0);
-    // They are sorted, so the earlier one has more free slots.
-    spares.get(at(seed).min(at(seed >> 32)))
+    // The peers are ordered by free slots, so the lower index is the better one.
+    peer_slots.get(at(seed).min(at(seed >> 32)))
 }
 
-fn view(row: &Row, slots: u32) -> EndpointView<'_> {
+fn endpoint_view(route: &EndpointRoute, slots: u32) -> EndpointView<'_> {
     EndpointView {
-        vm: &row.endpoint.vm,
-        zone: &row.endpoint.zone,
-        in_progress: row.endpoint.in_progress(),
-        peers_in_progress: row.endpoint.peers_in_progress(),
+        vm: &route.endpoint.vm,
+        zone: &route.endpoint.zone,
+        in_progress: route.endpoint.in_progress(),
+        peers_in_progress: route.endpoint.peers_in_progress(),
         slots,
-        slot_share: row.share,
+        slot_share: route.share,
     }
 }
 
-/// Puts a request into the queue, or refuses it when it cannot be served in time.
+/// Adds a request to the queue, or refuses it if it cannot be served in time.
 fn admit_to_queue(
     request: &CallerRequest,
-    service: &ServiceRow,
+    service: &ServiceRoutes,
     deadline: Instant,
 ) -> Result<QueueTicket, Refusal> {
     if service.slots() == 0 {
@@ -326,27 +333,29 @@
     }
 }
 
-/// Prepares an endpoint's answer for the caller; the slot is kept until the body has ended.
-fn incoming(response: Response<Body>, slot: Slot) -> Response<Body> {
+/// Builds the caller's response from an endpoint's; the slot is held until the body has ended.
+fn build_caller_response(response: Response<Body>, slot: Slot) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
-    remove_hop_headers(&mut parts.headers);
+    remove_hop_by_hop_headers(&mut parts.headers);
     let body = holding_body(bounded_body(body, STALL_TIMEOUT, u64::MAX), slot);
     Response::from_parts(parts, body)
 }
 
-fn note_failure(endpoint: &Endpoint, error: &TransportError, now_ms: u64) {
+fn record_failure(endpoint: &Endpoint, error: &TransportError, now_ms: u64) {
     if !error.may_have_run {
         endpoint.ejection.record_failure(now_ms);
-        info!(event = "endpoint_out", vm = endpoint.vm.as_str(), reason = error.step.as_str(); "");
+        info!(event = "endpoint_out", vm = endpoint.vm.as_str(), reason = error.step.as_str();
+            "endpoint ejected");
     }
 }
 
-fn note_not_started(endpoint: &Endpoint, reason: NotStarted, now_ms: u64) -> Refusal {
+fn record_not_started(endpoint: &Endpoint, reason: NotStarted, now_ms: u64) -> Refusal {
     let (refused, detail) = match reason {
         NotStarted::Busy => (RefusalReason::NoFreeSlot, "the endpoint has no free slot"),
-        NotStarted::Gone => {
+        NotStarted::Unavailable => {
             endpoint.ejection.record_failure(now_ms);
-            info!(event = "endpoint_out", vm = endpoint.vm.as_str(), reason = "not_started"; "");
+            info!(event = "endpoint_out", vm = endpoint.vm.as_str(), reason = "not_started";
+                "endpoint ejected");
             (RefusalReason::NoEndpoint, "the endpoint is leaving")
         }
     };
@@ -359,16 +368,16 @@
         .with_retry_after_ms(RETRY_AFTER_MS)
 }
 
-/// Returns the refusal of a failed exchange, which is a timeout when the deadline has passed.
-fn refusal_at(error: &TransportError, deadline: Instant) -> Refusal {
+/// Returns the refusal for a transport error, which is a timeout if the deadline has passed.
+fn refusal_at_deadline(error: &TransportError, deadline: Instant) -> Refusal {
     if error.may_have_run && Instant::now() >= deadline {
         let detail = "no answer before the deadline; it may have run";
         return Refusal::may_have_run(RefusalReason::Timeout, detail);
     }
-    refusal_of(error)
+    transport_refusal(error)
 }
 
-fn refusal_of(error: &TransportError) -> Refusal {
+fn transport_refusal(error: &TransportError) -> Refusal {
     if error.may_have_run {
         Refusal::may_have_run(RefusalReason::OutcomeUnknown, error.to_string())
     } else {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as they pass between a caller and an endpoint.
+//! Requests forwarded to endpoints and peers, and the headers of their responses.
 
 use {
     crate::{
@@ -18,17 +18,17 @@
 /// followed by the caller's path.
 pub const PEER_RUN_PATH: &str = "/peer/run/";
 
-/// Answer header by which an endpoint says that it did not start a request.
+/// Response header by which an endpoint reports that it did not start a request.
 const NOT_STARTED_HEADER: HeaderName = HeaderName::from_static("not-started");
 
-/// Value of that header when only a slot is missing.
+/// Value of [`NOT_STARTED_HEADER`] if all slots of the endpoint are in use.
 const NOT_STARTED_BUSY: &str = "busy";
 
-/// Request header that names the life of the VM that the request is meant for.
+/// Request header with the incarnation of the VM that the request is addressed to.
 const INCARNATION_HEADER: HeaderName = HeaderName::from_static("vm-incarnation");
 
-/// Headers that concern one connection only.
-const HOP_HEADERS: [HeaderName; 10] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     header::EXPECT,
     header::HOST,
@@ -41,28 +41,28 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Whether an endpoint refused to start a request, and why.
+/// Why an endpoint did not start a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NotStarted {
-    /// Every slot is taken.
+    /// Every slot is in use.
     Busy,
-    /// It leaves, is down or is not the one that was meant.
-    Gone,
+    /// The endpoint is leaving, down or of another incarnation.
+    Unavailable,
 }
 
-/// Builds the request to an endpoint.
+/// Builds the request to an endpoint from that of the caller.
 ///
 /// # Errors
 ///
-/// Fails when the caller's path is none.
-pub(crate) fn outgoing(
+/// Returns an error if the caller's path is not a valid URI.
+pub(crate) fn build_endpoint_request(
     request: &CallerRequest,
     endpoint: &Endpoint,
     body: Body,
     deadline: Instant,
 ) -> Result<Request<Body>, TransportError> {
     let path = request.path.clone();
-    let mut outgoing = passed_on(request, endpoint.address, path, body, deadline)?;
+    let mut outgoing = build_forwarded_request(request, endpoint.address, path, body, deadline)?;
     let incarnation = HeaderValue::from(endpoint.incarnation);
     outgoing
         .headers_mut()
@@ -70,22 +70,22 @@
     Ok(outgoing)
 }
 
-/// Builds the request by which another node runs a caller's request.
+/// Builds the request that forwards a caller's request to a peer.
 ///
 /// # Errors
 ///
-/// Fails when the caller's path is none.
-pub(crate) fn outgoing_to_peer(
+/// Returns an error if the caller's path is not a valid URI.
+pub(crate) fn build_peer_request(
     request: &CallerRequest,
     peer: SocketAddr,
     body: Body,
     deadline: Instant,
 ) -> Result<Request<Body>, TransportError> {
     let path = format!("{PEER_RUN_PATH}{}{}", request.service, request.path);
-    passed_on(request, peer, path, body, deadline)
+    build_forwarded_request(request, peer, path, body, deadline)
 }
 
-fn passed_on(
+fn build_forwarded_request(
     request: &CallerRequest,
     address: SocketAddr,
     path: String,
@@ -97,8 +97,8 @@
     *outgoing.uri_mut() = Uri::try_from(path)
         .map_err(|error| TransportError::unsent(Step::Decode, address, error.to_string()))?;
     let mut headers = request.headers.clone();
-    remove_hop_headers(&mut headers);
-    // The body's own length is set anew, so that no two lengths can be read out of one request.
+    remove_hop_by_hop_headers(&mut headers);
+    // The HTTP client sets the length of the body; a second length must not be sent.
     headers.remove(header::CONTENT_LENGTH);
     let left = deadline.saturating_duration_since(Instant::now());
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
@@ -110,8 +110,8 @@
     Ok(outgoing)
 }
 
-/// Tells whether an answer is an endpoint's refusal to start.
-pub(crate) fn not_started(response: &Response<Body>) -> Option<NotStarted> {
+/// Returns why the endpoint did not start the request, or `None` if it did.
+pub(crate) fn not_started_reason(response: &Response<Body>) -> Option<NotStarted> {
     if response.status() != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
@@ -119,12 +119,12 @@
     Some(if value == NOT_STARTED_BUSY {
         NotStarted::Busy
     } else {
-        NotStarted::Gone
+        NotStarted::Unavailable
     })
 }
 
-/// Removes the headers that concern one connection only, those named by `Connection` included.
-pub(crate) fn remove_hop_headers(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those named by `Connection`.
+pub(crate) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     if let Entry::Occupied(connection) = headers.entry(header::CONNECTION) {
         let (_, values) = connection.remove_entry_mult();
         let named: Vec<HeaderName> = values
@@ -138,7 +138,7 @@
             headers.remove(name);
         }
     }
-    for name in &HOP_HEADERS {
+    for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
         limits::TeamRateLimits,
         payload::{MAX_BUFFERED_BYTES, MAX_KEYED_BYTES, Payload},
         refusal::{Refusal, RefusalReason},
-        table::Tables,
+        routing_table::RoutingTables,
     },
     http::{Request, Response, Uri, uri::PathAndQuery},
     hyper::body::Incoming,
@@ -25,7 +25,7 @@
 /// Handles requests of callers and peers; clones share the state.
 #[derive(Clone, Debug)]
 pub struct Gateway {
-    tables: Tables,
+    routing_tables: RoutingTables,
     rate_limits: TeamRateLimits,
     dispatcher: Dispatcher,
     keyed: KeyedRequests,
@@ -41,11 +41,12 @@
     /// Creates the gateway of a node with the given policy for choosing endpoints.
     #[must_use]
     pub fn with_policy(node: Node, policy: RoutePolicy) -> Self {
-        let tables = Tables::new(node.clone());
-        node.peers().set_local_endpoints(tables.local_view());
-        let dispatcher = Dispatcher::new(node.clone(), tables.clone(), policy);
+        let routing_tables = RoutingTables::new(node.clone());
+        node.peers()
+            .set_local_endpoints(routing_tables.local_endpoints());
+        let dispatcher = Dispatcher::new(node.clone(), routing_tables.clone(), policy);
         Self {
-            tables,
+            routing_tables,
             rate_limits: TeamRateLimits::default(),
             keyed: KeyedRequests::new(node, dispatcher.clone()),
             dispatcher,
@@ -110,13 +111,13 @@
     /// Returns this node's requests in progress on each endpoint, for its peers.
     #[must_use]
     pub fn endpoint_loads(&self) -> Vec<EndpointLoad> {
-        self.tables.loads()
+        self.routing_tables.endpoint_loads()
     }
 
     /// Returns the endpoints that this node has ejected, for its peers.
     #[must_use]
     pub fn ejected_endpoints(&self) -> Vec<EndpointLoad> {
-        self.tables.leaving()
+        self.routing_tables.ejected_endpoints()
     }
 
     async fn run(
@@ -125,7 +126,7 @@
         incoming: Incoming,
     ) -> Result<Response<Body>, Refusal> {
         let arrived_at = Instant::now();
-        let table = self.tables.load();
+        let table = self.routing_tables.load();
         let service = table.service(&request.service).ok_or_else(|| {
             let detail = format!("there is no service {}", request.service);
             Refusal::not_run(RefusalReason::UnknownService, detail)
@@ -136,7 +137,7 @@
             let mut payload = Payload::read(incoming, MAX_BUFFERED_BYTES, deadline).await?;
             return self.dispatcher.run(request, &mut payload, deadline).await;
         }
-        let now_ms = self.tables.now_ms();
+        let now_ms = self.routing_tables.now_ms();
         self.rate_limits
             .take(&spec.name, &request.team, spec.team_rate_per_s, now_ms)?;
         match &request.key {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -32,8 +32,8 @@
 mod peer_answers;
 mod queue;
 mod refusal;
+mod routing_table;
 mod slot_shares;
-mod table;
 
 pub use attempts::{StoredHeader, StoredResponse};
 pub use caller_request::{
