--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -308,7 +308,7 @@
             lease_ms: bounds.max_lease_ms.min(MAX_LEASE_MS),
             retention_ms: bounds.retention_ms + RETENTION_SLACK_MS,
             maintenance_ms: bounds.maintenance_ms,
-            vm_holder_ms: bounds.vm_lease_ms,
+            vm_lease_ms: bounds.vm_lease_ms,
             vm_orders_per_s: self.settings.vm_orders_per_s,
         }
     }
@@ -334,7 +334,7 @@
         for shared in config.accounts.shared_keys() {
             warn!(
                 event = "key_shared", version = config.version, key:% = shared.key,
-                account = shared.holder.as_str(), passed_over = shared.passed_over.as_str();
+                account = shared.holder.as_str(), passed_over = shared.ignored_account.as_str();
                 "API key belongs to several accounts"
             );
         }
