--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,15 +1,15 @@
-//! Callers' requests from their arrival to their answer.
+//! Entry points for callers' and peers' requests.
 
 use {
     crate::{
         caller_request::CallerRequest,
         dispatch::Dispatcher,
         forward::PEER_RUN_PATH,
-        keys::Keys,
-        limits::TeamRates,
-        payload::{MAX_KEPT_BYTES, MAX_KEYED_BYTES, Payload},
+        keyed_requests::KeyedRequests,
+        limits::TeamRateLimits,
+        payload::{MAX_BUFFERED_BYTES, MAX_KEYED_BYTES, Payload},
         refusal::{Refusal, RefusalReason},
-        table::Tables,
+        routing_table::RoutingTables,
     },
     http::{Request, Response, Uri, uri::PathAndQuery},
     hyper::body::Incoming,
@@ -22,46 +22,48 @@
     tokio::time::Instant,
 };
 
-/// Serves callers; copies share the state.
+/// Handles requests of callers and peers; clones share the state.
 #[derive(Clone, Debug)]
 pub struct Gateway {
-    tables: Tables,
-    rates: TeamRates,
+    routing_tables: RoutingTables,
+    rate_limits: TeamRateLimits,
     dispatcher: Dispatcher,
-    keys: Keys,
+    keyed: KeyedRequests,
 }
 
 impl Gateway {
-    /// Creates the request path of a node.
+    /// Creates the gateway of a node.
     #[must_use]
     pub fn new(node: Node) -> Self {
         Self::with_policy(node, least_loaded_in_share)
     }
 
-    /// Creates the request path of a node with another way to choose endpoints.
+    /// Creates the gateway of a node with the given policy for choosing endpoints.
     #[must_use]
     pub fn with_policy(node: Node, policy: RoutePolicy) -> Self {
-        let tables = Tables::new(node.clone());
-        node.peers().set_local_endpoints(tables.local_view());
-        let dispatcher = Dispatcher::new(node.clone(), tables.clone(), policy);
+        let routing_tables = RoutingTables::new(node.clone());
+        node.peers()
+            .set_local_endpoints(routing_tables.local_endpoints());
+        let dispatcher = Dispatcher::new(node.clone(), routing_tables.clone(), policy);
         Self {
-            tables,
-            rates: TeamRates::default(),
-            keys: Keys::new(node, dispatcher.clone()),
+            routing_tables,
+            rate_limits: TeamRateLimits::default(),
+            keyed: KeyedRequests::new(node, dispatcher.clone()),
             dispatcher,
         }
     }
 
-    /// Answers a request.
+    /// Handles a request of a caller.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let (parts, incoming) = request.into_parts();
         match CallerRequest::from_parts(parts) {
-            Ok(request) => self.answer(&request, incoming).await,
+            Ok(request) => self.respond(&request, incoming).await,
             Err(refusal) => refusal.to_response(),
         }
     }
 
-    /// Runs a request that a peer without own slots passes on, to be mounted on the peer listener.
+    /// Handles a request forwarded by a peer; mounted on the peer listener under
+    /// [`PEER_RUN_PATH`].
     pub async fn handle_peer_run(self, request: Request<Incoming>) -> Response<Body> {
         let (mut parts, incoming) = request.into_parts();
         let path = parts.uri.path_and_query().map_or("", PathAndQuery::as_str);
@@ -73,13 +75,13 @@
         match CallerRequest::from_parts(parts) {
             Ok(mut request) => {
                 request.is_forwarded = true;
-                self.answer(&request, incoming).await
+                self.respond(&request, incoming).await
             }
             Err(refusal) => refusal.to_response(),
         }
     }
 
-    async fn answer(&self, request: &CallerRequest, incoming: Incoming) -> Response<Body> {
+    async fn respond(&self, request: &CallerRequest, incoming: Incoming) -> Response<Body> {
         match self.run(request, incoming).await {
             Ok(response) => response,
             Err(refusal) => {
@@ -92,29 +94,30 @@
         }
     }
 
-    /// Waits until the outcome of every keyed request that was begun is in the log.
+    /// Waits until the outcome of every started keyed request is in the log.
     ///
-    /// A node that stopped before would leave keys pending that only it knows the outcome of, and
-    /// their callers would be told "outcome unknown" from then on.
+    /// If the node stopped earlier, these keys would stay pending and duplicates would be refused
+    /// with an unknown outcome.
     pub async fn wait_for_outcomes(&self) {
-        self.keys.wait_for_outcomes().await;
+        self.keyed.wait_for_outcomes().await;
     }
 
-    /// Answers a peer that asks for the answer of a key, to be mounted on the peer listener.
+    /// Handles a peer's request for the response of a key; mounted on the peer listener under
+    /// [`crate::PEER_ANSWER_PATH`].
     pub async fn handle_peer_answer(self, request: Request<Incoming>) -> Response<Body> {
-        self.keys.answer_peer(request).await
+        self.keyed.handle_peer_answer(request).await
     }
 
-    /// Returns the load that this node puts on endpoints, for its peers.
+    /// Returns this node's requests in progress on each endpoint, for its peers.
     #[must_use]
     pub fn endpoint_loads(&self) -> Vec<EndpointLoad> {
-        self.tables.loads()
+        self.routing_tables.endpoint_loads()
     }
 
-    /// Returns the endpoints that this node saw leaving or failing, for its peers.
+    /// Returns the endpoints that this node has ejected, for its peers.
     #[must_use]
     pub fn ejected_endpoints(&self) -> Vec<EndpointLoad> {
-        self.tables.leaving()
+        self.routing_tables.ejected_endpoints()
     }
 
     async fn run(
@@ -122,25 +125,25 @@
         request: &CallerRequest,
         incoming: Incoming,
     ) -> Result<Response<Body>, Refusal> {
-        let arrived = Instant::now();
-        let table = self.tables.load();
+        let arrived_at = Instant::now();
+        let table = self.routing_tables.load();
         let service = table.service(&request.service).ok_or_else(|| {
             let detail = format!("there is no service {}", request.service);
             Refusal::not_run(RefusalReason::UnknownService, detail)
         })?;
         let spec = &service.spec;
-        let deadline = arrived + allowed(request, spec);
+        let deadline = arrived_at + time_limit(request, spec);
         if request.is_forwarded {
-            let mut payload = Payload::read(incoming, MAX_KEPT_BYTES, deadline).await?;
+            let mut payload = Payload::read(incoming, MAX_BUFFERED_BYTES, deadline).await?;
             return self.dispatcher.run(request, &mut payload, deadline).await;
         }
-        let now_ms = self.tables.now_ms();
-        self.rates
+        let now_ms = self.routing_tables.now_ms();
+        self.rate_limits
             .take(&spec.name, &request.team, spec.team_rate_per_s, now_ms)?;
         match &request.key {
             Some(key) if !request.is_idempotent() => {
                 match Payload::read(incoming, MAX_KEYED_BYTES, deadline).await? {
-                    Payload::Kept(body) => self.keys.run(request, key, body, deadline).await,
+                    Payload::Buffered(body) => self.keyed.run(request, key, body, deadline).await,
                     Payload::Streamed(_) => Err(Refusal::not_run(
                         RefusalReason::BodyTooLarge,
                         "a body with an idempotency key may have 1 MiB",
@@ -148,15 +151,15 @@
                 }
             }
             _ => {
-                let mut payload = Payload::read(incoming, MAX_KEPT_BYTES, deadline).await?;
+                let mut payload = Payload::read(incoming, MAX_BUFFERED_BYTES, deadline).await?;
                 self.dispatcher.run(request, &mut payload, deadline).await
             }
         }
     }
 }
 
-/// Returns the time for which a request may take.
-fn allowed(request: &CallerRequest, service: &ServiceSpec) -> Duration {
-    let asked_ms = request.deadline_ms.unwrap_or(service.deadline_ms);
-    Duration::from_millis(asked_ms.min(service.deadline_ms))
+/// Returns the time that a request may take.
+fn time_limit(request: &CallerRequest, service: &ServiceSpec) -> Duration {
+    let requested_ms = request.deadline_ms.unwrap_or(service.deadline_ms);
+    Duration::from_millis(requested_ms.min(service.deadline_ms))
 }
