--- a/crates/lynxwheel/src/config.rs
+++ b/crates/lynxwheel/src/config.rs
@@ -91,19 +91,19 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// `[node] name`: name, unique among the nodes.
-    pub node: String,
+    pub node_name: String,
     /// `[node] zone`: availability zone.
     pub zone: String,
     /// `[listen] callers`: address for callers, `/livez` and `/readyz`.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// `[listen] operators`: address for the resource API and `/metrics`.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// `[listen] peers`: address for the other nodes.
-    pub peers_listen: SocketAddr,
+    pub peer_listen_address: SocketAddr,
     /// `[tokens]`: operators' access, `name = role:token` or `name = role:@file`.
     pub access: Access,
     /// `[platform] address`: address of the platform's services.
-    pub platform: SocketAddr,
+    pub platform_address: SocketAddr,
     /// `[platform] stream`: name of the fleet's stream; `fleet` by default.
     pub stream: String,
     /// `[peers]`: the other nodes, `name = ip:port` of their peer listeners.
@@ -111,19 +111,19 @@
     /// `[timing] propose_timeout_ms`: time until a proposal's outcome is called unknown; 3000.
     pub propose_timeout_ms: u64,
     /// `[timing] tick_ms`: pause between looks at VMs and jobs; 200.
-    pub tick_ms: u64,
+    pub poll_interval_ms: u64,
     /// `[timing] rank_delay_ms`: pause by which each rank waits for the one before; 300.
-    pub rank_delay_ms: u64,
+    pub join_retry_ms: u64,
     /// `[timing] action_timeout_ms`: time that a VM may take for an action; 600000.
     pub action_timeout_ms: u64,
     /// `[timing] drain_ms`: time between readiness off and the end of accepting; 1000.
-    pub drain_ms: u64,
+    pub drain_delay_ms: u64,
     /// `[platform] appends_per_s`: appends in a second that all nodes together make at most; 360.
-    pub appends_per_s: u32,
+    pub max_appends_per_s: u32,
     /// `[snapshots] records`: records after which a snapshot is due; 20000.
-    pub snapshot_records: u64,
+    pub snapshot_interval_records: u64,
     /// `[snapshots] period_ms`: time after which a snapshot is due; 600000.
-    pub snapshot_period_ms: u64,
+    pub snapshot_interval_ms: u64,
     /// `[log] level`: lowest level written; `info`.
     pub log_level: String,
     /// `[log] file`: file of the log; standard output by default.
@@ -171,26 +171,26 @@
         };
         reader.check_known();
         let config = Self {
-            node: reader.required("node", "name"),
+            node_name: reader.required("node", "name"),
             zone: reader.required("node", "zone"),
-            callers: reader.address("listen", "callers"),
-            operators: reader.address("listen", "operators"),
-            peers_listen: reader.address("listen", "peers"),
+            caller_address: reader.address("listen", "callers"),
+            operator_address: reader.address("listen", "operators"),
+            peer_listen_address: reader.address("listen", "peers"),
             access: reader.access(),
-            platform: reader.address("platform", "address"),
+            platform_address: reader.address("platform", "address"),
             stream: reader
                 .text("platform", "stream")
                 .unwrap_or("fleet")
                 .to_owned(),
             peers: reader.peers(),
             propose_timeout_ms: reader.number("timing", "propose_timeout_ms", 3_000),
-            tick_ms: reader.number("timing", "tick_ms", 200),
-            rank_delay_ms: reader.number("timing", "rank_delay_ms", 300),
+            poll_interval_ms: reader.number("timing", "tick_ms", 200),
+            join_retry_ms: reader.number("timing", "rank_delay_ms", 300),
             action_timeout_ms: reader.number("timing", "action_timeout_ms", 600_000),
-            drain_ms: reader.number("timing", "drain_ms", 1_000),
-            appends_per_s: reader.small_number("platform", "appends_per_s", 360),
-            snapshot_records: reader.number("snapshots", "records", 20_000),
-            snapshot_period_ms: reader.number("snapshots", "period_ms", 600_000),
+            drain_delay_ms: reader.number("timing", "drain_ms", 1_000),
+            max_appends_per_s: reader.small_number("platform", "appends_per_s", 360),
+            snapshot_interval_records: reader.number("snapshots", "records", 20_000),
+            snapshot_interval_ms: reader.number("snapshots", "period_ms", 600_000),
             log_level: reader.level(),
             log_file: reader.text("log", "file").map(PathBuf::from),
         };
@@ -207,17 +207,17 @@
     /// Returns the settings of the node's coordination.
     #[must_use]
     pub fn node_settings(&self) -> NodeSettings {
-        let identity = NodeIdentity::new(&self.node, &self.zone);
+        let identity = NodeIdentity::new(&self.node_name, &self.zone);
         let mut settings =
-            NodeSettings::new(identity, self.platform).with_peers(self.peers.clone());
+            NodeSettings::new(identity, self.platform_address).with_peers(self.peers.clone());
         settings.stream.clone_from(&self.stream);
         settings.propose_timeout_ms = self.propose_timeout_ms;
-        settings.poll_interval_ms = self.tick_ms;
-        settings.join_retry_ms = self.rank_delay_ms;
+        settings.poll_interval_ms = self.poll_interval_ms;
+        settings.join_retry_ms = self.join_retry_ms;
         settings.action_timeout_ms = self.action_timeout_ms;
-        settings.max_appends_per_s = self.appends_per_s;
-        settings.snapshot_interval_records = self.snapshot_records;
-        settings.snapshot_interval_ms = self.snapshot_period_ms;
+        settings.max_appends_per_s = self.max_appends_per_s;
+        settings.snapshot_interval_records = self.snapshot_interval_records;
+        settings.snapshot_interval_ms = self.snapshot_interval_ms;
         settings
     }
 }
@@ -349,7 +349,7 @@
             .ini
             .section(Some("tokens"))
             .is_none_or(ini::Properties::is_empty);
-        if is_open && !config.operators.ip().is_loopback() {
+        if is_open && !config.operator_address.ip().is_loopback() {
             let reason = "without [tokens], operators may listen on loopback addresses only";
             self.bad("listen", "operators", reason);
         }
--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -84,17 +84,17 @@
     ///
     /// Fails when a listener cannot be opened.
     pub async fn start(config: &Config) -> Result<Self, DaemonError> {
-        let callers = bind("callers", config.callers).await?;
-        let operators = bind("operators", config.operators).await?;
-        let peers = bind("peers", config.peers_listen).await?;
+        let callers = bind("callers", config.caller_address).await?;
+        let operators = bind("operators", config.operator_address).await?;
+        let peers = bind("peers", config.peer_listen_address).await?;
         let metrics = metrics_handle();
         let stopping = Shutdown::new();
         let closing = Shutdown::new();
         let ending = Shutdown::new();
         let (node, threads) = Node::start(config.node_settings(), &ending);
         let addresses = (
-            local(&callers, config.callers),
-            local(&operators, config.operators),
+            local(&callers, config.caller_address),
+            local(&operators, config.operator_address),
         );
         let gateway = Gateway::new(node.clone());
         let health = Health {
@@ -124,7 +124,7 @@
             stopping,
             closing,
             ending,
-            drain: Duration::from_millis(config.drain_ms),
+            drain: Duration::from_millis(config.drain_delay_ms),
             servers,
             peer_server,
             threads,
@@ -197,7 +197,7 @@
     let mut terminate = signals(SignalKind::terminate())?;
     let mut interrupt = signals(SignalKind::interrupt())?;
     let daemon = Daemon::start(&config).await?;
-    info!(event = "started", node = config.node.as_str(),
+    info!(event = "started", node = config.node_name.as_str(),
         callers = daemon.callers().to_string().as_str(),
         operators = daemon.operators().to_string().as_str(); "");
     tokio::select! {
--- a/crates/lynxwheel/src/lib.rs
+++ b/crates/lynxwheel/src/lib.rs
@@ -6,7 +6,7 @@
 //! let text = "[node]\nname = node-1\nzone = zone-1\n[listen]\ncallers = 127.0.0.1:8080\n\
 //!     operators = 127.0.0.1:8081\npeers = 127.0.0.1:8082\n[platform]\naddress = 127.0.0.1:7000\n";
 //! let config = Config::parse("node-1.ini", text).unwrap();
-//! assert_eq!(config.node, "node-1");
+//! assert_eq!(config.node_name, "node-1");
 //!
 //! let errors = Config::parse("node-1.ini", "[node]\nnmae = node-1\n").unwrap_err();
 //! assert!(errors[0].to_string().starts_with("node-1.ini: section node, key nmae: "));
