--- a/crates/lynxctl/tests/ctl/commands.rs
+++ b/crates/lynxctl/tests/ctl/commands.rs
@@ -108,7 +108,7 @@
     let fleet = Fleet::start(0).await;
     let directory = files("middle", &[("fleet.ini", FLEET)]);
     let declarations = lynxctl::load(&directory).expect("declarations");
-    let client = lynxctl::ApiClient::new(&[fleet.daemon.operators()]);
+    let client = lynxctl::ApiClient::new(&[fleet.daemon.operator_address()]);
     let plan = lynxctl::plan(&client, &declarations).await.expect("plan");
     let stopped = lynxctl::carry_out(&client, &plan, &|line: &str| {
         if line.contains("pool/spare") {
@@ -153,7 +153,7 @@
         )],
     );
     let declarations = lynxctl::load(&directory).expect("declarations");
-    let client = lynxctl::ApiClient::new(&[fleet.daemon.operators()]);
+    let client = lynxctl::ApiClient::new(&[fleet.daemon.operator_address()]);
     let plan = lynxctl::plan(&client, &declarations).await.expect("plan");
     let faster = files(
         "race-3",
--- a/crates/lynxctl/tests/ctl/common.rs
+++ b/crates/lynxctl/tests/ctl/common.rs
@@ -47,7 +47,11 @@
 
     /// Runs `lynxctl` with these words; progress follows the result.
     pub async fn ctl(&self, words: &str) -> Outcome {
-        run(&format!("--server {} {words}", self.daemon.operators())).await
+        run(&format!(
+            "--server {} {words}",
+            self.daemon.operator_address()
+        ))
+        .await
     }
 
     /// Runs `lynxctl`, which must succeed, and returns what it printed.
--- a/crates/lynxctl/tests/ctl/servers.rs
+++ b/crates/lynxctl/tests/ctl/servers.rs
@@ -28,7 +28,7 @@
     let servers = format!(
         "--server {} --server {}",
         closed(),
-        fleet.daemon.operators()
+        fleet.daemon.operator_address()
     );
     let outcome = run(&format!("{servers} apply -f {}", directory.display())).await;
     assert_eq!(
@@ -70,14 +70,17 @@
             .await
             .expect("some of the request");
     });
-    let servers = format!("--server {address} --server {}", fleet.daemon.operators());
+    let servers = format!(
+        "--server {address} --server {}",
+        fleet.daemon.operator_address()
+    );
     let outcome = run(&format!("{servers} delete pool notices")).await;
     assert_eq!(outcome.code, 5, "{}", outcome.text);
     timeout(LIMIT, death)
         .await
         .expect("the end")
         .expect("the end");
-    let client = lynxctl::ApiClient::new(&[fleet.daemon.operators()]);
+    let client = lynxctl::ApiClient::new(&[fleet.daemon.operator_address()]);
     let pool = ResourceRef::new(Kind::Pool, "notices");
     assert!(client.get(&pool).await.expect("answer").is_some());
 }
--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -65,8 +65,8 @@
 #[derive(Debug)]
 pub struct Daemon {
     node: Node,
-    callers: SocketAddr,
-    operators: SocketAddr,
+    caller_address: SocketAddr,
+    operator_address: SocketAddr,
     gateway: Gateway,
     stopping: Shutdown,
     closing: Shutdown,
@@ -118,8 +118,8 @@
         ];
         Ok(Self {
             node,
-            callers: addresses.0,
-            operators: addresses.1,
+            caller_address: addresses.0,
+            operator_address: addresses.1,
             gateway,
             stopping,
             closing,
@@ -139,14 +139,14 @@
 
     /// Returns the address for callers.
     #[must_use]
-    pub fn callers(&self) -> SocketAddr {
-        self.callers
+    pub fn caller_address(&self) -> SocketAddr {
+        self.caller_address
     }
 
     /// Returns the address for operators.
     #[must_use]
-    pub fn operators(&self) -> SocketAddr {
-        self.operators
+    pub fn operator_address(&self) -> SocketAddr {
+        self.operator_address
     }
 
     /// Stops gracefully: readiness off, a while for the balancer to notice, then no new
@@ -198,8 +198,8 @@
     let mut interrupt = signals(SignalKind::interrupt())?;
     let daemon = Daemon::start(&config).await?;
     info!(event = "started", node = config.node_name.as_str(),
-        callers = daemon.callers().to_string().as_str(),
-        operators = daemon.operators().to_string().as_str(); "");
+        callers = daemon.caller_address().to_string().as_str(),
+        operators = daemon.operator_address().to_string().as_str(); "");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/lynxwheel/src/dev.rs
+++ b/crates/lynxwheel/src/dev.rs
@@ -38,8 +38,8 @@
         println!(
             "{}     callers http://{}  operators http://{}",
             daemon.node().settings().identity.node,
-            daemon.callers(),
-            daemon.operators()
+            daemon.caller_address(),
+            daemon.operator_address()
         );
     }
     tokio::signal::ctrl_c()
--- a/crates/lynxwheel/src/embedded.rs
+++ b/crates/lynxwheel/src/embedded.rs
@@ -79,7 +79,7 @@
 
     /// Declares resources through the first node's API, in order.
     pub(crate) async fn declare(&self, resources: &[Resource]) -> Result<(), String> {
-        let operators = Client::new(self.daemons[0].operators(), 4);
+        let operators = Client::new(self.daemons[0].operator_address(), 4);
         for resource in resources {
             let body = serde_json::to_vec(resource).map_err(|error| error.to_string())?;
             let path = format!("/v1/{}/{}", resource.kind(), resource.name());
--- a/crates/lynxwheel/src/main_job.rs
+++ b/crates/lynxwheel/src/main_job.rs
@@ -165,7 +165,7 @@
     let clients: Vec<Client> = fleet
         .daemons
         .iter()
-        .map(|daemon| Client::new(daemon.callers(), 16))
+        .map(|daemon| Client::new(daemon.caller_address(), 16))
         .collect();
     let mut calls = JoinSet::new();
     for number in 0..REQUESTS {
