--- a/crates/lynxwheel/src/audit.rs
+++ b/crates/lynxwheel/src/audit.rs
@@ -13,9 +13,9 @@
     /// Lowest number of available VMs after the pool had first reached its floor.
     pub lowest_available: u32,
     /// Whether the pool ever reached its floor.
-    pub was_ready: bool,
+    pub has_reached_floor: bool,
     /// VMs moved into the pool.
-    pub moved_in: u32,
+    pub vms_moved_in: u32,
 }
 
 impl PoolAudit {
@@ -23,8 +23,8 @@
         Self {
             pool: pool.clone(),
             lowest_available: u32::MAX,
-            was_ready: false,
-            moved_in: 0,
+            has_reached_floor: false,
+            vms_moved_in: 0,
         }
     }
 }
@@ -44,8 +44,8 @@
         for pool in state.pools().iter() {
             let availability = pool.availability();
             let audit = audit_of(&mut audits, &pool.spec.name);
-            audit.was_ready |= availability.available >= availability.floor;
-            if audit.was_ready {
+            audit.has_reached_floor |= availability.available >= availability.floor;
+            if audit.has_reached_floor {
                 audit.lowest_available = audit.lowest_available.min(availability.available);
             }
         }
@@ -59,7 +59,7 @@
         && is_accepted
         && let Some(vm) = state.vms().get(vm.as_str())
     {
-        audit_of(audits, &vm.pool).moved_in += 1;
+        audit_of(audits, &vm.pool).vms_moved_in += 1;
     }
 }
 
--- a/crates/lynxwheel/src/cli.rs
+++ b/crates/lynxwheel/src/cli.rs
@@ -187,22 +187,22 @@
             listen,
             vms,
             reboot_ms,
-        }) => runtime.block_on(dev::dev_platform(*listen, *vms, *reboot_ms)),
-        None if args.once => match runtime.block_on(dev::dev_once()) {
+        }) => runtime.block_on(dev::run_dev_platform(*listen, *vms, *reboot_ms)),
+        None if args.once => match runtime.block_on(dev::run_dev_job()) {
             Ok(report) => {
                 println!(
                     "{}",
                     if args.json {
-                        report.json()
+                        report.to_json()
                     } else {
-                        report.table()
+                        report.to_table()
                     }
                 );
-                report.verdict()
+                report.check()
             }
             Err(reason) => Err(reason),
         },
-        None => runtime.block_on(dev::dev_stay()),
+        None => runtime.block_on(dev::run_dev_fleet()),
     };
     // Threads of duties end with the process.
     runtime.shutdown_background();
--- a/crates/lynxwheel/src/config.rs
+++ b/crates/lynxwheel/src/config.rs
@@ -53,7 +53,7 @@
         reason: String,
     },
     /// A key is missing, unknown or has a bad value.
-    BadKey {
+    InvalidKey {
         /// File.
         file: PathBuf,
         /// Section.
@@ -69,7 +69,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable { file, reason } => write!(formatter, "{}: {reason}", file.display()),
-            Self::BadKey {
+            Self::InvalidKey {
                 file,
                 section,
                 key,
@@ -231,7 +231,7 @@
 
 impl<'a> Reader<'a> {
     fn bad(&mut self, section: &str, key: &str, reason: impl Into<String>) {
-        self.errors.push(ConfigError::BadKey {
+        self.errors.push(ConfigError::InvalidKey {
             file: self.file.into(),
             section: section.into(),
             key: key.into(),
--- a/crates/lynxwheel/src/dev.rs
+++ b/crates/lynxwheel/src/dev.rs
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// Returns the reason when the job cannot be run to its end.
-pub async fn dev_once() -> Result<DevReport, String> {
+pub async fn run_dev_job() -> Result<DevReport, String> {
     let fleet = Fleet::start(VMS).await?;
     let report = run_main_job(&fleet).await?;
     for daemon in fleet.daemons {
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Returns the reason when it cannot be started.
-pub async fn dev_stay() -> Result<(), String> {
+pub async fn run_dev_fleet() -> Result<(), String> {
     let fleet = Fleet::start(VMS).await?;
     fleet.declare(&declarations()).await?;
     println!("platform   http://{}", fleet.platform.address());
@@ -52,7 +52,7 @@
 /// # Errors
 ///
 /// Returns the reason when it cannot be started.
-pub async fn dev_platform(listen: SocketAddr, vms: u32, reboot_ms: u64) -> Result<(), String> {
+pub async fn run_dev_platform(listen: SocketAddr, vms: u32, reboot_ms: u64) -> Result<(), String> {
     let templates: Vec<VmTemplate> = (0..vms).map(VmTemplate::numbered).collect();
     let platform = PlatformServer::start(listen, &templates, reboot_ms)
         .await
--- a/crates/lynxwheel/src/lib.rs
+++ b/crates/lynxwheel/src/lib.rs
@@ -27,6 +27,6 @@
 pub use audit::{PoolAudit, audit};
 pub use config::{Config, ConfigError, KNOWN_KEYS, NAMED_SECTIONS};
 pub use daemon::{Daemon, DaemonError, run};
-pub use dev::{dev_once, dev_platform, dev_stay};
+pub use dev::{run_dev_fleet, run_dev_job, run_dev_platform};
 pub use logging::{start_logging, start_quiet_logging};
 pub use report::{DevReport, PoolReport, RequestReport};
--- a/crates/lynxwheel/src/main_job.rs
+++ b/crates/lynxwheel/src/main_job.rs
@@ -234,7 +234,7 @@
         let Some(pool) = state.pools().get(audit.pool.as_str()) else {
             continue;
         };
-        if !audit.was_ready || audit.lowest_available < pool.floor() {
+        if !audit.has_reached_floor || audit.lowest_available < pool.floor() {
             broken.push(format!("pool {} fell below its budget", audit.pool));
         }
         pools.push(pool_report(&state, pool, &audit, wave_ms));
@@ -289,7 +289,7 @@
         promised: pool.floor(),
         lowest: audit.lowest_available,
         roll_out_ms: last_ms.saturating_sub(wave_ms),
-        vm_moves: audit.moved_in,
+        vm_moves: audit.vms_moved_in,
         job_moves: jobs.map(|job| job.attempts.saturating_sub(1)).sum(),
     }
 }
--- a/crates/lynxwheel/src/report.rs
+++ b/crates/lynxwheel/src/report.rs
@@ -54,13 +54,13 @@
 impl DevReport {
     /// Returns the report as one JSON object.
     #[must_use]
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_else(|error| format!("{{\"error\":\"{error}\"}}"))
     }
 
     /// Returns the report as a table for people.
     #[must_use]
-    pub fn table(&self) -> String {
+    pub fn to_table(&self) -> String {
         let mut text = String::new();
         let mut line = |cells: [&str; 7]| {
             let [pool, vms, promised, lowest, roll_out, vm_moves, job_moves] = cells;
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// Returns what did not hold.
-    pub fn verdict(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), String> {
         if self.broken.is_empty() {
             Ok(())
         } else {
