--- a/crates/lynxctl/src/commands.rs
+++ b/crates/lynxctl/src/commands.rs
@@ -66,7 +66,7 @@
         }
         RemoteCommand::Get { kind, name: None } => {
             let list = client.list(*kind).await?;
-            Ok(shown(cli, &list, || output::list(&list.items)))
+            Ok(shown(cli, &list, || output::format_list(&list.items)))
         }
         RemoteCommand::Get {
             kind,
@@ -74,18 +74,22 @@
         } => {
             let view = declared(client, &ResourceRef::new(*kind, name)).await?;
             Ok(shown(cli, &view, || {
-                output::list(std::slice::from_ref(&view))
+                output::format_list(std::slice::from_ref(&view))
             }))
         }
         RemoteCommand::Describe(args) => {
             let view = declared(client, &args.reference()).await?;
-            Ok(shown(cli, &view, || output::describe(&view)))
+            Ok(shown(cli, &view, || output::format_resource(&view)))
         }
         RemoteCommand::Explain(args) => {
             let view = declared(client, &args.reference()).await?;
             let explained = client.explain(&args.reference()).await?;
             Ok(shown(cli, &explained, || {
-                format!("{}\n\n{}", explained.explanation, output::conditions(&view))
+                format!(
+                    "{}\n\n{}",
+                    explained.explanation,
+                    output::format_conditions(&view)
+                )
             }))
         }
         RemoteCommand::Watch {
@@ -113,11 +117,11 @@
         }
         RemoteCommand::Operation { id: None } => {
             let list = client.operations().await?;
-            Ok(shown(cli, &list, || output::operations(&list.items)))
+            Ok(shown(cli, &list, || output::format_operations(&list.items)))
         }
         RemoteCommand::Operation { id: Some(id) } => {
             let view = client.operation(*id).await?;
-            Ok(shown(cli, &view, || output::operation(&view)))
+            Ok(shown(cli, &view, || output::format_operation(&view)))
         }
     }
 }
--- a/crates/lynxctl/src/lib.rs
+++ b/crates/lynxctl/src/lib.rs
@@ -27,4 +27,7 @@
     Declaration, DeclarationError, MAX_FILE_BYTES, MAX_FILES, load, parse, text_of, texts,
 };
 pub use error::{CtlError, EXIT_CODES};
-pub use output::{conditions, describe, list, operation, operations, table};
+pub use output::{
+    format_conditions, format_list, format_operation, format_operations, format_resource,
+    format_table,
+};
--- a/crates/lynxctl/src/output.rs
+++ b/crates/lynxctl/src/output.rs
@@ -11,7 +11,7 @@
 
 /// Lays rows out in columns; the last column is not padded.
 #[must_use]
-pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
+pub fn format_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
@@ -20,11 +20,11 @@
     }
     let header: Vec<String> = header.iter().map(|cell| (*cell).into()).collect();
     let lines = std::iter::once(&header).chain(rows);
-    let lines: Vec<String> = lines.map(|row| line(row, &widths)).collect();
+    let lines: Vec<String> = lines.map(|row| format_row(row, &widths)).collect();
     lines.join("\n")
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn format_row(row: &[String], widths: &[usize]) -> String {
     let mut line = String::new();
     for (cell, width) in row.iter().zip(widths) {
         // Writing to a string cannot fail.
@@ -35,17 +35,17 @@
 
 /// Returns the first condition, which tells whether what was declared holds.
 #[must_use]
-pub fn ready(view: &ResourceView) -> Option<&Condition> {
+pub fn ready_condition(view: &ResourceView) -> Option<&Condition> {
     view.conditions.first()
 }
 
 /// Lists resources.
 #[must_use]
-pub fn list(views: &[ResourceView]) -> String {
+pub fn format_list(views: &[ResourceView]) -> String {
     let rows: Vec<Vec<String>> = views
         .iter()
         .map(|view| {
-            let (holds, reason) = ready(view).map_or(("-", ""), |condition| {
+            let (holds, reason) = ready_condition(view).map_or(("-", ""), |condition| {
                 (yes_no(condition.holds), condition.reason.as_str())
             });
             vec![
@@ -56,12 +56,12 @@
             ]
         })
         .collect();
-    table(&["NAME", "REVISION", "READY", "REASON"], &rows)
+    format_table(&["NAME", "REVISION", "READY", "REASON"], &rows)
 }
 
 /// Shows a resource in full, its declaration as a file would give it.
 #[must_use]
-pub fn describe(view: &ResourceView) -> String {
+pub fn format_resource(view: &ResourceView) -> String {
     let reference = view.resource.reference();
     let mut text = format!("[{} {}]\n", reference.kind, reference.name);
     // Writing to a string cannot fail.
@@ -73,7 +73,7 @@
         "\nrevision {}, observed at {}\n",
         view.revision, view.observed_revision
     );
-    text += &conditions(view);
+    text += &format_conditions(view);
     if !view.status.is_null() {
         let _ = write!(text, "\n\nstatus {:#}", view.status);
     }
@@ -82,7 +82,7 @@
 
 /// Shows what holds of a resource, and why.
 #[must_use]
-pub fn conditions(view: &ResourceView) -> String {
+pub fn format_conditions(view: &ResourceView) -> String {
     let rows: Vec<Vec<String>> = view
         .conditions
         .iter()
@@ -94,13 +94,13 @@
             ]
         })
         .collect();
-    table(&["CONDITION", "HOLDS", "REASON"], &rows)
+    format_table(&["CONDITION", "HOLDS", "REASON"], &rows)
 }
 
 /// Shows an operation.
 #[must_use]
-pub fn operation(view: &OperationView) -> String {
-    let mut text = outcome(view);
+pub fn format_operation(view: &OperationView) -> String {
+    let mut text = format_outcome(view);
     if !view.current {
         text += "\nthis node is not current: ask another one too";
     }
@@ -109,19 +109,19 @@
 
 /// Lists operations.
 #[must_use]
-pub fn operations(views: &[OperationView]) -> String {
+pub fn format_operations(views: &[OperationView]) -> String {
     let rows: Vec<Vec<String>> = views
         .iter()
         .map(|view| {
             let reference = view.reference.as_ref();
             let reference = reference.map_or_else(|| "-".into(), ToString::to_string);
-            vec![view.operation.to_string(), reference, outcome(view)]
+            vec![view.operation.to_string(), reference, format_outcome(view)]
         })
         .collect();
-    table(&["OPERATION", "RESOURCE", "OUTCOME"], &rows)
+    format_table(&["OPERATION", "RESOURCE", "OUTCOME"], &rows)
 }
 
-fn outcome(view: &OperationView) -> String {
+fn format_outcome(view: &OperationView) -> String {
     match &view.outcome {
         OperationOutcome::Accepted { offset } => format!("accepted at revision {offset}"),
         OperationOutcome::Rejected { offset, reason } => {
--- a/crates/lynxctl/src/wait.rs
+++ b/crates/lynxctl/src/wait.rs
@@ -106,7 +106,7 @@
 
 fn summary(view: &ResourceView) -> String {
     let reference = view.resource.reference();
-    match output::ready(view) {
+    match output::ready_condition(view) {
         Some(ready) if ready.holds => format!("{reference} is ready: {}", ready.reason),
         Some(ready) => format!("{reference}: {}", ready.reason),
         None => format!("{reference}: nothing is known"),
@@ -114,7 +114,7 @@
 }
 
 fn judge(view: &ResourceView, text: String) -> Seen {
-    if output::ready(view).is_some_and(|ready| ready.holds) {
+    if output::ready_condition(view).is_some_and(|ready| ready.holds) {
         return Seen::Ready(text);
     }
     let is_final = |name: &str, holds: bool| name == FINAL && holds;
