--- a/crates/lynxwheel/src/main_job.rs
+++ b/crates/lynxwheel/src/main_job.rs
@@ -165,7 +165,7 @@
     let clients: Vec<Client> = fleet
         .daemons
         .iter()
-        .map(|daemon| Client::new(daemon.callers(), 16))
+        .map(|daemon| Client::new(daemon.caller_address(), 16))
         .collect();
     let mut calls = JoinSet::new();
     for number in 0..REQUESTS {
@@ -234,7 +234,7 @@
         let Some(pool) = state.pools().get(audit.pool.as_str()) else {
             continue;
         };
-        if !audit.was_ready || audit.lowest_available < pool.floor() {
+        if !audit.has_reached_floor || audit.lowest_available < pool.floor() {
             broken.push(format!("pool {} fell below its budget", audit.pool));
         }
         pools.push(pool_report(&state, pool, &audit, wave_ms));
@@ -289,7 +289,7 @@
         promised: pool.floor(),
         lowest: audit.lowest_available,
         roll_out_ms: last_ms.saturating_sub(wave_ms),
-        vm_moves: audit.moved_in,
+        vm_moves: audit.vms_moved_in,
         job_moves: jobs.map(|job| job.attempts.saturating_sub(1)).sum(),
     }
 }
