--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -130,7 +130,7 @@
 
     async fn execute_platform_effect(&self, effect: Effect) {
         match effect {
-            Effect::Advise { step, endpoints } => self.request_advice(step, &endpoints).await,
+            Effect::GetTickets { step, endpoints } => self.request_advice(step, &endpoints).await,
             Effect::MoveVm { vm, pool } => {
                 let Some(client) = &self.vms else {
                     return;
@@ -172,7 +172,8 @@
             "advice requested"
         );
         let answer = answer.ok();
-        self.send_event(Event::Advised { step, answer }).await;
+        self.send_event(Event::TicketsReceived { step, answer })
+            .await;
     }
 
     async fn send_event(&self, event: Event) {
--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -97,7 +97,7 @@
             advice.requested = unknown.take(MAX_ENDPOINTS_PER_REQUEST).collect();
             if !advice.requested.is_empty() {
                 advice.next_request_ms = now.steady_ms + REQUEST_TIMEOUT_MS;
-                self.immediate_effects.push(Effect::Advise {
+                self.immediate_effects.push(Effect::GetTickets {
                     step: *step,
                     endpoints: names(&self.endpoints, &advice.requested),
                 });
@@ -119,7 +119,7 @@
 
     /// Processes an answer: tickets for the endpoints that may run the step, or `None` if the call
     /// failed.
-    pub(crate) fn advice_received(
+    pub(crate) fn tickets_received(
         &mut self,
         step: &TaskRef,
         answer: Option<(Vec<Ticket>, u64)>,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -211,7 +211,7 @@
                 outcome,
             } => self.stop_answered(endpoint, &task, run, &outcome, now),
             Event::Renewed { endpoint, outcome } => self.renewal_answered(endpoint, outcome, now),
-            Event::Advised { step, answer } => self.advice_received(&step, answer, now),
+            Event::TicketsReceived { step, answer } => self.tickets_received(&step, answer, now),
             Event::Paced {
                 endpoint,
                 task,
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -147,7 +147,7 @@
         outcome: CallOutcome<EndpointReport>,
     },
     /// A request for tickets of a step was answered.
-    Advised {
+    TicketsReceived {
         /// First task of the step.
         step: TaskRef,
         /// Tickets and their validity in milliseconds; `None` if the call failed.
@@ -221,7 +221,7 @@
         wait_ms: u64,
     },
     /// Request tickets for a step from the advice service.
-    Advise {
+    GetTickets {
         /// First task of the step.
         step: TaskRef,
         /// Ids of the candidate endpoints.
--- a/crates/engine/tests/advice.rs
+++ b/crates/engine/tests/advice.rs
@@ -29,7 +29,7 @@
 
 fn requested(fleet: &Fleet) -> Vec<Vec<String>> {
     let asks = fleet.orders.iter().filter_map(|order| match order {
-        Effect::Advise { endpoints, .. } => {
+        Effect::GetTickets { endpoints, .. } => {
             Some(endpoints.iter().map(ToString::to_string).collect())
         }
         _ => None,
@@ -42,7 +42,7 @@
         endpoint: (*id).into(),
         text: format!("ticket-{id}").into(),
     });
-    fleet.handle(Event::Advised {
+    fleet.handle(Event::TicketsReceived {
         step: format!("{}.0.0.0", job_id(1)).parse().expect("a name"),
         answer: Some((tickets.collect(), 3_000)),
     });
@@ -84,7 +84,7 @@
 #[test]
 fn failed_ticket_request_is_repeated() {
     let mut fleet = two_endpoints();
-    fleet.handle(Event::Advised {
+    fleet.handle(Event::TicketsReceived {
         step: format!("{}.0.0.0", job_id(1)).parse().expect("a name"),
         answer: None,
     });
