--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -87,7 +87,7 @@
 impl ClientAccount {
     /// Returns whether runs with this total fit into the quota.
     #[must_use]
-    pub fn may_ever_run(&self, resources: &Resources) -> bool {
+    pub fn fits_quota(&self, resources: &Resources) -> bool {
         !exceeds_quota(resources, &self.quota)
     }
 }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -382,7 +382,7 @@
         let Ok(index) = self.search(task.job) else {
             return false;
         };
-        let is_required = self.jobs[index].state.is_final() || self.is_leaving(task, run);
+        let is_required = self.jobs[index].state.is_final() || self.is_endpoint_draining(task, run);
         let may_stop = is_required || self.can_interrupt(task);
         let job = &mut self.jobs[index];
         let Some(attempt) = find_attempt(job, task, run) else {
@@ -398,7 +398,7 @@
     }
 
     /// Returns whether the endpoint of a run is draining, which ends the run in any case.
-    fn is_leaving(&self, task: &TaskRef, run: u32) -> bool {
+    fn is_endpoint_draining(&self, task: &TaskRef, run: u32) -> bool {
         self.attempt(task, run)
             .is_some_and(|attempt| self.endpoints.get(attempt.endpoint).is_draining)
     }
--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -261,7 +261,7 @@
                 continue;
             }
             let load = &mut loads[index];
-            let takes_starts = endpoint.takes_starts(now.steady_ms);
+            let accepts_starts = endpoint.accepts_starts(now.steady_ms);
             load.total.used.add(&endpoint.used);
             load.total
                 .used_long_running
@@ -269,14 +269,14 @@
             if endpoint.long_running_runs > 0 {
                 load.total.pinned += 1;
             }
-            if takes_starts {
+            if accepts_starts {
                 load.total.supply += endpoint.capacity.cpu_millis;
                 load.total.members += 1;
             }
             for (kind, balance) in &mut load.features {
                 if kind.is_of(&endpoint.labels, &endpoint.capacity) {
                     balance.used.add(&kind.counted(&endpoint.used));
-                    if takes_starts {
+                    if accepts_starts {
                         balance.supply += kind.counted(&endpoint.capacity).cpu_millis;
                         balance.members += 1;
                     }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -232,7 +232,7 @@
 
     /// Returns whether new runs may start there.
     #[must_use]
-    pub fn takes_starts(&self, now_ms: u64) -> bool {
+    pub fn accepts_starts(&self, now_ms: u64) -> bool {
         self.is_registered
             && !self.has_ended
             && !self.is_draining
@@ -300,8 +300,9 @@
         let Some(reading) = self.clock else {
             return false;
         };
-        let left_ms = (self.lease_end_clock_ms + LEASE_MARGIN_MS).saturating_sub(reading.clock_ms);
-        let wait_ms = left_ms * (100 + CLOCK_SLACK_PERCENT) / 100;
+        let remaining_ms =
+            (self.lease_end_clock_ms + LEASE_MARGIN_MS).saturating_sub(reading.clock_ms);
+        let wait_ms = remaining_ms * (100 + CLOCK_SLACK_PERCENT) / 100;
         now.steady_ms > reading.at_ms + wait_ms
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -281,7 +281,7 @@
                 self.reply_immediately(token, CallerAnswer::Accepted);
             }
             Err(_) if self.is_store_unavailable => self.refuse(&[token]),
-            Err(_) if !self.may_ever_run(&job) => {
+            Err(_) if !self.fits_quota(&job) => {
                 self.reply_immediately(token, CallerAnswer::OverQuota);
             }
             Err(_) => {
@@ -309,12 +309,12 @@
     }
 
     /// Returns whether every task and gang of a job fits into the quota of its account.
-    fn may_ever_run(&self, job: &Job) -> bool {
+    fn fits_quota(&self, job: &Job) -> bool {
         let account = self.config.accounts.named(&job.account);
         account.is_none_or(|account| {
             job.spec.steps.iter().all(|step| {
-                let together = if step.gang { u64::from(step.count) } else { 1 };
-                account.may_ever_run(&step.resources.scaled(together))
+                let parallel_tasks = if step.gang { u64::from(step.count) } else { 1 };
+                account.fits_quota(&step.resources.scaled(parallel_tasks))
             })
         })
     }
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -146,9 +146,11 @@
             .endpoints
             .iter()
             .filter(|(_, endpoint)| {
-                let is_silent =
+                let is_unresponsive =
                     endpoint.failed_calls >= SUSPECT_AFTER_FAILED_CALLS || !endpoint.is_reachable();
-                is_silent && !endpoint.placed_runs.is_empty() && endpoint.is_lease_expired(now)
+                is_unresponsive
+                    && !endpoint.placed_runs.is_empty()
+                    && endpoint.is_lease_expired(now)
             })
             .map(|(key, _)| key)
             .collect();
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -119,7 +119,7 @@
             .endpoints
             .iter()
             .filter(|(_, endpoint)| {
-                endpoint.placed_runs.is_empty() && endpoint.takes_starts(now.steady_ms)
+                endpoint.placed_runs.is_empty() && endpoint.accepts_starts(now.steady_ms)
             })
             // Only the latest incarnation on a VM counts.
             .filter(|(key, endpoint)| self.endpoints.on_vm(endpoint.vm()) == Some(*key))
--- a/crates/engine/src/schedule.rs
+++ b/crates/engine/src/schedule.rs
@@ -164,7 +164,7 @@
         let expired: Vec<EndpointKey> = cooldown.drain(..expired).map(|(_, key)| key).collect();
         for key in self.endpoints.take_changed().into_iter().chain(expired) {
             let endpoint = self.endpoints.get(key);
-            if endpoint.takes_starts(now.steady_ms) {
+            if endpoint.accepts_starts(now.steady_ms) {
                 let free_cpu_millis = endpoint.free().cpu_millis;
                 self.free_capacity.set(key, &endpoint.pool, free_cpu_millis);
                 continue;
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -36,7 +36,7 @@
     let mut slots: Vec<Slot> = engine
         .endpoints()
         .iter()
-        .filter(|(_, endpoint)| endpoint.takes_starts(now_ms) && endpoint.pool == POOL)
+        .filter(|(_, endpoint)| endpoint.accepts_starts(now_ms) && endpoint.pool == POOL)
         .map(|(_, endpoint)| Slot {
             endpoint,
             free: endpoint.free(),
