--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -73,7 +73,7 @@
     pub running: Vec<(TaskRef, u32)>,
     pub ended: Vec<EndedTask>,
     pub fence: u64,
-    pub is_silent: bool,
+    pub is_unresponsive: bool,
     /// Number of ended runs.
     pub ends: u64,
     /// End of the lease on the endpoint's clock.
@@ -103,7 +103,7 @@
 }
 
 /// Returns a VM of 16 cores that is switched off.
-pub fn spare(name: &str) -> VmEntry {
+pub fn standby_vm(name: &str) -> VmEntry {
     VmEntry {
         name: name.into(),
         pool: "spare".into(),
@@ -330,7 +330,7 @@
     }
 
     /// Returns whether the incarnation no longer exists.
-    fn is_gone(&self, key: u32) -> bool {
+    fn has_ended(&self, key: u32) -> bool {
         let id = &self.engine.endpoints().get(key).id;
         !self.endpoints.iter().any(|endpoint| endpoint.id == *id)
     }
@@ -345,11 +345,11 @@
 
     /// Sends an order to an endpoint and returns the outcome that the caller observes.
     fn order(&mut self, key: u32, act: impl FnOnce(&mut FakeEndpoint)) -> CallOutcome<u64> {
-        if self.is_gone(key) {
+        if self.has_ended(key) {
             return CallOutcome::OtherLife;
         }
         let endpoint = self.endpoint(key);
-        if endpoint.is_silent {
+        if endpoint.is_unresponsive {
             return CallOutcome::Unknown;
         }
         act(endpoint);
@@ -401,9 +401,9 @@
                 acknowledged,
                 wait_ms,
             } => {
-                if !self.is_gone(endpoint) {
+                if !self.has_ended(endpoint) {
                     let fake = self.endpoint(endpoint);
-                    if !fake.is_silent {
+                    if !fake.is_unresponsive {
                         let until_ms = deadline_ms.unwrap_or_default();
                         fake.lease_until_ms = fake.lease_until_ms.max(until_ms);
                     }
@@ -421,7 +421,7 @@
         let clock_ms = clock_ms(self.now);
         for (due_ms, key, acknowledged) in std::mem::take(&mut self.waiting) {
             let now_ms = self.now.steady_ms;
-            if self.is_gone(key) {
+            if self.has_ended(key) {
                 self.handle(Event::Renewed {
                     endpoint: key,
                     outcome: CallOutcome::Unknown,
@@ -430,11 +430,11 @@
             }
             let endpoint = self.endpoint(key);
             endpoint.ended.retain(|ended| ended.number > acknowledged);
-            if due_ms > now_ms && endpoint.ended.is_empty() && !endpoint.is_silent {
+            if due_ms > now_ms && endpoint.ended.is_empty() && !endpoint.is_unresponsive {
                 self.waiting.push((due_ms, key, acknowledged));
             } else {
                 let endpoint = self.endpoint(key);
-                let outcome = if endpoint.is_silent {
+                let outcome = if endpoint.is_unresponsive {
                     CallOutcome::Unknown
                 } else {
                     endpoint.ended.retain(|ended| ended.number > acknowledged);
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -39,7 +39,7 @@
 
 /// Scheduled occurrence.
 #[derive(Debug)]
-enum Due {
+enum Scheduled {
     /// A call arrives at an endpoint; with the time at which the caller times out.
     Arrival(Effect, u64),
     /// An endpoint answers a renewal: endpoint, acknowledged end, time at which the caller times
@@ -59,7 +59,7 @@
     task: TaskRef,
     run: u32,
     begun_ms: u64,
-    takes_ms: u64,
+    duration_ms: u64,
 }
 
 /// Simulated endpoint.
@@ -102,7 +102,7 @@
     random: ChaCha8Rng,
     now_ms: u64,
     /// Scheduled occurrences, unsorted: time, sequence number, occurrence.
-    due: Vec<(u64, u64, Due)>,
+    due: Vec<(u64, u64, Scheduled)>,
     next_order: u64,
     endpoints: Vec<FakeEndpoint>,
     mailbox: VecDeque<Event>,
@@ -154,7 +154,7 @@
         for number in 0..ENDPOINTS {
             world.list(number);
         }
-        world.after(0, Due::Tick);
+        world.after(0, Scheduled::Tick);
         world
     }
 
@@ -193,7 +193,7 @@
         });
     }
 
-    fn after(&mut self, ms: u64, due: Due) {
+    fn after(&mut self, ms: u64, due: Scheduled) {
         self.next_order += 1;
         self.due.push((self.now_ms + ms, self.next_order, due));
     }
@@ -207,7 +207,7 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         while self.now_ms < START_MS + END_MS {
             let next = self
                 .due
@@ -218,7 +218,7 @@
                 .expect("ticks");
             let (at_ms, _, due) = self.due.swap_remove(next);
             self.now_ms = at_ms;
-            self.happen(due);
+            self.process(due);
             self.serve_mailbox();
         }
         for job in 1..=self.jobs {
@@ -230,10 +230,10 @@
         }
     }
 
-    fn happen(&mut self, due: Due) {
+    fn process(&mut self, due: Scheduled) {
         match due {
-            Due::Event(event) => self.mailbox.push_back(event),
-            Due::Stored => {
+            Scheduled::Event(event) => self.mailbox.push_back(event),
+            Scheduled::Stored => {
                 let batch = self.in_flight.take().expect("a batch");
                 for record in &batch.records {
                     self.stored.retain(|known| known.key != record.key);
@@ -242,28 +242,28 @@
                 let effects = self.engine.committed(batch, self.now());
                 self.send(effects);
             }
-            Due::Tick => {
+            Scheduled::Tick => {
                 self.mailbox.push_back(Event::Tick);
                 self.lapse();
-                self.draw();
-                self.after(100, Due::Tick);
+                self.apply_random_events();
+                self.after(100, Scheduled::Tick);
             }
-            Due::End(index, task, run) => {
+            Scheduled::End(index, task, run) => {
                 let kind = match self.random.random_range(0..25) {
                     0 => EndKind::Failed,
                     _ => EndKind::Done,
                 };
                 self.endpoints[index].end(task, run, kind);
             }
-            Due::Arrival(effect, given_up_ms) => self.arrive(effect, given_up_ms),
-            Due::Report(key, acknowledged, given_up_ms) => {
-                self.report(key, acknowledged, given_up_ms);
+            Scheduled::Arrival(effect, timeout_ms) => self.arrive(effect, timeout_ms),
+            Scheduled::Report(key, acknowledged, timeout_ms) => {
+                self.report(key, acknowledged, timeout_ms);
             }
         }
     }
 
     /// Draws random events of a tick.
-    fn draw(&mut self) {
+    fn apply_random_events(&mut self) {
         let is_busy = self.now_ms < START_MS + BUSY_MS;
         if is_busy && self.random.random_range(0..3) == 0 {
             self.jobs += 1;
@@ -325,7 +325,7 @@
             } else {
                 self.in_flight = Some(batch);
                 let ms = self.random.random_range(5..40);
-                self.after(ms, Due::Stored);
+                self.after(ms, Scheduled::Stored);
             }
         }
     }
@@ -334,28 +334,28 @@
         for effect in effects {
             if let Some((key, wait_ms)) = endpoint_of(&effect) {
                 let delay_ms = self.delay_ms();
-                let given_up_ms = self.now_ms + wait_ms + CALL_MS;
+                let timeout_ms = self.now_ms + wait_ms + CALL_MS;
                 if let Some(event) = unanswered(&effect, key) {
                     // Delivered when the call times out, unless an answer arrives before.
-                    self.after(wait_ms + CALL_MS, Due::Event(event));
+                    self.after(wait_ms + CALL_MS, Scheduled::Event(event));
                 }
-                self.after(delay_ms, Due::Arrival(effect, given_up_ms));
+                self.after(delay_ms, Scheduled::Arrival(effect, timeout_ms));
             }
         }
     }
 
     /// Delivers an answer, unless the call has timed out by then.
-    fn answer(&mut self, event: Event, given_up_ms: u64) {
+    fn answer(&mut self, event: Event, timeout_ms: u64) {
         let delay_ms = self.delay_ms();
         let at_ms = self.now_ms + delay_ms;
-        if at_ms >= given_up_ms {
+        if at_ms >= timeout_ms {
             return;
         }
         // The answer replaces the timeout.
         self.due.retain(|(due_ms, _, due)| {
-            !matches!(due, Due::Event(unanswered) if *due_ms == given_up_ms && is_same_call(unanswered, &event))
+            !matches!(due, Scheduled::Event(unanswered) if *due_ms == timeout_ms && is_same_call(unanswered, &event))
         });
-        self.after(delay_ms, Due::Event(event));
+        self.after(delay_ms, Scheduled::Event(event));
     }
 
     fn index_of(&self, key: u32) -> usize {
@@ -365,7 +365,7 @@
             .expect("a known endpoint")
     }
 
-    fn arrive(&mut self, effect: Effect, given_up_ms: u64) {
+    fn arrive(&mut self, effect: Effect, timeout_ms: u64) {
         match effect {
             Effect::Start(order) => {
                 let outcome = self.start(&order);
@@ -375,7 +375,7 @@
                     run: order.run,
                     outcome,
                 };
-                self.answer(event, given_up_ms);
+                self.answer(event, timeout_ms);
             }
             Effect::Stop {
                 endpoint,
@@ -393,7 +393,7 @@
                     run,
                     outcome: CallOutcome::Done(self.now_ms),
                 };
-                self.answer(event, given_up_ms);
+                self.answer(event, timeout_ms);
             }
             Effect::Renew {
                 endpoint,
@@ -407,7 +407,7 @@
                 self.acknowledge(index, acknowledged);
                 let waits = self.endpoints[index].ended.is_empty();
                 let ms = if waits { wait_ms } else { 0 };
-                self.after(ms, Due::Report(endpoint, acknowledged, given_up_ms));
+                self.after(ms, Scheduled::Report(endpoint, acknowledged, timeout_ms));
             }
             _ => {}
         }
@@ -415,11 +415,11 @@
 
     fn acknowledge(&mut self, index: usize, acknowledged: u64) {
         let endpoint = &mut self.endpoints[index];
-        let noted = endpoint
+        let completed = endpoint
             .ended
             .iter()
             .filter(|ended| ended.number <= acknowledged && ended.kind == EndKind::Done);
-        self.done.extend(noted.map(|ended| ended.task));
+        self.done.extend(completed.map(|ended| ended.task));
         endpoint.ended.retain(|ended| ended.number > acknowledged);
     }
 
@@ -477,18 +477,18 @@
                 "{task} runs twice: {run} on {index} and {twice:?} on {other}"
             );
         }
-        let takes_ms = self.random.random_range(200..2_500);
+        let duration_ms = self.random.random_range(200..2_500);
         self.endpoints[index].running.push(Running {
             task,
             run,
             begun_ms: now_ms,
-            takes_ms,
+            duration_ms,
         });
-        self.after(takes_ms, Due::End(index, task, run));
+        self.after(duration_ms, Scheduled::End(index, task, run));
         CallOutcome::Done(now_ms)
     }
 
-    fn report(&mut self, key: u32, acknowledged: u64, given_up_ms: u64) {
+    fn report(&mut self, key: u32, acknowledged: u64, timeout_ms: u64) {
         let index = self.index_of(key);
         self.acknowledge(index, acknowledged);
         let now_ms = self.now_ms;
@@ -497,7 +497,7 @@
             task: known.task,
             run: known.run,
             checkpoint: "".into(),
-            percent: u32::try_from((now_ms - known.begun_ms) * 100 / known.takes_ms)
+            percent: u32::try_from((now_ms - known.begun_ms) * 100 / known.duration_ms)
                 .expect("a share"),
             usage: None,
         });
@@ -511,7 +511,7 @@
             endpoint: key,
             outcome: CallOutcome::Done(report),
         };
-        self.answer(event, given_up_ms);
+        self.answer(event, timeout_ms);
     }
 
     /// Ends the runs of endpoints whose lease has expired.
@@ -615,7 +615,7 @@
         $(#[test] fn $name() {
             for seed in $seeds {
                 println!("seed {seed}");
-                World::new(seed, $longest_stall_ms).play();
+                World::new(seed, $longest_stall_ms).run();
             }
         })*
     };
--- a/crates/engine/tests/demand.rs
+++ b/crates/engine/tests/demand.rs
@@ -11,8 +11,8 @@
 const CPU_MILLIS: u64 = 16_000;
 
 /// Returns a VM that is switched off.
-fn spare(name: &str, label: &str, rack: &str, gpus: u64) -> VmEntry {
-    let vm = common::spare(name);
+fn standby_vm(name: &str, label: &str, rack: &str, gpus: u64) -> VmEntry {
+    let vm = common::standby_vm(name);
     VmEntry {
         labels: vec![label.into(), rack.into()],
         capacity: Resources {
@@ -37,12 +37,12 @@
 }
 
 /// Submits one step, and returns the VMs that are moved into the pool for it.
-fn moved_for(step: StepSpec, spares: Vec<VmEntry>) -> Vec<String> {
+fn moved_for(step: StepSpec, standby_vms: Vec<VmEntry>) -> Vec<String> {
     let mut fleet = Fleet::new();
     fleet.list_endpoint("i-1", CPU_MILLIS);
     fleet.advance(200);
     fleet.engine.allow_vm_orders(true);
-    fleet.handle(Event::VmsListed(spares));
+    fleet.handle(Event::VmsListed(standby_vms));
     fleet.submit_spec(
         1,
         JobSpec {
@@ -61,15 +61,15 @@
     fleet.list_endpoint("i-1", CPU_MILLIS);
     fleet.advance(200);
     fleet.engine.allow_vm_orders(true);
-    let spares = (1..20).map(|number| spare(&format!("vm-{number:02}"), "a", "r1", 0));
-    fleet.handle(Event::VmsListed(spares.collect()));
+    let standby_vms = (1..20).map(|number| standby_vm(&format!("vm-{number:02}"), "a", "r1", 0));
+    fleet.handle(Event::VmsListed(standby_vms.collect()));
     let begun_ms = fleet.now.steady_ms;
     for number in 1..=jobs {
         fleet.submit(number, 4);
         fleet.advance(every_ms);
     }
-    let left_ms = (begun_ms + within_ms).saturating_sub(fleet.now.steady_ms);
-    fleet.advance(left_ms);
+    let remaining_ms = (begun_ms + within_ms).saturating_sub(fleet.now.steady_ms);
+    fleet.advance(remaining_ms);
     moved_in(&fleet).len()
 }
 
@@ -91,9 +91,9 @@
 }
 
 macro_rules! cases {
-    ($($(#[$doc:meta])* $name:ident: $step:expr, $spares:expr => $moved:expr;)*) => {
+    ($($(#[$doc:meta])* $name:ident: $step:expr, $standby_vms:expr => $moved:expr;)*) => {
         $($(#[$doc])* #[test] fn $name() {
-            assert_eq!(moved_for($step, $spares), $moved);
+            assert_eq!(moved_for($step, $standby_vms), $moved);
         })*
     };
 }
@@ -103,39 +103,39 @@
     /// VMs.
     label_missing_from_the_pool_orders_a_matching_vm:
         StepSpec { required_label: "b".into(), ..step(2) },
-        vec![spare("vm-a", "a", "r1", 0), spare("vm-b", "b", "r1", 0)] => ["vm-b"];
+        vec![standby_vm("vm-a", "a", "r1", 0), standby_vm("vm-b", "b", "r1", 0)] => ["vm-b"];
 
     /// Guards against a pool that takes in all VMs for work that none of them can run.
     label_of_no_vm_orders_none:
         StepSpec { required_label: "c".into(), ..step(60) },
-        vec![spare("vm-a", "a", "r1", 0), spare("vm-b", "b", "r1", 0)] => [] as [&str; 0];
+        vec![standby_vm("vm-a", "a", "r1", 0), standby_vm("vm-b", "b", "r1", 0)] => [] as [&str; 0];
 
     /// Guards against VMs without accelerators being ordered for tasks that need them.
     accelerator_tasks_order_a_vm_with_accelerators:
         StepSpec { resources: Resources { gpus: 1, ..step(1).resources }, ..step(1) },
-        vec![spare("vm-a", "a", "r1", 0), spare("vm-g", "a", "r1", 4)] => ["vm-g"];
+        vec![standby_vm("vm-a", "a", "r1", 0), standby_vm("vm-g", "a", "r1", 4)] => ["vm-g"];
 
     /// Guards against ignoring the rack of the data, outside of which tasks are slower.
     vm_in_the_rack_of_the_data_comes_first:
         StepSpec { data_rack: "r2".into(), ..step(30) },
-        vec![spare("vm-1", "a", "r1", 0), spare("vm-2", "a", "r2", 0)] => ["vm-2"];
+        vec![standby_vm("vm-1", "a", "r1", 0), standby_vm("vm-2", "a", "r2", 0)] => ["vm-2"];
 
     /// Guards against a shortage of memory being hidden by free processor.
     memory_shortage_orders_a_vm:
         StepSpec { resources: Resources { memory_mb: 16_000, cpu_millis: 100, gpus: 0 }, ..step(6) },
-        vec![spare("vm-1", "a", "r1", 0)] => ["vm-1"];
+        vec![standby_vm("vm-1", "a", "r1", 0)] => ["vm-1"];
 
     /// Guards against ordering VMs by the total work of a large job instead of what it can use at
     /// once.
     large_job_orders_no_more_vms_than_it_can_use:
         StepSpec { estimated_ms: 3_000, ..step(60) },
-        (1..20).map(|number| spare(&format!("vm-{number:02}"), "a", "r1", 0)).collect()
+        (1..20).map(|number| standby_vm(&format!("vm-{number:02}"), "a", "r1", 0)).collect()
             => ["vm-01", "vm-02", "vm-03"];
 
     /// Guards against counting tasks with a limit per endpoint as work, which orders too many VMs.
     tasks_that_may_not_share_order_one_vm_each:
         StepSpec { long_running: true, max_per_endpoint: 1, ..step(3) },
-        (1..8).map(|number| spare(&format!("vm-{number}"), "a", "r1", 0)).collect()
+        (1..8).map(|number| standby_vm(&format!("vm-{number}"), "a", "r1", 0)).collect()
             => ["vm-1", "vm-2"];
 }
 
@@ -148,8 +148,11 @@
         fleet.list_endpoint("i-1", 16_000);
         fleet.list_endpoint("i-2", 16_000);
         fleet.engine.allow_vm_orders(true);
-        let spares = vec![spare("vm-1", "a", "r1", 0), spare("vm-2", "a", "r1", 0)];
-        fleet.handle(Event::VmsListed(spares));
+        let standby_vms = vec![
+            standby_vm("vm-1", "a", "r1", 0),
+            standby_vm("vm-2", "a", "r1", 0),
+        ];
+        fleet.handle(Event::VmsListed(standby_vms));
         fleet.advance(300);
         for number in 1..=8 {
             fleet.submit_as("hot", number, step(8));
--- a/crates/engine/tests/encodings.rs
+++ b/crates/engine/tests/encodings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use {
-    common::{Fleet, account, job_id, queue, spare, step},
+    common::{Fleet, account, job_id, queue, standby_vm, step},
     lynxwheel_engine::{
         CallOutcome, CallerLimits, ClientAccount, ClientAccounts, Effect, EndKind, EndedTask,
         EndpointAddress, EndpointReport, Engine, EngineSettings, Event, FleetConfig, Job, JobSpec,
@@ -476,7 +476,7 @@
 fn cancelled_job_whose_runs_are_to_stop() {
     let mut fleet = fleet_at_work();
     for endpoint in &mut fleet.endpoints {
-        endpoint.is_silent = true;
+        endpoint.is_unresponsive = true;
     }
     fleet.handle(Event::Cancel {
         job: job_id(1),
@@ -560,7 +560,10 @@
 
 /// Lists two VMs that are switched off, and allows VM orders.
 fn list_vms(fleet: &mut Fleet) {
-    fleet.handle(Event::VmsListed(vec![spare("vm-1"), spare("vm-2")]));
+    fleet.handle(Event::VmsListed(vec![
+        standby_vm("vm-1"),
+        standby_vm("vm-2"),
+    ]));
     fleet.engine.allow_vm_orders(true);
 }
 
--- a/crates/engine/tests/fair_shares.rs
+++ b/crates/engine/tests/fair_shares.rs
@@ -118,8 +118,8 @@
     fleet.end_all_done();
     fleet.settle();
     fleet.advance(1_500);
-    let notes = fleet.engine.take_log_events();
-    let waits = notes.iter().filter_map(|note| match note {
+    let log_events = fleet.engine.take_log_events();
+    let waits = log_events.iter().filter_map(|event| match event {
         LogEvent::ShareReached(wait) => Some(wait),
         _ => None,
     });
--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -57,9 +57,9 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         for _ in 0..STEPS {
-            self.happen();
+            self.apply_random_event();
             let pause_ms = self.random.random_range(1..8) * 100;
             self.fleet.advance(pause_ms);
             self.check();
@@ -67,12 +67,12 @@
         self.recover();
     }
 
-    fn happen(&mut self) {
+    fn apply_random_event(&mut self) {
         let endpoint = self.random.random_range(0..ENDPOINTS);
         match self.random.random_range(0..20) {
             0..6 => self.submit(),
             6..14 => self.end_runs(endpoint),
-            14 => self.fleet.endpoints[endpoint].is_silent ^= true,
+            14 => self.fleet.endpoints[endpoint].is_unresponsive ^= true,
             15 => self.crash(endpoint),
             16 => self.fleet.is_store_down ^= true,
             17 => self.take_over(),
@@ -152,7 +152,7 @@
         fake.started.clear();
         fake.lease_until_ms = 0;
         fake.ends = 0;
-        fake.is_silent = false;
+        fake.is_unresponsive = false;
         self.fleet.entries[endpoint].id = id.into();
         let entry = self.fleet.entries[endpoint].clone();
         self.fleet.handle(listed(entry, true));
@@ -215,7 +215,7 @@
     fn recover(&mut self) {
         self.fleet.is_store_down = false;
         for endpoint in &mut self.fleet.endpoints {
-            endpoint.is_silent = false;
+            endpoint.is_unresponsive = false;
         }
         for _ in 0..400 {
             self.fleet.advance(500);
@@ -246,7 +246,7 @@
         $(#[test] fn $name() {
             for seed in $seeds {
                 println!("seed {seed}");
-                History::new(seed).play();
+                History::new(seed).run();
             }
         })*
     };
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -92,7 +92,7 @@
             if waiting.is_empty() || !occurrence.is_open(spec) {
                 continue;
             }
-            let left_ms: u64 = occurrence
+            let remaining_ms: u64 = occurrence
                 .steps
                 .iter()
                 .zip(&job.spec.steps)
@@ -105,7 +105,7 @@
                 step: number,
                 index: 0,
             };
-            let (urgency, slack_ms) = urgency(job, spec, left_ms, now_ms);
+            let (urgency, slack_ms) = urgency(job, spec, remaining_ms, now_ms);
             found.push(Candidate {
                 rank: (urgency, job.queue.priority, slack_ms, first),
                 spec: spec.clone(),
@@ -117,16 +117,16 @@
 }
 
 /// Returns the urgency and slack of a step, with an objective of 1.6 critical paths and 600 ms.
-fn urgency(job: &Job, spec: &StepSpec, left_ms: u64, now_ms: u64) -> (u8, i64) {
+fn urgency(job: &Job, spec: &StepSpec, remaining_ms: u64, now_ms: u64) -> (u8, i64) {
     let objective_ms = job.spec.critical_path_ms() * 8 / 5 + job.queue.target_latency_ms;
     let passed_ms = now_ms - job.accepted_ms;
     let signed = |ms: u64| i64::try_from(ms).expect("a short time");
-    let slack_ms = signed(objective_ms) - signed(passed_ms) - signed(left_ms);
+    let slack_ms = signed(objective_ms) - signed(passed_ms) - signed(remaining_ms);
     let urgency = if spec.long_running {
         0
     } else if slack_ms >= 0 {
         1
-    } else if passed_ms + left_ms < 3 * objective_ms {
+    } else if passed_ms + remaining_ms < 3 * objective_ms {
         2
     } else {
         3
@@ -199,7 +199,7 @@
     placed
 }
 
-fn play(seed: u64) {
+fn compare_placement(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet = fleet();
     let mut jobs = 0;
@@ -223,7 +223,7 @@
         }
         if random.random_range(0..12) == 0 {
             let index = random.random_range(0..fleet.endpoints.len());
-            fleet.endpoints[index].is_silent ^= true;
+            fleet.endpoints[index].is_unresponsive ^= true;
         }
         if jobs > 0 && random.random_range(0..6) == 0 {
             let job = job_id(random.random_range(1..=jobs));
@@ -250,7 +250,7 @@
         $(#[test] fn $name() {
             for seed in $seeds {
                 println!("seed {seed}");
-                play(seed);
+                compare_placement(seed);
             }
         })*
     };
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -36,7 +36,7 @@
 }
 
 /// Returns a fleet in which an account with a quota of three cores has submitted eight tasks.
-fn fleet_at_the_quota() -> Fleet {
+fn fleet_at_quota() -> Fleet {
     let mut fleet = fleet_with(&[account("maps", 3)]);
     fleet.submit_as("maps", 1, step(8));
     fleet.settle();
@@ -46,7 +46,7 @@
 cases! {
     /// Guards against starting a step beyond its account's quota.
     a_step_above_the_quota_runs_in_parts: {
-        let mut fleet = fleet_at_the_quota();
+        let mut fleet = fleet_at_quota();
         for expected in [3, 3, 2] {
             assert_eq!(all(&fleet), expected);
             fleet.end_all_done();
@@ -57,9 +57,9 @@
 
     /// Guards against runs with an unknown end not counting as running.
     runs_on_a_silent_endpoint_count: {
-        let mut fleet = fleet_at_the_quota();
+        let mut fleet = fleet_at_quota();
         for endpoint in &mut fleet.endpoints {
-            endpoint.is_silent = true;
+            endpoint.is_unresponsive = true;
         }
         fleet.list_endpoint("i-3", 16_000);
         fleet.advance(3_000);
@@ -68,9 +68,9 @@
 
     /// Guards against a new owner that ignores runs started by the previous one.
     a_new_owner_counts_the_runs_of_the_previous_one: {
-        let mut fleet = fleet_at_the_quota();
+        let mut fleet = fleet_at_quota();
         for endpoint in &mut fleet.endpoints {
-            endpoint.is_silent = true;
+            endpoint.is_unresponsive = true;
         }
         fleet.take_over();
         fleet.list_endpoint("i-3", 16_000);
@@ -94,7 +94,7 @@
 
     /// Guards against a reduced quota stopping runs, and against starts beyond it.
     a_reduced_quota_stops_nothing_and_starts_nothing: {
-        let mut fleet = fleet_at_the_quota();
+        let mut fleet = fleet_at_quota();
         fleet.configure_accounts(&[account("maps", 1)]);
         fleet.advance(1_000);
         assert_eq!(all(&fleet), 3);
@@ -120,13 +120,13 @@
         fleet.submit_as("maps", 1, step(2));
         fleet.settle();
         for endpoint in &mut fleet.endpoints {
-            endpoint.is_silent = true;
+            endpoint.is_unresponsive = true;
         }
         fleet.submit_as("maps", 2, step(1));
         fleet.settle();
         fleet.configure_accounts(&[account("maps", 2)]);
         for endpoint in &mut fleet.endpoints {
-            endpoint.is_silent = false;
+            endpoint.is_unresponsive = false;
         }
         fleet.advance(1_500);
         assert_eq!(all(&fleet), 2);
@@ -186,9 +186,9 @@
 
     /// Guards against counting a run as ended while it is being stopped.
     runs_that_are_being_stopped_count: {
-        let mut fleet = fleet_at_the_quota();
+        let mut fleet = fleet_at_quota();
         for endpoint in &mut fleet.endpoints {
-            endpoint.is_silent = true;
+            endpoint.is_unresponsive = true;
         }
         fleet.handle(Event::Cancel { job: job_id(1), account: "maps".into(), token: 9 });
         fleet.list_endpoint("i-3", 16_000);
@@ -200,10 +200,10 @@
 
     /// Guards against a wait for the quota that does not appear in the log.
     waiting_for_a_quota_is_logged_with_its_values: {
-        let mut fleet = fleet_at_the_quota();
+        let mut fleet = fleet_at_quota();
         fleet.advance(900);
-        let notes = fleet.engine.take_log_events();
-        let waits: Vec<_> = notes.iter().filter_map(|note| match note {
+        let log_events = fleet.engine.take_log_events();
+        let waits: Vec<_> = log_events.iter().filter_map(|event| match event {
             LogEvent::QuotaReached(wait) => Some(wait),
             _ => None,
         }).collect();
@@ -225,7 +225,7 @@
 
     /// Guards against reading, cancelling or resubmitting a job of another account.
     a_job_is_inaccessible_to_other_accounts: {
-        let mut fleet = fleet_at_the_quota();
+        let mut fleet = fleet_at_quota();
         let cancel = |account: &str, token| Event::Cancel {
             job: job_id(1),
             account: account.into(),
--- a/crates/engine/tests/restore.rs
+++ b/crates/engine/tests/restore.rs
@@ -57,12 +57,12 @@
     fleet.submit(1, 1);
     fleet.settle();
     assert_eq!(fleet.endpoints[0].started.len(), 1);
-    fleet.endpoints[0].is_silent = true;
+    fleet.endpoints[0].is_unresponsive = true;
     fleet.endpoints[0].id = "i-new".into();
     fleet.endpoints[0].running.clear();
     fleet.entries[0].id = "i-new".into();
     fleet.take_over();
-    fleet.endpoints[0].is_silent = false;
+    fleet.endpoints[0].is_unresponsive = false;
     fleet.settle();
     fleet.advance(500);
     assert_eq!(fleet.starts(&format!("{}.0.0.0", job_id(1))), 2);
--- a/crates/engine/tests/stragglers.rs
+++ b/crates/engine/tests/stragglers.rs
@@ -7,7 +7,7 @@
     lynxwheel_engine::{CallOutcome, Effect, EndpointReport, Event, RunningTask},
 };
 
-fn started(fleet: &Fleet) -> usize {
+fn starts(fleet: &Fleet) -> usize {
     fleet.starts(&format!("{}.0.0.0", job_id(1)))
 }
 
@@ -26,7 +26,7 @@
     let mut fleet = fleet_with_a_run();
     fleet.endpoints[0].percent = Some(30);
     fleet.advance(5_000);
-    assert_eq!(started(&fleet), 2);
+    assert_eq!(starts(&fleet), 2);
     assert_eq!(fleet.endpoints[1].started.len(), 1);
 }
 
@@ -37,7 +37,7 @@
         fleet.endpoints[0].percent = Some(percent);
         fleet.advance(1_000);
     }
-    assert_eq!(started(&fleet), 1);
+    assert_eq!(starts(&fleet), 1);
 }
 
 /// Guards against an owner that processes several reports late and stops runs that make progress.
--- a/crates/engine/tests/vm_orders.rs
+++ b/crates/engine/tests/vm_orders.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use {
-    common::{Fleet, POOL, pool, queue, spare, step},
+    common::{Fleet, POOL, pool, queue, standby_vm, step},
     lynxwheel_engine::{
         Effect, Engine, EngineSettings, Event, FleetConfig, JobSpec, StepSpec, VmEntry, VmOutcome,
     },
@@ -20,7 +20,7 @@
     let vms = (1..=4).map(|number| VmEntry {
         pool: POOL.into(),
         endpoint: format!("i-{number}").into(),
-        ..spare(&format!("vm-{number}"))
+        ..standby_vm(&format!("vm-{number}"))
     });
     fleet.handle(Event::VmsListed(vms.collect()));
     fleet.advance(1_500);
@@ -109,7 +109,7 @@
     };
     fleet.handle(Event::ConfigChanged(config.into()));
     fleet.engine.allow_vm_orders(true);
-    let vms = (0..300).map(|number| spare(&format!("vm-{number:03}")));
+    let vms = (0..300).map(|number| standby_vm(&format!("vm-{number:03}")));
     fleet.handle(Event::VmsListed(vms.collect()));
     let spec = JobSpec {
         steps: vec![StepSpec {
--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -106,7 +106,7 @@
     submit_long_running(&mut fleet, 3, 1);
     fleet.settle();
     fleet.advance(1_500);
-    fleet.endpoints[0].is_silent = true;
+    fleet.endpoints[0].is_unresponsive = true;
     fleet.advance(1_500);
     fleet.handle(wave(&["vm-2", "vm-3"], 2));
     fleet.advance(1_000);
@@ -221,7 +221,7 @@
     fleet.is_store_down = true;
     fleet.handle(wave(&["vm-1"], 1));
     fleet.advance(300);
-    fleet.endpoints[1].is_silent = true;
+    fleet.endpoints[1].is_unresponsive = true;
     fleet.advance(2_000);
     fleet.is_store_down = false;
     fleet.advance(500);
