--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small fleet in this process: a platform and nodes with their request paths.
+//! An in-process fleet of a stand-in platform and nodes with gateways.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some items")]
 
 use {
     http::{Method, Request, Response, StatusCode},
@@ -23,22 +23,22 @@
     tokio::runtime::{Builder, Runtime},
 };
 
-/// Time within which anything waited for must happen; far above what it takes.
-pub const LIMIT: Duration = Duration::from_mins(1);
+/// Timeout of every wait in the tests.
+pub const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// First port of nodes' peer listeners, and how many there are below the system's own range.
-const FIRST_PORT: u16 = 10_000;
-const PORTS: u32 = 20_000;
+/// First port of nodes' peer listeners, and their number, below the ephemeral port range.
+const FIRST_PEER_PORT: u16 = 10_000;
+const PEER_PORT_COUNT: u32 = 20_000;
 
-/// Ports by which test processes with neighbouring ids are apart.
+/// Distance between the first ports of test processes with consecutive ids.
 const PORTS_PER_PROCESS: u32 = 101;
 
 static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// Name of the one service and its pool.
+/// Name of the service and of its pool.
 pub const SERVICE: &str = "renewals";
 
-/// What a test may change of the fleet.
+/// Options of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetOptions {
     pub nodes: usize,
@@ -51,7 +51,7 @@
 }
 
 impl FleetOptions {
-    /// Describes one node with one endpoint that serves one request at a time.
+    /// Returns options for one node with one endpoint that has one slot.
     pub fn one_slot() -> Self {
         Self {
             nodes: 1,
@@ -76,7 +76,7 @@
     }
 }
 
-/// A node on a runtime of its own, so that it can be killed.
+/// A node on a separate runtime, so that it can be killed.
 pub struct TestNode {
     pub node: Node,
     pub gateway: Gateway,
@@ -103,14 +103,14 @@
         let callers = runtime.block_on(Server::bind(any_port)).expect("bind");
         let peers = runtime.block_on(Server::bind(peer_address)).expect("bind");
         let address = callers.local_addr().expect("address");
-        let serving = gateway.clone();
+        let handler = gateway.clone();
         runtime.spawn(callers.serve(shutdown.clone(), move |request| {
-            serving.clone().handle(request)
+            handler.clone().handle(request)
         }));
-        let serving = gateway.clone();
-        let serving_node = node.clone();
+        let handler = gateway.clone();
+        let handler_node = node.clone();
         runtime.spawn(peers.serve(shutdown.clone(), move |request| {
-            serve_peer(serving_node.clone(), serving.clone(), request)
+            serve_peer(handler_node.clone(), handler.clone(), request)
         }));
         Self {
             node,
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Sends a request.
+    /// Sends a request as a caller.
     pub async fn call(&self, request: &ClientRequest) -> Result<Answer, TransportError> {
-        self.callers.call(request, LIMIT).await
+        self.callers.call(request, TIMEOUT).await
     }
 
-    /// Ends the node's tasks where they stand.
+    /// Stops the node's tasks without waiting for them.
     pub fn kill(&mut self) {
         self.shutdown.begin();
         if let Some(runtime) = self.runtime.take() {
@@ -150,7 +150,7 @@
     }
 }
 
-/// A platform with nodes, and one declared service.
+/// A stand-in platform and nodes, with one declared service.
 pub struct Fleet {
     pub platform: PlatformServer,
     pub nodes: Vec<TestNode>,
@@ -160,7 +160,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every VM is in service on every node.
+    /// Starts a fleet and waits until every node sees all VMs as live.
     pub async fn start(options: FleetOptions) -> Self {
         let templates: Vec<VmTemplate> = (0..options.vms).map(VmTemplate::numbered).collect();
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -183,24 +183,24 @@
         fleet
     }
 
-    /// Starts a killed node again.
-    pub async fn restart(&mut self, row: usize) {
-        let settings = vec![self.settings[row].clone()];
-        let addresses = vec![self.peer_addresses[row]];
+    /// Restarts a killed node.
+    pub async fn restart(&mut self, index: usize) {
+        let settings = vec![self.settings[index].clone()];
+        let addresses = vec![self.peer_addresses[index]];
         let node = start_nodes(settings, addresses, self.policy)
             .await
             .remove(0);
         let incarnation = node.node.incarnation();
-        self.nodes[row] = node;
+        self.nodes[index] = node;
         for other in &self.nodes {
-            wait_until("the new run is known", || {
+            wait_until("the new incarnation is known", || {
                 other.node.state().writers().get(incarnation).is_some()
             })
             .await;
         }
     }
 
-    /// Returns what the endpoints ran with `key`.
+    /// Returns the runs of requests with `key` on all endpoints.
     pub fn runs(&self, key: &str) -> Vec<RunEntry> {
         let runs = self.platform.runs();
         runs.into_iter().filter(|run| run.key == key).collect()
@@ -251,9 +251,9 @@
 }
 
 async fn wait_accepted(node: &Node, body: RecordBody) {
-    let until = Instant::now() + LIMIT;
+    let deadline = Instant::now() + TIMEOUT;
     while !node.proposer().propose_and_confirm(body.clone()).await {
-        assert!(Instant::now() < until, "no record is accepted");
+        assert!(Instant::now() < deadline, "no record is accepted");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -263,7 +263,7 @@
     addresses: Vec<SocketAddr>,
     policy: RoutePolicy,
 ) -> Vec<TestNode> {
-    // A runtime must not be built or blocked on within another one.
+    // A runtime cannot be created or blocked on within another one.
     tokio::task::spawn_blocking(move || {
         settings
             .into_iter()
@@ -281,13 +281,13 @@
     platform: SocketAddr,
     options: &FleetOptions,
 ) -> NodeSettings {
-    let name = |row: usize| format!("node-{row}");
+    let name = |index: usize| format!("node-{index}");
     let peers = peer_addresses
         .iter()
         .enumerate()
-        .filter(|(row, _)| *row != own)
-        .map(|(row, address)| PeerAddress {
-            node: name(row).as_str().into(),
+        .filter(|(index, _)| *index != own)
+        .map(|(index, address)| PeerAddress {
+            node: name(index).as_str().into(),
             address: *address,
         })
         .collect();
@@ -299,23 +299,23 @@
     settings
 }
 
-/// Returns a loopback address of this process alone, so that other test processes take no port of
-/// it.
-fn own_ip() -> [u8; 4] {
+/// Returns a loopback address that is specific to this process, so that its ports are not shared.
+fn process_loopback_ip() -> [u8; 4] {
     let [.., high, low] = std::process::id().to_be_bytes();
     [127, high | 1, low, 1]
 }
 
-/// Returns addresses whose ports nobody is given by chance.
+/// Returns free addresses with ports below the ephemeral range.
 ///
-/// A node's peers must know its port before it listens. A port that the system hands out and takes
-/// back may go to any other socket meanwhile; these are below those that it hands out.
+/// Peers must know a node's port before it listens; an ephemeral port could be assigned to another
+/// socket in the meantime.
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
     let candidates = std::iter::repeat_with(|| {
-        let turn =
+        let number =
             NEXT_PORT.fetch_add(1, Ordering::Relaxed) + std::process::id() * PORTS_PER_PROCESS;
-        let port = FIRST_PORT + u16::try_from(turn % PORTS).expect("below the range's length");
-        SocketAddr::from((own_ip(), port))
+        let port = FIRST_PEER_PORT
+            + u16::try_from(number % PEER_PORT_COUNT).expect("below the range's length");
+        SocketAddr::from((process_loopback_ip(), port))
     });
     candidates
         .filter(|address| std::net::TcpListener::bind(address).is_ok())
@@ -323,11 +323,11 @@
         .collect()
 }
 
-/// Waits until `holds`, and fails after [`LIMIT`].
-pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LIMIT;
-    while !holds() {
-        assert!(Instant::now() < until, "not within {LIMIT:?}: {what}");
+/// Waits until `condition` is true; panics after [`TIMEOUT`].
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "not within {TIMEOUT:?}: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -339,8 +339,8 @@
         .with_header(REQUEST_ID_HEADER, key)
 }
 
-/// Checks that an answer is whole and that of the request with this id.
-pub fn assert_own(answer: &Answer, id: &str) {
+/// Checks that an answer is complete and belongs to the request with this id.
+pub fn assert_response_of(answer: &Answer, id: &str) {
     let text = String::from_utf8_lossy(&answer.body);
     assert_eq!(answer.status, StatusCode::OK, "{text}");
     assert!(text.starts_with(&format!("request={id} ")), "{text}");
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -1,4 +1,4 @@
-//! Encodings of messages between nodes, held as bytes: nodes of other builds read and write them.
+//! Encodings of messages between nodes, which nodes of other builds must be able to read.
 
 use {
     lynxwheel_gateway::{
@@ -9,43 +9,49 @@
     std::fmt::Debug,
 };
 
-/// Digits of held bytes in one line.
+/// Hexadecimal digits in one line of the expected bytes.
 const LINE_DIGITS: usize = 90;
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     let digits = bytes.iter().flat_map(|byte| [byte >> 4, byte & 15]);
     let digits = digits.filter_map(|digit| char::from_digit(digit.into(), 16));
     digits.collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let pairs = (0..hex.len()).step_by(2).map(|at| &hex[at..at + 2]);
     let bytes = pairs.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits"));
     bytes.collect()
 }
 
-/// Compares an encoding with the bytes held; where it differs, shows it as it would be held.
-fn assert_held(encoded: &[u8], held: &str) {
-    let encoded = hex(encoded);
+/// Compares an encoding with the expected bytes; prints it in the format of this file if it differs.
+fn assert_encoded(encoded: &[u8], expected: &str) {
+    let encoded = encode_hex(encoded);
     let starts = (0..encoded.len()).step_by(LINE_DIGITS);
     let lines = starts.map(|at| &encoded[at..encoded.len().min(at + LINE_DIGITS)]);
     let lines: Vec<&str> = lines.collect();
-    assert!(encoded == held, "encoded as\n{}", lines.join("\\\n"));
+    assert!(encoded == expected, "encoded as\n{}", lines.join("\\\n"));
 }
 
-/// Checks that a message is encoded as the bytes held, and that they are decoded as the message.
-fn check<T: Debug + DeserializeOwned + PartialEq + Serialize>(message: &T, held: &str) {
-    assert_held(&encode_message(message).expect("a small message"), held);
-    assert_eq!(decode_message::<T>(&bytes(held)).as_ref(), Ok(message));
+/// Checks that a message is encoded as the expected bytes and that they decode to the message.
+fn assert_encoding<T: Debug + DeserializeOwned + PartialEq + Serialize>(
+    message: &T,
+    expected: &str,
+) {
+    assert_encoded(&encode_message(message).expect("a small message"), expected);
+    assert_eq!(
+        decode_message::<T>(&decode_hex(expected)).as_ref(),
+        Ok(message)
+    );
 }
 
-macro_rules! held {
-    ($($(#[$guard:meta])* $name:ident: $message:expr => $held:expr;)*) => {
-        $($(#[$guard])* #[test] fn $name() { check(&$message, $held); })*
+macro_rules! encodings {
+    ($($(#[$guard:meta])* $name:ident: $message:expr => $expected:expr;)*) => {
+        $($(#[$guard])* #[test] fn $name() { assert_encoding(&$message, $expected); })*
     };
 }
 
-fn kept() -> StoredResponse {
+fn stored_response() -> StoredResponse {
     StoredResponse {
         status: 201,
         headers: vec![StoredHeader {
@@ -65,7 +71,7 @@
     }
 }
 
-/// Refusals for each reason.
+/// A refusal for each reason.
 fn refusals() -> Vec<Refusal> {
     let reasons = [
         RefusalReason::BadRequest,
@@ -87,8 +93,8 @@
     reasons.map(refusal).to_vec()
 }
 
-held! {
-    /// A node finds no answer of a key that a peer holds.
+encodings! {
+    /// A changed encoding would make peers reject the request for a stored response.
     peer_answer_request: PeerAnswerRequest {
         key: RequestKey(0x0123_4567_89ab_cdef_fedc_ba98_7654_3210),
         incarnation: 7,
@@ -97,20 +103,20 @@
         83a36b6579c4100123456789abcdeffedcba9876543210ab696e6361726e6174696f6e07a7776169745f6d73cd\
         09c4";
 
-    /// A second attempt gets another answer than the first.
-    answered: PeerAnswer::Answered(kept()) => "\
+    /// A changed encoding would alter or lose the stored response of a duplicate.
+    answered: PeerAnswer::Answered(stored_response()) => "\
         81a8416e73776572656483a6737461747573ccc9a7686561646572739182a46e616d65ac636f6e74656e742d74\
         797065a576616c75659a746578742f706c61696ea4626f647994017fcc80ccff";
 
-    /// A second attempt is not told that the first was answered.
+    /// A changed encoding would hide from a duplicate that the first attempt was answered.
     too_large: PeerAnswer::TooLarge(200) => "81a8546f6f4c61726765ccc8";
 
-    /// A second attempt is not told that the first was refused.
+    /// A changed encoding would hide from a duplicate that the first attempt was refused.
     refused: PeerAnswer::Refused(refusal(RefusalReason::NoFreeSlot)) => "\
         81a75265667573656484a6726561736f6eac6e6f5f667265655f736c6f74ab6469645f6e6f745f72756ec3ae72\
         657472795f61667465725f6d73cd05dca664657461696ca9747279206c61746572";
 
-    /// A refusal gets another reason on its way, or none.
+    /// A changed encoding would alter or lose the reason of a refusal between nodes.
     refusal_of_each_reason: refusals() => "\
         9f84a6726561736f6eab6261645f72657175657374ab6469645f6e6f745f72756ec3ae72657472795f61667465\
         725f6d73cd05dca664657461696ca9747279206c6174657284a6726561736f6ea9736c6f775f626f6479ab6469\
@@ -136,12 +142,12 @@
         05dca664657461696ca9747279206c6174657284a6726561736f6ea774696d656f7574ab6469645f6e6f745f72\
         756ec3ae72657472795f61667465725f6d73cd05dca664657461696ca9747279206c61746572";
 
-    /// A request that runs is taken for one that does not.
+    /// A changed encoding would hide that a request is still running.
     running: PeerAnswer::Running => "a752756e6e696e67";
 
-    /// A key of which nothing is kept is taken for one that runs.
+    /// A changed encoding would hide that nothing is stored for a key.
     not_kept: PeerAnswer::NotKept => "a74e6f744b657074";
 
-    /// A node that was restarted is taken for the holder of a key.
+    /// A changed encoding would hide that the holder of a key was restarted.
     other_run: PeerAnswer::OtherRun => "a84f7468657252756e";
 }
--- a/crates/gateway/tests/truthful_refusals.rs
+++ b/crates/gateway/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! What a refusal says about whether the request ran.
+//! Refusals must not claim that a request did not run if it may have run.
 
 mod common;
 
@@ -14,11 +14,11 @@
     },
 };
 
-const HEALTH: &str =
+const HEALTH_BODY: &str =
     r#"{"vm":"vm-0","incarnation":1,"leaving":false,"draining":false,"in_progress":0}"#;
 
-/// Answers probes; takes any other request and closes its connection without an answer.
-async fn serve_and_break(mut stream: TcpStream) {
+/// Answers health probes; closes the connection on any other request without a response.
+async fn serve_broken_connection(mut stream: TcpStream) {
     let mut head = Vec::new();
     let mut buffer = [0; 1_024];
     while let Ok(count @ 1..) = stream.read(&mut buffer).await {
@@ -31,8 +31,8 @@
         }
         head.clear();
         let answer = format!(
-            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{HEALTH}",
-            HEALTH.len()
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{HEALTH_BODY}",
+            HEALTH_BODY.len()
         );
         if stream.write_all(answer.as_bytes()).await.is_err() {
             return;
@@ -40,21 +40,21 @@
     }
 }
 
-/// Listens as the endpoint that breaks its connections.
+/// Starts an endpoint that closes connections without a response.
 async fn start_breaking_endpoint() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(serve_and_break(stream));
+            tokio::spawn(serve_broken_connection(stream));
         }
     });
     address
 }
 
-/// A crew's map is asked for, and the endpoint closes the connection without an answer: it may have
-/// run. The request is idempotent and tried again, but no endpoint is left, so that attempt is
-/// refused before it starts. The caller must not be told that the request did not run.
+/// The first attempt may have run, as the endpoint closed the connection without a response, and
+/// the retry is refused as no endpoint is left. The caller must not be told that the request did
+/// not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_after_an_attempt_that_may_have_run() {
     let fleet = Fleet::start(FleetOptions {
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -1,9 +1,9 @@
-//! Slots, queues, limits and endpoints that leave.
+//! Slots, queues, rate limits, forwarding and ejection of endpoints.
 
 mod common;
 
 use {
-    common::{Fleet, FleetOptions, SERVICE, TestNode, assert_own, renewal, wait_until},
+    common::{Fleet, FleetOptions, SERVICE, TestNode, assert_response_of, renewal, wait_until},
     http::{Method, StatusCode},
     lynxwheel_decisions::slot_shares,
     lynxwheel_gateway::{CLASS_HEADER, DEADLINE_HEADER, DID_NOT_RUN_HEADER, TEAM_HEADER},
@@ -13,24 +13,23 @@
     tokio::task::JoinSet,
 };
 
-fn refresh(id: &str, query: &str) -> ClientRequest {
+fn map_request(id: &str, query: &str) -> ClientRequest {
     ClientRequest::new(Method::GET, format!("/{SERVICE}/map?{query}"))
         .with_header("x-request-id", id)
 }
 
-async fn ask(node: &TestNode, id: &str, query: &str) -> Answer {
-    node.call(&refresh(id, query)).await.expect("an answer")
+async fn get_map(node: &TestNode, id: &str, query: &str) -> Answer {
+    node.call(&map_request(id, query)).await.expect("an answer")
 }
 
-fn not_started(answer: &Answer) -> bool {
+fn did_not_run(answer: &Answer) -> bool {
     answer.header(DID_NOT_RUN_HEADER) == Some("true")
 }
 
-/// Four nodes are asked for far more at once than the endpoints have slots for. An endpoint never
-/// gets more than its slots, because every slot belongs to one node, and every request is answered
-/// after a wait.
+/// Under excess load on all nodes an endpoint must never get more requests at once than it has
+/// slots, and every request must be served eventually.
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_together_stay_within_the_slots() {
+async fn nodes_together_respect_the_slot_limit() {
     let fleet = Fleet::start(FleetOptions {
         nodes: 4,
         ..FleetOptions::default()
@@ -42,26 +41,28 @@
         let fleet = Arc::clone(&fleet);
         callers.spawn(async move {
             let id = format!("map-{caller}");
-            assert_own(&ask(&fleet.nodes[caller % 4], &id, "ms=30").await, &id);
+            assert_response_of(&get_map(&fleet.nodes[caller % 4], &id, "ms=30").await, &id);
         });
     }
     while let Some(ended) = callers.join_next().await {
         ended.expect("no refusal");
     }
-    let most = fleet
+    let max_in_progress = fleet
         .platform
         .runs()
         .iter()
         .map(|run| run.in_progress)
         .max();
-    assert!(most <= Some(8), "{most:?} requests at once");
+    assert!(
+        max_in_progress <= Some(8),
+        "{max_in_progress:?} requests at once"
+    );
     assert_eq!(fleet.platform.runs().len(), 120);
 }
 
-/// A pool has fewer slots than there are nodes, and the balancer sends a caller to a node without
-/// any. The node passes the request on, the key included, and the caller gets its answer.
+/// A node without slots must forward requests, including keyed ones, to a peer that has some.
 #[tokio::test(flavor = "multi_thread")]
-async fn node_without_a_slot_passes_the_request_on() {
+async fn node_without_slots_forwards_the_request() {
     let fleet = Fleet::start(FleetOptions {
         nodes: 3,
         vms: 1,
@@ -71,19 +72,18 @@
     .await;
     for (row, node) in fleet.nodes.iter().enumerate() {
         let id = format!("map-{row}");
-        assert_own(&ask(node, &id, "size=20000").await, &id);
+        assert_response_of(&get_map(node, &id, "size=20000").await, &id);
         let key = format!("lotion-{row}");
         let answer = node.call(&renewal(&key, "")).await.expect("an answer");
-        assert_own(&answer, &key);
+        assert_response_of(&answer, &key);
         assert_eq!(fleet.runs(&key).len(), 1);
     }
 }
 
-/// A node died and its callers moved over to one neighbour, which gets more than its slots can
-/// serve while another node idles. The neighbour passes requests on, so that all slots are used,
-/// and still no more than all.
+/// A node with more requests than slots must forward some to an idle peer, so that all slots are
+/// used, but never more than all.
 #[tokio::test(flavor = "multi_thread")]
-async fn overloaded_node_passes_requests_on_to_an_idle_one() {
+async fn overloaded_node_forwards_requests_to_an_idle_peer() {
     let fleet = Fleet::start(FleetOptions {
         vms: 1,
         ..FleetOptions::default()
@@ -98,21 +98,23 @@
         let fleet = Arc::clone(&fleet);
         callers.spawn(async move {
             let id = format!("map-{caller}");
-            assert_own(&ask(&fleet.nodes[0], &id, "ms=300").await, &id);
+            assert_response_of(&get_map(&fleet.nodes[0], &id, "ms=300").await, &id);
         });
-        // One after the other, so that each finds the queue that the ones before made.
+        // Staggered, so that each request finds the previous ones in the queue.
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     while let Some(ended) = callers.join_next().await {
         ended.expect("no refusal");
     }
     let runs = fleet.platform.runs();
-    let most = runs.iter().map(|run| run.in_progress).max();
-    assert!(most > Some(4) && most <= Some(8), "{most:?} at once");
+    let max_in_progress = runs.iter().map(|run| run.in_progress).max();
+    assert!(
+        max_in_progress > Some(4) && max_in_progress <= Some(8),
+        "{max_in_progress:?} requests at once"
+    );
 }
 
-/// Batch work fills every slot and waits in the queue when an outage notice comes. The notice is
-/// served next, before batch work that came earlier.
+/// An urgent request must be served before batch requests that were queued earlier.
 #[tokio::test(flavor = "multi_thread")]
 async fn urgent_work_is_served_before_batch_work() {
     let fleet = Arc::new(Fleet::start(FleetOptions::one_slot()).await);
@@ -120,39 +122,40 @@
     for caller in 0..6 {
         let fleet = Arc::clone(&fleet);
         let id = format!("billing-{caller}");
-        let request = refresh(&id, "ms=100").with_header(CLASS_HEADER, "batch");
+        let request = map_request(&id, "ms=100").with_header(CLASS_HEADER, "batch");
         callers.spawn(async move { fleet.nodes[0].call(&request).await.expect("an answer") });
     }
     wait_until("batch work runs", || !fleet.platform.runs().is_empty()).await;
-    let notice = refresh("notice", "").with_header(CLASS_HEADER, "urgent");
-    assert_own(
+    let notice = map_request("notice", "").with_header(CLASS_HEADER, "urgent");
+    assert_response_of(
         &fleet.nodes[0].call(&notice).await.expect("an answer"),
         "notice",
     );
     while callers.join_next().await.is_some() {}
     let runs = fleet.platform.runs();
-    let place = runs.iter().position(|run| run.request_id == "notice");
-    assert!(place < Some(4), "the notice ran at place {place:?}");
+    let index = runs.iter().position(|run| run.request_id == "notice");
+    assert!(index < Some(4), "the notice ran at index {index:?}");
 }
 
-/// A request's deadline is shorter than the queue in front of it. It is refused at once with the
-/// time after which to come back, and it did not run.
+/// A request whose deadline is shorter than its expected wait must be refused immediately, without
+/// having run and with a retry delay.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_that_cannot_be_served_in_time_is_refused_at_once() {
     let fleet = Arc::new(Fleet::start(FleetOptions::one_slot()).await);
-    assert_own(&ask(&fleet.nodes[0], "first", "ms=500").await, "first");
+    assert_response_of(&get_map(&fleet.nodes[0], "first", "ms=500").await, "first");
     let mut callers = JoinSet::new();
     for caller in 0..4 {
         let fleet = Arc::clone(&fleet);
-        callers
-            .spawn(async move { ask(&fleet.nodes[0], &format!("map-{caller}"), "ms=500").await });
+        callers.spawn(
+            async move { get_map(&fleet.nodes[0], &format!("map-{caller}"), "ms=500").await },
+        );
     }
     wait_until("a second request runs", || fleet.platform.runs().len() == 2).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let request = refresh("late", "").with_header(DEADLINE_HEADER, "300");
+    let request = map_request("late", "").with_header(DEADLINE_HEADER, "300");
     let answer = fleet.nodes[0].call(&request).await.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(not_started(&answer) && answer.header("retry-after").is_some());
+    assert!(did_not_run(&answer) && answer.header("retry-after").is_some());
     assert!(
         fleet
             .platform
@@ -165,7 +168,7 @@
     while callers.join_next().await.is_some() {}
 }
 
-/// One team sends far above its rate. It alone is refused, at once and without a run.
+/// A team above its rate limit must be refused without affecting other teams.
 #[tokio::test(flavor = "multi_thread")]
 async fn team_above_its_rate_is_refused() {
     let fleet = Fleet::start(FleetOptions {
@@ -176,27 +179,26 @@
     .await;
     let mut refused = 0;
     for number in 0..30 {
-        let request = refresh(&format!("flood-{number}"), "").with_header(TEAM_HEADER, "flood");
+        let request = map_request(&format!("flood-{number}"), "").with_header(TEAM_HEADER, "flood");
         let answer = fleet.nodes[0].call(&request).await.expect("an answer");
         if answer.status == StatusCode::TOO_MANY_REQUESTS {
-            assert!(not_started(&answer) && answer.header("retry-after").is_some());
+            assert!(did_not_run(&answer) && answer.header("retry-after").is_some());
             refused += 1;
         }
     }
     assert!(refused > 0, "the team was never refused");
     assert_eq!(fleet.platform.runs().len(), 30 - refused);
-    let request = refresh("dispatch", "").with_header(TEAM_HEADER, "crews");
-    assert_own(
+    let request = map_request("dispatch", "").with_header(TEAM_HEADER, "crews");
+    assert_response_of(
         &fleet.nodes[0].call(&request).await.expect("an answer"),
         "dispatch",
     );
 }
 
-/// An endpoint leaves while the VM list is minutes behind and the log is down. Its first refusal
-/// takes it out of this node's choice, and a peer in the same zone that is told takes it out too,
-/// so neither sends anything more to it for seconds.
+/// While the VM list and the log are out of date, the first refusal of a leaving endpoint must eject
+/// it on this node and, by the node's report, on its peers.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_endpoint_gets_nothing_more_on_any_node() {
+async fn leaving_endpoint_gets_no_requests_from_any_node() {
     let fleet = Fleet::start(FleetOptions {
         nodes: 4,
         ..FleetOptions::default()
@@ -211,32 +213,35 @@
     let first = &fleet.nodes[0];
     for number in 0..200 {
         let id = format!("map-{number}");
-        assert_own(&ask(first, &id, "").await, &id);
+        assert_response_of(&get_map(first, &id, "").await, &id);
         if !first.gateway.ejected_endpoints().is_empty() {
             break;
         }
     }
     assert_eq!(first.gateway.ejected_endpoints()[0].vm.as_str(), "vm-0");
     let second = &fleet.nodes[3].node;
-    let is_told = || {
+    let has_report = || {
         let peers = second.peers().live_peers(second.clock().now_ms());
         peers.iter().any(|peer| !peer.hello.leaving.is_empty())
     };
-    wait_until("the peer is told", is_told).await;
-    // The peer's table is made anew within this time.
+    wait_until("the peer has the report", has_report).await;
+    // The peer rebuilds its routing table within this time.
     tokio::time::sleep(Duration::from_millis(100)).await;
     for number in 0..50 {
         let id = format!("more-{number}");
-        assert_own(&ask(&fleet.nodes[3], &id, "").await, &id);
+        assert_response_of(&get_map(&fleet.nodes[3], &id, "").await, &id);
     }
-    let evidence = fleet.nodes[3].gateway.ejected_endpoints();
-    assert!(evidence.is_empty(), "the peer asked it: {evidence:?}");
+    let ejected = fleet.nodes[3].gateway.ejected_endpoints();
+    assert!(
+        ejected.is_empty(),
+        "the peer sent a request to the endpoint: {ejected:?}"
+    );
 }
 
-/// The only endpoint refuses to start while it restarts, with the log down. Requests are refused at
-/// once and without a run, and served again soon after it is back, without a word from the log.
+/// An ejected endpoint must be used again soon after it has recovered, even if the log is
+/// unavailable; until then requests must be refused without having run.
 #[tokio::test(flavor = "multi_thread")]
-async fn endpoint_that_is_back_is_used_again() {
+async fn recovered_endpoint_is_used_again() {
     let fleet = Fleet::start(FleetOptions {
         nodes: 1,
         vms: 1,
@@ -251,31 +256,34 @@
     };
     set_leaving(true);
     for number in 0..5 {
-        let answer = ask(&fleet.nodes[0], &format!("map-{number}"), "").await;
+        let answer = get_map(&fleet.nodes[0], &format!("map-{number}"), "").await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(not_started(&answer));
+        assert!(did_not_run(&answer));
     }
     set_leaving(false);
-    let until = tokio::time::Instant::now() + common::LIMIT;
-    while ask(&fleet.nodes[0], "back", "").await.status != StatusCode::OK {
-        assert!(tokio::time::Instant::now() < until, "it stayed out");
+    let until = tokio::time::Instant::now() + common::TIMEOUT;
+    while get_map(&fleet.nodes[0], "back", "").await.status != StatusCode::OK {
+        assert!(
+            tokio::time::Instant::now() < until,
+            "the endpoint is still ejected"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    // The first success ends all doubt.
-    assert_own(&ask(&fleet.nodes[0], "next", "").await, "next");
+    // The first success ends the ejection.
+    assert_response_of(&get_map(&fleet.nodes[0], "next", "").await, "next");
 }
 
-/// A caller sends a body that is too large to keep. It passes through whole, with its length seen
-/// by the endpoint, and the slot is free again afterwards.
+/// Bodies too large to buffer must be streamed completely in both directions, and the slot must be
+/// free afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn large_bodies_pass_through_both_ways() {
+async fn large_bodies_are_streamed_both_ways() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let body = vec![b'x'; 3_000_000];
     let request = ClientRequest::new(Method::PUT, format!("/{SERVICE}/file?size=2000000"))
         .with_header("x-request-id", "file")
         .with_body(body);
     let answer = fleet.nodes[0].call(&request).await.expect("an answer");
-    assert_own(&answer, "file");
+    assert_response_of(&answer, "file");
     let text = String::from_utf8_lossy(&answer.body);
     assert!(text.contains("bytes=3000000"), "{}", &text[..60]);
     assert!(answer.body.len() > 2_000_000);
@@ -283,14 +291,16 @@
     wait_until("the slot is free", || gateway.endpoint_loads().is_empty()).await;
 }
 
-/// An endpoint breaks off a large answer. The caller must see a broken connection, never a part
-/// that looks whole.
+/// A truncated response must close the caller's connection instead of looking complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_answer_breaks_the_callers_connection() {
+async fn truncated_response_closes_the_callers_connection() {
     let fleet = Fleet::start(FleetOptions::default()).await;
-    let request = refresh("map", "break=1&size=100000");
+    let request = map_request("map", "break=1&size=100000");
     let answer = fleet.nodes[0].call(&request).await;
-    assert!(answer.is_err(), "a part passed for the whole: {answer:?}");
+    assert!(
+        answer.is_err(),
+        "a truncated response looks complete: {answer:?}"
+    );
 }
 
 macro_rules! shares {
