--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -317,8 +317,8 @@
         running: &RunningTask,
         clock_ms: u64,
     ) -> Option<bool> {
-        let place = self.search(running.task.job).ok()?;
-        let task = self.jobs.quiet_mut(place).task_mut(&running.task)?;
+        let index = self.search(running.task.job).ok()?;
+        let task = self.jobs.get_mut_untracked(index).task_mut(&running.task)?;
         let attempt = task
             .attempts
             .iter_mut()
@@ -402,7 +402,7 @@
                 for attempt in &task.attempts {
                     let placed = PlacedRun::new(task_ref, attempt.run, spec);
                     self.endpoints.get_mut(attempt.endpoint).add_run(placed);
-                    self.quotas.charge(job.account_number, &spec.room);
+                    self.quotas.charge(job.account_number, &spec.resources);
                     if attempt.is_stop_stored {
                         unanswered.push((task_ref, attempt.run));
                     }
@@ -410,7 +410,7 @@
             }
         }
         unanswered.sort_unstable();
-        self.unanswered = unanswered;
+        self.unanswered_runs = unanswered;
         let lease_ms = self.settings.lease_ms * SLOW_CLOCK_PERCENT / 100;
         let bound_ms = now.steady_ms + lease_ms + PREVIOUS_OWNER_MS;
         for key in self.endpoints.keys().to_vec() {
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -44,7 +44,7 @@
 pub fn step(count: u16) -> StepSpec {
     StepSpec {
         count,
-        room: Resources {
+        resources: Resources {
             cpu_millis: 1_000,
             memory_mb: 100,
             gpus: 0,
@@ -532,9 +532,9 @@
     }
 
     pub fn end(&mut self, task: &TaskRef, run: u32, kind: EndKind) {
-        let place = self.running.iter().position(|known| *known == (*task, run));
-        if let Some(place) = place {
-            self.running.remove(place);
+        let index = self.running.iter().position(|known| *known == (*task, run));
+        if let Some(index) = index {
+            self.running.remove(index);
             self.ends += 1;
             let number = self.ends;
             self.ended.push(EndedTask {
