--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -235,7 +235,7 @@
         let vm = slot.as_ref().map_or("", |slot| slot.endpoint().vm.as_str());
         info!(event = "routing", request = request.request_id.as_str(),
             service = request.service.as_str(), vm = vm, reason = choice.reason.as_str(),
-            offset = offset; "endpoint chosen");
+            offset = offset; "routing decision");
         match slot {
             Some(slot) => SlotChoice::Acquired(slot),
             None if choice.reason == RouteReason::NoEndpoint => SlotChoice::NoEndpoint,
@@ -282,9 +282,9 @@
     let count = u64::try_from(peer_slots.len())
         .ok()
         .filter(|count| *count > 0)?;
-    let at = |seed: u64| usize::try_from(seed % count).unwrap_or(0);
+    let index_of = |seed: u64| usize::try_from(seed % count).unwrap_or(0);
     // The peers are ordered by free slots, so the lower index is the better one.
-    peer_slots.get(at(seed).min(at(seed >> 32)))
+    peer_slots.get(index_of(seed).min(index_of(seed >> 32)))
 }
 
 fn endpoint_view(route: &EndpointRoute, slots: u32) -> EndpointView<'_> {
--- a/crates/gateway/src/ejection.rs
+++ b/crates/gateway/src/ejection.rs
@@ -46,7 +46,8 @@
 
     /// Records that a request is sent to the endpoint.
     ///
-    /// If the endpoint failed before, it is ejected for further requests until it responds.
+    /// An endpoint that failed before is ejected for further requests until it responds, but no
+    /// longer than [`BASE_EJECTION_MS`].
     pub(crate) fn record_trial(&self, now_ms: u64) {
         if self.failures.load(Ordering::Relaxed) > 0 {
             self.ejected_until_ms
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -100,9 +100,9 @@
     remove_hop_by_hop_headers(&mut headers);
     // The HTTP client sets the length of the body; a second length must not be sent.
     headers.remove(header::CONTENT_LENGTH);
-    let left = deadline.saturating_duration_since(Instant::now());
-    let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(DEADLINE_HEADER, HeaderValue::from(left_ms));
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    let remaining_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(DEADLINE_HEADER, HeaderValue::from(remaining_ms));
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
         headers.insert(header::HOST, host);
     }
--- a/crates/gateway/src/keyed_requests.rs
+++ b/crates/gateway/src/keyed_requests.rs
@@ -130,8 +130,8 @@
 
     /// Refuses keys so old that earlier attempts may no longer be recorded.
     fn check_age(&self, request: &CallerRequest) -> Result<(), Refusal> {
-        let keep_ms = self.node.state().key_keep_ms();
-        match check_key_age(request.issued_ms, self.node.clock().now_ms(), keep_ms) {
+        let retention_ms = self.node.state().key_keep_ms();
+        match check_key_age(request.issued_ms, self.node.clock().now_ms(), retention_ms) {
             KeyAge::Valid => Ok(()),
             KeyAge::Expired => Err(Refusal::may_have_run(
                 RefusalReason::KeyTooOld,
@@ -274,8 +274,12 @@
         let answer = if self.is_holder_restarted(entry) {
             PeerAnswer::OtherRun
         } else {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let wait = if is_pending { left } else { Duration::ZERO };
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let wait = if is_pending {
+                remaining
+            } else {
+                Duration::ZERO
+            };
             self.query_holder(entry, wait).await
         };
         match answer {
@@ -307,7 +311,7 @@
     /// caller gets a final result.
     async fn query_holder(&self, entry: &KeyEntry, wait: Duration) -> PeerAnswer {
         let peers = &self.node.settings().peers;
-        let Ok(row) = peers.binary_search_by(|peer| peer.node.cmp(&entry.holder)) else {
+        let Ok(index) = peers.binary_search_by(|peer| peer.node.cmp(&entry.holder)) else {
             return PeerAnswer::NotKept;
         };
         let query = PeerAnswerRequest {
@@ -321,7 +325,7 @@
         } else {
             wait + PEER_TIMEOUT_MARGIN
         };
-        let client = self.peers.get(peers[row].address);
+        let client = self.peers.get(peers[index].address);
         let reply = client.exchange(PEER_ANSWER_PATH, &query, timeout).await;
         match reply {
             Ok(answer) => answer,
--- a/crates/gateway/tests/at_most_once.rs
+++ b/crates/gateway/tests/at_most_once.rs
@@ -145,8 +145,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn expired_key_is_refused() {
     let fleet = Fleet::start(FleetOptions::default()).await;
-    let keep_ms = fleet.nodes[0].node.state().key_keep_ms();
-    let issued_ms = Clock::system().now_ms() - keep_ms;
+    let retention_ms = fleet.nodes[0].node.state().key_keep_ms();
+    let issued_ms = Clock::system().now_ms() - retention_ms;
     let request = renewal("lotion-7", "").with_header(ISSUED_HEADER, issued_ms.to_string());
     let answer = fleet.nodes[0].call(&request).await.expect("an answer");
     assert_eq!(reason(&answer), "key_too_old");
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -70,10 +70,10 @@
         ..FleetOptions::default()
     })
     .await;
-    for (row, node) in fleet.nodes.iter().enumerate() {
-        let id = format!("map-{row}");
+    for (index, node) in fleet.nodes.iter().enumerate() {
+        let id = format!("map-{index}");
         assert_response_of(&get_map(node, &id, "size=20000").await, &id);
-        let key = format!("lotion-{row}");
+        let key = format!("lotion-{index}");
         let answer = node.call(&renewal(&key, "")).await.expect("an answer");
         assert_response_of(&answer, &key);
         assert_eq!(fleet.runs(&key).len(), 1);
