--- a/crates/lynxctl/src/apply.rs
+++ b/crates/lynxctl/src/apply.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         client::ApiClient,
-        declarations::{Declaration, DeclarationError, texts},
+        declarations::{Declaration, DeclarationError, field_texts},
         error::CtlError,
     },
     lynxwheel_protocol::{FieldError, Kind, ProblemReason, Resource, ResourceRef, ResourceView},
@@ -12,7 +12,7 @@
 
 /// What is to be done with one resource.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Step {
+pub struct PlanStep {
     /// Declaration.
     pub declaration: Declaration,
     /// Revision seen; 0 when it does not exist.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Plan {
     /// Resources to declare.
-    pub steps: Vec<Step>,
+    pub steps: Vec<PlanStep>,
     /// Number of resources that are as the files say.
     pub unchanged: usize,
 }
@@ -44,7 +44,7 @@
 impl Plan {
     /// Returns the plan as text, one line for a resource and one for each field.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
         for step in &self.steps {
@@ -69,7 +69,7 @@
 
 /// Compares files with the fleet; both sorted by reference.
 #[must_use]
-pub fn compare(declarations: &[Declaration], fleet: &[ResourceView]) -> Plan {
+pub fn diff_declarations(declarations: &[Declaration], fleet: &[ResourceView]) -> Plan {
     let mut plan = Plan::default();
     for declaration in declarations {
         let reference = declaration.resource.reference();
@@ -79,7 +79,7 @@
             plan.unchanged += 1;
             continue;
         }
-        plan.steps.push(Step {
+        plan.steps.push(PlanStep {
             declaration: declaration.clone(),
             revision: view.map_or(0, |view| view.revision),
             changes: changes(view.map(|view| &view.resource), &declaration.resource),
@@ -89,9 +89,9 @@
 }
 
 fn changes(from: Option<&Resource>, to: &Resource) -> Vec<FieldChange> {
-    let old = from.map(texts).unwrap_or_default();
+    let old = from.map(field_texts).unwrap_or_default();
     let value_of = |field| old.iter().find(|(known, _)| *known == field);
-    texts(to)
+    field_texts(to)
         .into_iter()
         .map(|(field, to)| FieldChange {
             field,
@@ -107,12 +107,15 @@
 /// # Errors
 ///
 /// Fails with every mistake that the fleet's state shows.
-pub async fn plan(client: &ApiClient, declarations: &[Declaration]) -> Result<Plan, CtlError> {
+pub async fn build_plan(
+    client: &ApiClient,
+    declarations: &[Declaration],
+) -> Result<Plan, CtlError> {
     let mut fleet = Vec::new();
     for kind in Kind::ALL {
         fleet.extend(client.list(kind).await?.items);
     }
-    let plan = compare(declarations, &fleet);
+    let plan = diff_declarations(declarations, &fleet);
     let mut errors = Vec::new();
     let is_in = |reference: &ResourceRef| {
         let row = fleet.binary_search_by(|view| view.resource.reference().cmp(reference));
@@ -138,7 +141,7 @@
     }
 }
 
-fn missing_error(step: &Step, need: &ResourceRef) -> FieldError {
+fn missing_error(step: &PlanStep, need: &ResourceRef) -> FieldError {
     FieldError {
         field: step.declaration.resource.need_field(need.kind).into(),
         reason: format!("{need} is declared neither in the files nor in the fleet"),
@@ -146,7 +149,10 @@
 }
 
 /// Asks a server whether it would take a step; what it needs exists already.
-async fn trial_errors(client: &ApiClient, step: &Step) -> Result<Vec<DeclarationError>, CtlError> {
+async fn trial_errors(
+    client: &ApiClient,
+    step: &PlanStep,
+) -> Result<Vec<DeclarationError>, CtlError> {
     let trial = client
         .put(&step.declaration.resource, step.revision, true)
         .await;
@@ -172,7 +178,7 @@
 /// # Errors
 ///
 /// Stops at the first resource that is not taken, and says what was applied and what not.
-pub async fn carry_out(
+pub async fn apply_plan(
     client: &ApiClient,
     plan: &Plan,
     progress: &(dyn Fn(&str) + Sync),
@@ -185,14 +191,14 @@
                 answer.reference, answer.revision
             )),
             Err(cause) => {
-                let references = |steps: &[Step]| {
+                let references = |steps: &[PlanStep]| {
                     let resources = steps.iter().map(|step| &step.declaration.resource);
                     resources.map(Resource::reference).collect()
                 };
-                return Err(CtlError::Stopped {
+                return Err(CtlError::ApplyInterrupted {
                     applied: references(&plan.steps[..row]),
-                    at: resource.reference(),
-                    left: references(&plan.steps[row + 1..]),
+                    failed: resource.reference(),
+                    not_applied: references(&plan.steps[row + 1..]),
                     cause: Box::new(cause),
                 });
             }
--- a/crates/lynxctl/src/client.rs
+++ b/crates/lynxctl/src/client.rs
@@ -47,7 +47,7 @@
     /// The server that answered last; pages and watches go on there.
     preferred: AtomicUsize,
     token: Option<String>,
-    was_behind: AtomicBool,
+    has_seen_stale_node: AtomicBool,
 }
 
 impl ApiClient {
@@ -61,7 +61,7 @@
                 .collect(),
             preferred: AtomicUsize::new(0),
             token: None,
-            was_behind: AtomicBool::new(false),
+            has_seen_stale_node: AtomicBool::new(false),
         }
     }
 
@@ -74,8 +74,8 @@
 
     /// Tells whether a node that answered did not know that it is current.
     #[must_use]
-    pub fn was_behind(&self) -> bool {
-        self.was_behind.load(Ordering::Relaxed)
+    pub fn has_seen_stale_node(&self) -> bool {
+        self.has_seen_stale_node.load(Ordering::Relaxed)
     }
 
     /// Returns a resource, or nothing when it is not declared.
@@ -158,7 +158,7 @@
     ) -> Result<WriteAnswer, CtlError> {
         let reference = resource.reference();
         let trial = if dry_run { "?dry_run=true" } else { "" };
-        let body = serde_json::to_vec(resource).map_err(|error| CtlError::Setup {
+        let body = serde_json::to_vec(resource).map_err(|error| CtlError::InvalidSetup {
             reason: error.to_string(),
         })?;
         let request = self
@@ -221,7 +221,7 @@
             }
             let request = request
                 .body(empty_body())
-                .map_err(|error| CtlError::Setup {
+                .map_err(|error| CtlError::InvalidSetup {
                     reason: error.to_string(),
                 })?;
             match server.send(request, Instant::now() + CALL_LIMIT).await {
@@ -298,12 +298,12 @@
                 Ok(answer) => {
                     self.preferred.store(row, Ordering::Relaxed);
                     if answer.header(CURRENT_HEADER) == Some("false") {
-                        self.was_behind.store(true, Ordering::Relaxed);
+                        self.has_seen_stale_node.store(true, Ordering::Relaxed);
                     }
                     return Ok((server.peer(), answer));
                 }
                 Err(source) if source.may_have_run && request.method != Method::GET => {
-                    return Err(CtlError::NoAnswer { source });
+                    return Err(CtlError::NoResponse { source });
                 }
                 Err(error) => last = Some(error),
             }
@@ -349,7 +349,7 @@
 fn unreachable(last: Option<TransportError>) -> CtlError {
     match last {
         Some(source) => CtlError::Unreachable { source },
-        None => CtlError::Setup {
+        None => CtlError::InvalidSetup {
             reason: "no server given".into(),
         },
     }
@@ -358,7 +358,7 @@
 async fn refusal_of(peer: SocketAddr, response: http::Response<Body>) -> CtlError {
     match response.into_body().collect().await {
         Ok(collected) => refusal("watch", peer, &collected.to_bytes()),
-        Err(error) => CtlError::BadAnswer {
+        Err(error) => CtlError::InvalidResponse {
             peer,
             reason: error.to_string(),
         },
@@ -371,7 +371,7 @@
             what: what.into(),
             problem: Box::new(problem),
         },
-        Err(error) => CtlError::BadAnswer {
+        Err(error) => CtlError::InvalidResponse {
             peer,
             reason: error.to_string(),
         },
@@ -386,7 +386,7 @@
     if answer.status != StatusCode::OK {
         return Err(refusal(what, peer, &answer.body));
     }
-    serde_json::from_slice(&answer.body).map_err(|error| CtlError::BadAnswer {
+    serde_json::from_slice(&answer.body).map_err(|error| CtlError::InvalidResponse {
         peer,
         reason: error.to_string(),
     })
--- a/crates/lynxctl/src/commands.rs
+++ b/crates/lynxctl/src/commands.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        apply::{carry_out, plan},
+        apply::{apply_plan, build_plan},
         cli::{Cli, Command, Connection, LocalCommand, Output, RemoteCommand, WaveCommand},
         client::ApiClient,
         declarations::load,
@@ -31,7 +31,7 @@
     };
     let client = connect(&cli.connection)?;
     let told = run_with(&client, cli, command, progress).await;
-    if client.was_behind() {
+    if client.has_seen_stale_node() {
         progress("a node that answered does not know that it is current; it may show the past");
     }
     told
@@ -46,8 +46,8 @@
     match command {
         RemoteCommand::Apply(args) => {
             let declarations = load(&args.path).map_err(CtlError::Declarations)?;
-            let plan = plan(client, &declarations).await?;
-            carry_out(client, &plan, progress).await?;
+            let plan = build_plan(client, &declarations).await?;
+            apply_plan(client, &plan, progress).await?;
             Ok(format!(
                 "{} applied, {} unchanged",
                 plan.steps.len(),
@@ -56,8 +56,8 @@
         }
         RemoteCommand::Diff(args) => {
             let declarations = load(&args.path).map_err(CtlError::Declarations)?;
-            let plan = plan(client, &declarations).await?;
-            let text = plan.text();
+            let plan = build_plan(client, &declarations).await?;
+            let text = plan.to_text();
             if plan.steps.is_empty() {
                 Ok(text)
             } else {
@@ -142,7 +142,7 @@
 fn connect(connection: &Connection) -> Result<ApiClient, CtlError> {
     let token = match &connection.token_file {
         Some(file) => {
-            let text = fs::read_to_string(file).map_err(|error| CtlError::Setup {
+            let text = fs::read_to_string(file).map_err(|error| CtlError::InvalidSetup {
                 reason: format!("{}: {error}", file.display()),
             })?;
             Some(text.trim().to_owned())
--- a/crates/lynxctl/src/declarations.rs
+++ b/crates/lynxctl/src/declarations.rs
@@ -302,11 +302,11 @@
 
 /// Returns the text of a field's value, as a file would give it.
 #[must_use]
-pub fn text_of(value: &Value) -> String {
+pub fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(text_of).collect();
+            let items: Vec<String> = items.iter().map(format_value).collect();
             items.join(", ")
         }
         Value::Object(members) => match members.iter().next() {
@@ -318,9 +318,9 @@
     }
 }
 
-/// Returns the fields of a resource with their texts, without the name.
+/// Returns the fields of a resource with their values as text, without the name.
 #[must_use]
-pub fn texts(resource: &Resource) -> Vec<(&'static str, String)> {
+pub fn field_texts(resource: &Resource) -> Vec<(&'static str, String)> {
     let document = json!(resource);
     fields(resource.kind())
         .iter()
@@ -330,7 +330,7 @@
             for key in field.path.split('.') {
                 value = &value[key];
             }
-            (field.path, text_of(value))
+            (field.path, format_value(value))
         })
         .collect()
 }
--- a/crates/lynxctl/src/error.rs
+++ b/crates/lynxctl/src/error.rs
@@ -18,7 +18,7 @@
     /// The declarations have mistakes; nothing was applied.
     Declarations(Vec<DeclarationError>),
     /// The token or a server's address cannot be used.
-    Setup {
+    InvalidSetup {
         /// What is wrong.
         reason: String,
     },
@@ -28,7 +28,7 @@
         source: TransportError,
     },
     /// A write was sent and no answer came.
-    NoAnswer {
+    NoResponse {
         /// Failure.
         source: TransportError,
     },
@@ -40,20 +40,20 @@
         problem: Box<Problem>,
     },
     /// The answer is not what the API promises.
-    BadAnswer {
+    InvalidResponse {
         /// Server.
         peer: SocketAddr,
         /// What is wrong.
         reason: String,
     },
     /// Applying stopped in the middle.
-    Stopped {
+    ApplyInterrupted {
         /// Resources that were applied.
         applied: Vec<ResourceRef>,
         /// Resource at which it stopped.
-        at: ResourceRef,
+        failed: ResourceRef,
         /// Resources that were not applied.
-        left: Vec<ResourceRef>,
+        not_applied: Vec<ResourceRef>,
         /// Why.
         cause: Box<Self>,
     },
@@ -84,11 +84,11 @@
                 ProblemReason::OutcomeUnknown => 5,
                 _ => 1,
             },
-            Self::BadAnswer { .. } => 1,
-            Self::Declarations(_) | Self::Setup { .. } => 3,
+            Self::InvalidResponse { .. } => 1,
+            Self::Declarations(_) | Self::InvalidSetup { .. } => 3,
             Self::Unreachable { .. } => 4,
-            Self::NoAnswer { .. } => 5,
-            Self::Stopped { cause, .. } => cause.exit_code(),
+            Self::NoResponse { .. } => 5,
+            Self::ApplyInterrupted { cause, .. } => cause.exit_code(),
             Self::NotReady { .. } => 7,
             Self::Differs { .. } => 8,
         }
@@ -113,28 +113,28 @@
                 }
                 write!(formatter, "{} mistakes, nothing was applied", errors.len())
             }
-            Self::Setup { reason } => write!(formatter, "{reason}"),
+            Self::InvalidSetup { reason } => write!(formatter, "{reason}"),
             Self::Unreachable { source } => write!(formatter, "no server answered: {source}"),
-            Self::NoAnswer { source } => write!(
+            Self::NoResponse { source } => write!(
                 formatter,
                 "sent, but no answer came, so it may or may not take effect: {source}\n\
                  lynxctl operation lists the latest writes"
             ),
             Self::Refused { what, problem } => write_refusal(formatter, what, problem),
-            Self::BadAnswer { peer, reason } => {
+            Self::InvalidResponse { peer, reason } => {
                 write!(formatter, "the answer of {peer} cannot be read: {reason}")
             }
-            Self::Stopped {
+            Self::ApplyInterrupted {
                 applied,
-                at,
-                left,
+                failed,
+                not_applied,
                 cause,
             } => {
                 for reference in applied {
                     writeln!(formatter, "applied      {reference}")?;
                 }
-                writeln!(formatter, "stopped at   {at}: {cause}")?;
-                for reference in left {
+                writeln!(formatter, "stopped at   {failed}: {cause}")?;
+                for reference in not_applied {
                     writeln!(formatter, "not applied  {reference}")?;
                 }
                 write!(formatter, "run it again to go on")
--- a/crates/lynxctl/src/lib.rs
+++ b/crates/lynxctl/src/lib.rs
@@ -20,11 +20,12 @@
 mod steer;
 mod wait;
 
-pub use apply::{FieldChange, Plan, Step, carry_out, compare, plan};
+pub use apply::{FieldChange, Plan, PlanStep, apply_plan, build_plan, diff_declarations};
 pub use client::{ApiClient, WatchStream};
 pub use commands::{TOKEN_VARIABLE, run};
 pub use declarations::{
-    Declaration, DeclarationError, MAX_FILE_BYTES, MAX_FILES, load, parse, text_of, texts,
+    Declaration, DeclarationError, MAX_FILE_BYTES, MAX_FILES, field_texts, format_value, load,
+    parse,
 };
 pub use error::{CtlError, EXIT_CODES};
 pub use output::{
--- a/crates/lynxctl/src/output.rs
+++ b/crates/lynxctl/src/output.rs
@@ -1,7 +1,7 @@
 //! Tables for people.
 
 use {
-    crate::declarations::texts,
+    crate::declarations::field_texts,
     lynxwheel_protocol::{Condition, OperationOutcome, OperationView, ResourceView},
     std::fmt::Write,
 };
@@ -65,7 +65,7 @@
     let reference = view.resource.reference();
     let mut text = format!("[{} {}]\n", reference.kind, reference.name);
     // Writing to a string cannot fail.
-    for (field, value) in texts(&view.resource) {
+    for (field, value) in field_texts(&view.resource) {
         let _ = writeln!(text, "{field} = {value}");
     }
     let _ = writeln!(
--- a/crates/lynxctl/tests/ctl/commands.rs
+++ b/crates/lynxctl/tests/ctl/commands.rs
@@ -109,8 +109,10 @@
     let directory = files("middle", &[("fleet.ini", FLEET)]);
     let declarations = lynxctl::load(&directory).expect("declarations");
     let client = lynxctl::ApiClient::new(&[fleet.daemon.operator_address()]);
-    let plan = lynxctl::plan(&client, &declarations).await.expect("plan");
-    let stopped = lynxctl::carry_out(&client, &plan, &|line: &str| {
+    let plan = lynxctl::build_plan(&client, &declarations)
+        .await
+        .expect("plan");
+    let stopped = lynxctl::apply_plan(&client, &plan, &|line: &str| {
         if line.contains("pool/spare") {
             let faults = Faults {
                 log_down: true,
@@ -154,7 +156,9 @@
     );
     let declarations = lynxctl::load(&directory).expect("declarations");
     let client = lynxctl::ApiClient::new(&[fleet.daemon.operator_address()]);
-    let plan = lynxctl::plan(&client, &declarations).await.expect("plan");
+    let plan = lynxctl::build_plan(&client, &declarations)
+        .await
+        .expect("plan");
     let faster = files(
         "race-3",
         &[(
@@ -163,7 +167,7 @@
         )],
     );
     fleet.done(&format!("apply -f {}", faster.display())).await;
-    let stopped = lynxctl::carry_out(&client, &plan, &|_| {})
+    let stopped = lynxctl::apply_plan(&client, &plan, &|_| {})
         .await
         .expect_err("lost");
     assert_eq!(stopped.exit_code(), 6);
--- a/crates/lynxctl/tests/ctl/declarations.rs
+++ b/crates/lynxctl/tests/ctl/declarations.rs
@@ -2,7 +2,7 @@
 
 use {
     insta::assert_snapshot,
-    lynxctl::{DeclarationError, parse, texts},
+    lynxctl::{DeclarationError, field_texts, parse},
     lynxwheel_protocol::{Kind, fields},
     proptest::{prelude::ProptestConfig, prop_assert, proptest},
     std::fmt::Write,
@@ -44,7 +44,7 @@
     let mut shown = String::new();
     for declaration in &declarations {
         writeln!(shown, "[{}]", declaration.resource.reference()).expect("text");
-        for (field, text) in texts(&declaration.resource) {
+        for (field, text) in field_texts(&declaration.resource) {
             writeln!(shown, "{field} = {text}").expect("text");
         }
     }
@@ -59,7 +59,7 @@
     for declaration in declarations {
         let reference = declaration.resource.reference();
         let mut again = format!("[{} {}]\n", reference.kind, reference.name);
-        for (field, text) in texts(&declaration.resource) {
+        for (field, text) in field_texts(&declaration.resource) {
             writeln!(again, "{field} = {text}").expect("text");
         }
         let read = parse("fleet.ini", &again).expect("the same declaration");
