--- a/crates/engine/src/demand.rs
+++ b/crates/engine/src/demand.rs
@@ -22,7 +22,7 @@
 pub(crate) struct PoolLoad {
     pub(crate) name: CompactString,
     pub(crate) is_standby: bool,
-    room: Balance,
+    total: Balance,
     /// The same for what only some VMs have, as far as waiting work asks for it.
     features: Vec<(VmFeature, Balance)>,
     /// VMs ordered into the pool at this planning.
@@ -41,13 +41,13 @@
     pub(crate) fn plan(&self) -> PoolPlan {
         PoolPlan {
             pool: self.name.clone(),
-            members: self.room.members,
-            pinned: self.room.pinned,
-            arriving: self.room.arriving_vms,
-            supply_cpu_millis: self.room.supply,
-            used_cpu_millis: self.room.used.cpu_millis,
-            used_memory_mb: self.room.used.memory_mb,
-            wanted_cpu_millis: self.room.wanted(),
+            members: self.total.members,
+            pinned: self.total.pinned,
+            arriving: self.total.arriving_vms,
+            supply_cpu_millis: self.total.supply,
+            used_cpu_millis: self.total.used.cpu_millis,
+            used_memory_mb: self.total.used.memory_mb,
+            wanted_cpu_millis: self.total.wanted(),
             moved_in: self.moved_in,
             moved_out: self.moved_out,
         }
@@ -69,16 +69,16 @@
     /// Tells whether a VM of the pool can leave.
     pub(crate) fn can_spare(&self, vm: &Vm) -> bool {
         let entry = &vm.entry;
-        let min_members = MIN_VMS.max(self.room.needed_members);
+        let min_members = MIN_VMS.max(self.total.needed_members);
         let mut features = self
             .features
             .iter()
             .filter(|(kind, _)| kind.is_required() && kind.is_of(&entry.labels, &entry.capacity));
-        self.room.members > min_members
-            && self.room.has_surplus(entry.capacity.cpu_millis)
+        self.total.members > min_members
+            && self.total.has_surplus(entry.capacity.cpu_millis)
             && features.all(|(kind, balance)| {
-                let room = kind.counted(&entry.capacity).cpu_millis;
-                balance.members > balance.needed_members && balance.has_surplus(room)
+                let cpu_millis = kind.counted(&entry.capacity).cpu_millis;
+                balance.members > balance.needed_members && balance.has_surplus(cpu_millis)
             })
     }
 
@@ -99,8 +99,8 @@
     /// Takes in that a VM is on its way here.
     pub(crate) fn add_arriving_vm(&mut self, vm: &Vm) {
         let entry = &vm.entry;
-        self.room.arriving += entry.capacity.cpu_millis.max(1);
-        self.room.arriving_vms += 1;
+        self.total.arriving += entry.capacity.cpu_millis.max(1);
+        self.total.arriving_vms += 1;
         for (kind, balance) in &mut self.features {
             if kind.is_of(&entry.labels, &entry.capacity) {
                 balance.arriving += kind.counted(&entry.capacity).cpu_millis.max(1);
@@ -119,38 +119,38 @@
     pub(crate) fn remove_vm(&mut self, vm: &Vm) {
         self.moved_out += 1;
         let cpu = vm.entry.capacity.cpu_millis;
-        self.room.supply = self.room.supply.saturating_sub(cpu);
-        self.room.members = self.room.members.saturating_sub(1);
+        self.total.supply = self.total.supply.saturating_sub(cpu);
+        self.total.members = self.total.members.saturating_sub(1);
     }
 
     /// Counts the work of late jobs from now on.
     pub(crate) fn include_late(&mut self) {
-        self.room.include_late();
+        self.total.include_late();
         for (_, balance) in &mut self.features {
             balance.include_late();
         }
     }
 
     fn add_step(&mut self, spec: &StepSpec, waiting: Waiting, vm: &Resources) {
-        self.room.need_members(spec);
+        self.total.need_members(spec);
         let work_ms = spec.estimated_ms.max(BACKLOG_TARGET_MS / 2);
         let charged = spec.reserved_resources();
         // What only some VMs can run is no reason for others: a pool that misses a kind of VM took
         // all the others in for nothing, and kept them.
         if !VmFeature::of_step(spec).any(|kind| kind.is_required()) {
-            self.room.add_work(spec, &charged, work_ms, waiting);
+            self.total.add_work(spec, &charged, work_ms, waiting);
         }
         if waiting.count == 0 && !needs_members(spec) {
             return;
         }
         for kind in VmFeature::of_step(spec) {
             let counted = kind.counted(&charged);
-            let place = self.features.iter().position(|(known, _)| *known == kind);
-            let place = place.unwrap_or_else(|| {
+            let index = self.features.iter().position(|(known, _)| *known == kind);
+            let index = index.unwrap_or_else(|| {
                 self.features.push((kind, Balance::new(vm)));
                 self.features.len() - 1
             });
-            let balance = &mut self.features[place].1;
+            let balance = &mut self.features[index].1;
             balance.need_members(spec);
             balance.add_work(spec, &counted, work_ms, waiting);
         }
@@ -158,7 +158,7 @@
 }
 
 /// Returns the place of a pool among the loads, which are sorted by name.
-pub(crate) fn load_place(loads: &[PoolLoad], pool: &str) -> Option<usize> {
+pub(crate) fn load_index(loads: &[PoolLoad], pool: &str) -> Option<usize> {
     loads
         .binary_search_by(|load| load.name.as_str().cmp(pool))
         .ok()
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Shortage {
     /// Place of the pool.
-    pub(crate) place: usize,
+    pub(crate) pool_index: usize,
     /// What the VM has to have.
     pub(crate) required: Option<VmFeature>,
 }
@@ -188,22 +188,25 @@
     loads: &[PoolLoad],
     unmet: &[(usize, VmFeature)],
 ) -> Option<Shortage> {
-    let missing = |place: usize| {
-        let load = &loads[place];
+    let missing = |index: usize| {
+        let load = &loads[index];
         let special = load
             .missing_feature()
-            .filter(|(kind, _)| !unmet.contains(&(place, (*kind).clone())));
+            .filter(|(kind, _)| !unmet.contains(&(index, (*kind).clone())));
         match special {
-            Some((kind, cpu)) if cpu >= load.room.missing() => (cpu, Some(kind.clone())),
-            _ => (load.room.missing(), None),
+            Some((kind, cpu)) if cpu >= load.total.missing() => (cpu, Some(kind.clone())),
+            _ => (load.total.missing(), None),
         }
     };
     (0..loads.len())
-        .filter(|&place| !loads[place].is_standby)
-        .map(|place| (place, missing(place)))
+        .filter(|&index| !loads[index].is_standby)
+        .map(|index| (index, missing(index)))
         .filter(|(_, (missing, _))| *missing > 0)
         .max_by_key(|(_, (missing, _))| *missing)
-        .map(|(place, (_, required))| Shortage { place, required })
+        .map(|(pool_index, (_, required))| Shortage {
+            pool_index,
+            required,
+        })
 }
 
 impl Engine {
@@ -217,12 +220,12 @@
             .map(|pool| PoolLoad {
                 name: pool.name.clone(),
                 is_standby: pool.is_standby,
-                room: Balance::new(&vm),
+                total: Balance::new(&vm),
                 ..PoolLoad::default()
             })
             .collect();
         for load in &mut loads {
-            load.room.incoming = self
+            load.total.incoming = self
                 .arrivals
                 .load(&load.name, now, |account| self.quotas.quota(account));
         }
@@ -234,8 +237,8 @@
                 (None, VmState::Moving) => &vm.entry.pool,
                 _ => continue,
             };
-            if let Some(place) = load_place(&loads, target) {
-                loads[place].add_arriving_vm(vm);
+            if let Some(index) = load_index(&loads, target) {
+                loads[index].add_arriving_vm(vm);
             }
         }
         loads
@@ -243,28 +246,32 @@
 
     /// Returns the room of the largest VM, by which memory is weighed against processor.
     fn largest_vm(&self) -> Resources {
-        let rooms = self.vms.iter().map(|vm| vm.entry.capacity);
-        rooms.max_by_key(|room| room.cpu_millis).unwrap_or_default()
+        let capacities = self.vms.iter().map(|vm| vm.entry.capacity);
+        capacities
+            .max_by_key(|capacity| capacity.cpu_millis)
+            .unwrap_or_default()
     }
 
     fn add_endpoints(&self, loads: &mut [PoolLoad], now: Now) {
         for (_, endpoint) in self.endpoints.iter() {
-            let Some(place) = load_place(loads, &endpoint.pool) else {
+            let Some(index) = load_index(loads, &endpoint.pool) else {
                 continue;
             };
             if endpoint.has_ended {
                 continue;
             }
-            let load = &mut loads[place];
+            let load = &mut loads[index];
             let takes_starts = endpoint.takes_starts(now.steady_ms);
-            load.room.used.add(&endpoint.used);
-            load.room.used_long_running.add(&endpoint.used_long_running);
+            load.total.used.add(&endpoint.used);
+            load.total
+                .used_long_running
+                .add(&endpoint.used_long_running);
             if endpoint.long_running_runs > 0 {
-                load.room.pinned += 1;
+                load.total.pinned += 1;
             }
             if takes_starts {
-                load.room.supply += endpoint.capacity.cpu_millis;
-                load.room.members += 1;
+                load.total.supply += endpoint.capacity.cpu_millis;
+                load.total.members += 1;
             }
             for (kind, balance) in &mut load.features {
                 if kind.is_of(&endpoint.labels, &endpoint.capacity) {
@@ -283,16 +290,16 @@
     fn add_waiting(&self, loads: &mut [PoolLoad], vm: &Resources, now: Now) {
         let mut remaining = self.quotas.remaining();
         for step in self.open_steps.iter() {
-            let Some(job) = self.jobs.get(step.first.job) else {
+            let Some(job) = self.jobs.get(step.first_task.job) else {
                 continue;
             };
-            let place = load_place(loads, &job.queue.pool);
-            if let Some((place, spec)) = place.zip(job.step_spec(&step.first)) {
+            let index = load_index(loads, &job.queue.pool);
+            if let Some((index, spec)) = index.zip(job.step_spec(&step.first_task)) {
                 let waiting = Waiting {
-                    count: remaining.take(step.account, &step.quota_room, step.waiting),
+                    count: remaining.take(step.account, &step.requested, step.waiting),
                     is_late: step.waiting > 0 && step.is_late(now),
                 };
-                loads[place].add_step(spec, waiting, vm);
+                loads[index].add_step(spec, waiting, vm);
             }
         }
     }
--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -36,7 +36,7 @@
     running: Vec<(TaskRef, u32)>,
     random: ChaCha8Rng,
     jobs: u64,
-    lives: usize,
+    incarnations: usize,
     done: Vec<TaskRef>,
 }
 
@@ -53,7 +53,7 @@
             running: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             jobs: 0,
-            lives: ENDPOINTS,
+            incarnations: ENDPOINTS,
             done: Vec::new(),
         }
     }
@@ -83,11 +83,11 @@
     }
 
     fn change_quotas(&mut self) {
-        for place in 1..ACCOUNTS.len() {
-            self.quotas[place] = self.random.random_range(QUOTAS);
+        for index in 1..ACCOUNTS.len() {
+            self.quotas[index] = self.random.random_range(QUOTAS);
         }
         let accounts: Vec<_> = (1..ACCOUNTS.len())
-            .map(|place| account(ACCOUNTS[place], self.quotas[place]))
+            .map(|index| account(ACCOUNTS[index], self.quotas[index]))
             .collect();
         self.fleet.configure_accounts(&accounts);
     }
@@ -96,9 +96,9 @@
         let endpoints = self.fleet.endpoints.iter();
         let running: Vec<(TaskRef, u32)> = endpoints.flat_map(|one| one.running.clone()).collect();
         for (task, run) in &running {
-            let place = account_of(task.job);
-            let count = self.fleet.running_cores(|job| account_of(job) == place);
-            let quota = usize::try_from(self.quotas[place]).expect("few cores");
+            let index = account_of(task.job);
+            let count = self.fleet.running_cores(|job| account_of(job) == index);
+            let quota = usize::try_from(self.quotas[index]).expect("few cores");
             assert!(
                 quota == 0 || count <= quota || self.running.contains(&(*task, *run)),
                 "{task} {run} starts above a quota of {quota}: {count} run"
@@ -111,7 +111,7 @@
         self.jobs += 1;
         let first = step(self.random.random_range(1..5));
         let second = StepSpec {
-            after: vec![0],
+            depends_on: vec![0],
             max_per_endpoint: 1,
             ..step(self.random.random_range(1..4))
         };
@@ -141,8 +141,8 @@
 
     /// Ends a life; another begins at the same address.
     fn crash(&mut self, endpoint: usize) {
-        self.lives += 1;
-        let id = format!("i-{}", self.lives);
+        self.incarnations += 1;
+        let id = format!("i-{}", self.incarnations);
         let fake = &mut self.fleet.endpoints[endpoint];
         // What was done and not told is lost with the life.
         let lost: Vec<TaskRef> = fake.ended.iter().map(|ended| ended.task).collect();
@@ -256,5 +256,5 @@
 histories! {
     first_seeds: 0..12;
     further_seeds: 1_000..1_012;
-    orders_to_a_life_that_is_over: [5_149];
+    orders_to_an_ended_incarnation: [5_149];
 }
