--- a/crates/lynxwheel/src/audit.rs
+++ b/crates/lynxwheel/src/audit.rs
@@ -1,16 +1,16 @@
-//! Judging a run from the log alone.
+//! Audit of the availability guarantees, from the log alone.
 
 use {
     lynxwheel_protocol::{LogEntry, PoolName, Record, RecordBody, decode_record},
     lynxwheel_state::FleetState,
 };
 
-/// Lowest availability of a pool over a run.
+/// Availability and moves of a pool over the whole log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PoolAudit {
     /// Pool.
     pub pool: PoolName,
-    /// Lowest number of available VMs after the pool had first reached its floor.
+    /// Lowest number of available VMs since the pool first reached its floor.
     pub lowest_available: u32,
     /// Whether the pool ever reached its floor.
     pub has_reached_floor: bool,
@@ -29,9 +29,9 @@
     }
 }
 
-/// Folds the log again and notes each pool's lowest availability and moves.
+/// Replays the log and returns each pool's lowest availability and moves.
 ///
-/// The state after every single record is looked at, so no moment is missed.
+/// Availability is checked after every record, so that no violation is missed.
 #[must_use]
 pub fn audit(entries: &[LogEntry]) -> Vec<PoolAudit> {
     let mut state = FleetState::new();
@@ -43,7 +43,7 @@
         }
         for pool in state.pools().iter() {
             let availability = pool.availability();
-            let audit = audit_of(&mut audits, &pool.spec.name);
+            let audit = find_or_insert(&mut audits, &pool.spec.name);
             audit.has_reached_floor |= availability.available >= availability.floor;
             if audit.has_reached_floor {
                 audit.lowest_available = audit.lowest_available.min(availability.available);
@@ -53,22 +53,23 @@
     audits
 }
 
+/// Applies a record and counts the move that it completes.
 fn apply(state: &mut FleetState, offset: u64, record: &Record, audits: &mut Vec<PoolAudit>) {
     let is_accepted = state.apply(offset, record).is_accepted();
     if let RecordBody::HandOver { vm, .. } = &record.body
         && is_accepted
         && let Some(vm) = state.vms().get(vm.as_str())
     {
-        audit_of(audits, &vm.pool).vms_moved_in += 1;
+        find_or_insert(audits, &vm.pool).vms_moved_in += 1;
     }
 }
 
-fn audit_of<'a>(audits: &'a mut Vec<PoolAudit>, pool: &PoolName) -> &'a mut PoolAudit {
-    let row = audits
+fn find_or_insert<'a>(audits: &'a mut Vec<PoolAudit>, pool: &PoolName) -> &'a mut PoolAudit {
+    let index = audits
         .binary_search_by(|audit| audit.pool.cmp(pool))
-        .unwrap_or_else(|row| {
-            audits.insert(row, PoolAudit::new(pool));
-            row
+        .unwrap_or_else(|index| {
+            audits.insert(index, PoolAudit::new(pool));
+            index
         });
-    &mut audits[row]
+    &mut audits[index]
 }
--- a/crates/lynxwheel/src/dev.rs
+++ b/crates/lynxwheel/src/dev.rs
@@ -1,4 +1,4 @@
-//! Development: the embedded platform with or without nodes.
+//! Development modes: the embedded platform with or without nodes.
 
 use {
     crate::{
@@ -10,11 +10,11 @@
     std::net::SocketAddr,
 };
 
-/// Runs the main job on an embedded platform: declare, serve, maintain, and report.
+/// Runs the main job on an embedded platform and returns its report.
 ///
 /// # Errors
 ///
-/// Returns the reason when the job cannot be run to its end.
+/// Returns an error when the fleet cannot be started or the job does not complete in time.
 pub async fn run_dev_job() -> Result<DevReport, String> {
     let fleet = Fleet::start(VMS).await?;
     let report = run_main_job(&fleet).await?;
@@ -25,11 +25,11 @@
     Ok(report)
 }
 
-/// Runs the embedded platform with nodes until the process is ended.
+/// Runs the embedded platform with nodes until Ctrl-C.
 ///
 /// # Errors
 ///
-/// Returns the reason when it cannot be started.
+/// Returns an error when the fleet cannot be started.
 pub async fn run_dev_fleet() -> Result<(), String> {
     let fleet = Fleet::start(VMS).await?;
     fleet.declare(&declarations()).await?;
@@ -47,11 +47,11 @@
         .map_err(|error| error.to_string())
 }
 
-/// Runs only the platform with its endpoints until the process is ended.
+/// Runs the platform and its endpoints without nodes until Ctrl-C.
 ///
 /// # Errors
 ///
-/// Returns the reason when it cannot be started.
+/// Returns an error when the platform cannot listen on `listen`.
 pub async fn run_dev_platform(listen: SocketAddr, vms: u32, reboot_ms: u64) -> Result<(), String> {
     let templates: Vec<VmTemplate> = (0..vms).map(VmTemplate::numbered).collect();
     let platform = PlatformServer::start(listen, &templates, reboot_ms)
--- a/crates/lynxwheel/src/embedded.rs
+++ b/crates/lynxwheel/src/embedded.rs
@@ -1,4 +1,4 @@
-//! A platform with nodes in this process.
+//! A platform and nodes within one process, for the development modes.
 
 use {
     crate::{config::Config, daemon::Daemon},
@@ -17,39 +17,39 @@
     tokio::time::Instant,
 };
 
-/// Nodes of the embedded system.
+/// Number of nodes.
 const NODES: u32 = 2;
 
-/// Time that a VM takes to reboot, in milliseconds.
+/// Reboot time of a VM, in milliseconds.
 const REBOOT_MS: u64 = 300;
 
-/// Time within which everything waited for must happen.
-const LIMIT: Duration = Duration::from_mins(2);
+/// Time limit for each condition that is waited for.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Pause between two looks at what is waited for.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time that one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+/// Time limit for one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A platform and nodes in this process.
+/// A platform and its nodes within this process.
 pub(crate) struct Fleet {
     pub(crate) platform: PlatformServer,
     pub(crate) daemons: Vec<Daemon>,
 }
 
 impl Fleet {
-    /// Starts a platform of `vms` VMs and waits until the nodes are current.
+    /// Starts a platform of `vms` VMs with nodes, and waits until the nodes are current.
     pub(crate) async fn start(vms: u32) -> Result<Self, String> {
         let templates: Vec<VmTemplate> = (0..vms).map(VmTemplate::numbered).collect();
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let platform = PlatformServer::start(any_port, &templates, REBOOT_MS)
             .await
             .map_err(|error| error.to_string())?;
-        let nodes = peer_addresses().map_err(|error| error.to_string())?;
+        let nodes = find_peer_addresses().map_err(|error| error.to_string())?;
         let mut daemons = Vec::new();
         for number in 1..=NODES {
-            let config = config(number, platform.address(), &nodes);
+            let config = build_config(number, platform.address(), &nodes);
             daemons.push(
                 Daemon::start(&config)
                     .await
@@ -62,12 +62,12 @@
     }
 
     async fn wait_until_current(&self) -> Result<(), String> {
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !self.daemons.iter().all(|daemon| daemon.node().is_current()) {
-            if Instant::now() > until {
-                return Err("waited too long until the nodes are current".into());
+            if Instant::now() > deadline {
+                return Err("timed out waiting until the nodes are current".into());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -85,7 +85,7 @@
             let path = format!("/v1/{}/{}", resource.kind(), resource.name());
             let request = ClientRequest::new(Method::PUT, path).with_body(body);
             let answer = operators
-                .call(&request, CALL_LIMIT)
+                .call(&request, CALL_TIMEOUT)
                 .await
                 .map_err(|error| error.to_string())?;
             if answer.status != StatusCode::OK {
@@ -96,31 +96,31 @@
         Ok(())
     }
 
-    /// Waits until something holds of the first node's state.
+    /// Waits until the first node's state fulfils a condition, which errors call `what`.
     pub(crate) async fn wait_until(
         &self,
         what: &str,
-        holds: impl Fn(&FleetState) -> bool,
+        condition: impl Fn(&FleetState) -> bool,
     ) -> Result<(), String> {
-        let until = Instant::now() + LIMIT;
-        while !holds(&self.state()) {
-            if Instant::now() > until {
-                return Err(format!("waited too long until {what}"));
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !condition(&self.state()) {
+            if Instant::now() > deadline {
+                return Err(format!("timed out waiting until {what}"));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Returns everything that the fleet's stream holds.
+    /// Returns all log entries of the fleet's stream.
     pub(crate) fn entries(&self) -> Vec<LogEntry> {
         self.platform
             .with_platform(|platform| platform.log.read("fleet", 1, usize::MAX).entries)
     }
 }
 
-/// Finds a free address for each node's peer listener, which the others must know beforehand.
-fn peer_addresses() -> io::Result<Vec<PeerAddress>> {
+/// Finds a free address for each node's peer listener, which is part of the other nodes' settings.
+fn find_peer_addresses() -> io::Result<Vec<PeerAddress>> {
     let listeners: Vec<TcpListener> = (0..NODES)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
         .collect::<io::Result<_>>()?;
@@ -135,7 +135,7 @@
         .collect()
 }
 
-fn config(number: u32, platform: SocketAddr, nodes: &[PeerAddress]) -> Config {
+fn build_config(number: u32, platform: SocketAddr, nodes: &[PeerAddress]) -> Config {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let name = node_name(number);
     let (own, peers): (Vec<PeerAddress>, Vec<PeerAddress>) = nodes
--- a/crates/lynxwheel/src/main_job.rs
+++ b/crates/lynxwheel/src/main_job.rs
@@ -1,4 +1,5 @@
-//! The main job: declare, serve, maintain, and judge.
+//! The main job of the development fleet: declares resources, sends requests during a maintenance
+//! wave and a VM move, and checks the guarantees.
 
 use {
     crate::{
@@ -19,34 +20,34 @@
     tokio::task::JoinSet,
 };
 
-/// VMs of the embedded platform.
+/// Number of VMs of the embedded platform.
 pub(crate) const VMS: u32 = 12;
 
-/// Requests that one endpoint serves at once.
+/// Concurrent requests per endpoint.
 const SLOTS: u32 = 8;
 
-/// Requests of each kind.
-const REQUESTS: u32 = 100;
+/// Rounds of requests.
+const REQUEST_ROUNDS: u32 = 100;
 
 /// Pause between two rounds of requests.
-const REQUEST_PAUSE: Duration = Duration::from_millis(5);
+const ROUND_PAUSE: Duration = Duration::from_millis(5);
 
-/// Jobs of each pool.
-const JOBS: u32 = 4;
+/// Number of jobs of each pool.
+const JOBS_PER_POOL: u32 = 4;
 
-/// Time that one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+/// Time limit for one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pools with their floors.
+/// Names and floors of the pools.
 const POOLS: [(&str, u32); 2] = [("notices", 4), ("billing", 3)];
 
-/// VM that is moved while the wave runs.
+/// VM that moves to another pool while the wave runs.
 const MOVED_VM: &str = "vm-0";
 
-/// Pool that it is moved to.
+/// Pool that [`MOVED_VM`] moves to.
 const MOVE_TARGET: &str = "billing";
 
-/// Runs the main job on a fleet and judges it.
+/// Runs the main job on a fleet and returns the report.
 pub(crate) async fn run_main_job(fleet: &Fleet) -> Result<DevReport, String> {
     fleet.declare(&declarations()).await?;
     fleet
@@ -71,14 +72,14 @@
         })
         .await?;
     fleet
-        .wait_until("every job has its answer", |state| {
+        .wait_until("every job is complete", |state| {
             state.jobs().iter().all(JobState::is_final)
         })
         .await?;
-    Ok(judge(fleet, requests, wave_ms))
+    Ok(build_report(fleet, requests, wave_ms))
 }
 
-/// Declares two pools with a service, VMs and jobs each.
+/// Returns a team, and two pools with a service, VMs and jobs each.
 pub(crate) fn declarations() -> Vec<Resource> {
     let mut resources = vec![Resource::Team(TeamSpec {
         name: "office".into(),
@@ -111,7 +112,7 @@
                 pool: name.into(),
             }));
         }
-        for job in 0..JOBS {
+        for job in 0..JOBS_PER_POOL {
             resources.push(Resource::Job(JobSpec {
                 name: format!("{name}-{job}").into(),
                 pool: name.into(),
@@ -132,6 +133,7 @@
     resources
 }
 
+/// Returns a wave over all pools that reboots every VM.
 fn wave(now_ms: u64) -> Resource {
     let mut pools: Vec<_> = POOLS.iter().map(|(name, _)| (*name).into()).collect();
     pools.sort();
@@ -145,7 +147,7 @@
     })
 }
 
-/// Declares a VM of the first pool into the second.
+/// Returns the declaration that moves [`MOVED_VM`] to [`MOVE_TARGET`].
 fn moved_vm() -> Resource {
     Resource::Vm(VmSpec {
         name: MOVED_VM.into(),
@@ -160,7 +162,8 @@
         .all(|vm| vm.maintained_ms >= wave_ms && vm.is_available())
 }
 
-/// Sends requests of both kinds to all nodes in turn, each non-idempotent one twice.
+/// Sends requests to all nodes in turn: idempotent ones once, each non-idempotent one twice with
+/// the same key.
 async fn serve_requests(fleet: &Fleet) -> RequestReport {
     let clients: Vec<Client> = fleet
         .daemons
@@ -168,7 +171,7 @@
         .map(|daemon| Client::new(daemon.caller_address(), 16))
         .collect();
     let mut calls = JoinSet::new();
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_ROUNDS {
         for (service, _) in POOLS {
             let client = clients[number as usize % clients.len()].clone();
             calls.spawn(call(
@@ -183,7 +186,7 @@
         let id = format!("renewal-{number}");
         calls.spawn(call(first, "billing", Method::POST, id.clone()));
         calls.spawn(call(second, "billing", Method::POST, id));
-        tokio::time::sleep(REQUEST_PAUSE).await;
+        tokio::time::sleep(ROUND_PAUSE).await;
     }
     let mut report = RequestReport::default();
     while let Some(outcome) = calls.join_next().await {
@@ -197,6 +200,7 @@
     report
 }
 
+/// Outcome of one request.
 enum CallOutcome {
     Answered,
     Refused,
@@ -210,10 +214,10 @@
     if method == Method::POST {
         request = request.with_header("idempotency-key", id.clone());
     }
-    match client.call(&request, CALL_LIMIT).await {
+    match client.call(&request, CALL_TIMEOUT).await {
         Ok(answer) if answer.status == StatusCode::OK => {
-            let own = format!("request={id} ");
-            if answer.body.starts_with(own.as_bytes()) && answer.body.ends_with(b"\n") {
+            let expected = format!("request={id} ");
+            if answer.body.starts_with(expected.as_bytes()) && answer.body.ends_with(b"\n") {
                 CallOutcome::Answered
             } else {
                 CallOutcome::Wrong
@@ -224,18 +228,18 @@
     }
 }
 
-/// Judges the run from the log, the endpoints' record of what ran, and the callers' answers.
-fn judge(fleet: &Fleet, mut requests: RequestReport, wave_ms: u64) -> DevReport {
+/// Checks the guarantees against the log, the endpoints' runs and the responses.
+fn build_report(fleet: &Fleet, mut requests: RequestReport, wave_ms: u64) -> DevReport {
     let state = fleet.state();
-    requests.doubled = doubled_runs(&fleet.platform);
+    requests.doubled = duplicate_run_count(&fleet.platform);
     let mut pools = Vec::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for audit in audit(&fleet.entries()) {
         let Some(pool) = state.pools().get(audit.pool.as_str()) else {
             continue;
         };
         if !audit.has_reached_floor || audit.lowest_available < pool.floor() {
-            broken.push(format!("pool {} fell below its budget", audit.pool));
+            violations.push(format!("pool {} fell below its budget", audit.pool));
         }
         pools.push(pool_report(&state, pool, &audit, wave_ms));
     }
@@ -244,30 +248,30 @@
         .iter()
         .filter(|job| job.phase == JobPhase::Succeeded)
         .count();
-    let counts = [
+    let violation_counts = [
         (requests.failed, "requests got no answer"),
         (requests.wrong, "answers were not the caller's own"),
         (requests.doubled, "non-idempotent requests ran twice"),
         (
-            overloads(&fleet.platform),
+            overload_count(&fleet.platform),
             "requests ran beyond an endpoint's slots",
         ),
         (
-            count(state.jobs().len() - succeeded),
+            to_u32(state.jobs().len() - succeeded),
             "jobs did not succeed",
         ),
     ];
-    for (count, what) in counts {
+    for (count, what) in violation_counts {
         if count > 0 {
-            broken.push(format!("{count} {what}"));
+            violations.push(format!("{count} {what}"));
         }
     }
     DevReport {
         pools,
         requests,
-        jobs_succeeded: count(succeeded),
-        jobs_declared: count(state.jobs().len()),
-        broken,
+        jobs_succeeded: to_u32(succeeded),
+        jobs_declared: to_u32(state.jobs().len()),
+        broken: violations,
     }
 }
 
@@ -294,8 +298,8 @@
     }
 }
 
-/// Counts the runs of non-idempotent requests beyond the first of each key.
-fn doubled_runs(platform: &PlatformServer) -> u32 {
+/// Counts repeated runs of non-idempotent requests, beyond the first run of each key.
+fn duplicate_run_count(platform: &PlatformServer) -> u32 {
     let mut keys: Vec<String> = platform
         .runs()
         .into_iter()
@@ -305,15 +309,15 @@
     keys.sort();
     let total = keys.len();
     keys.dedup();
-    count(total - keys.len())
+    to_u32(total - keys.len())
 }
 
-/// Counts the requests that an endpoint ran while its slots were taken.
-fn overloads(platform: &PlatformServer) -> u32 {
+/// Counts the requests that an endpoint ran beyond its slots.
+fn overload_count(platform: &PlatformServer) -> u32 {
     let runs = platform.runs();
-    count(runs.iter().filter(|run| run.in_progress > SLOTS).count())
+    to_u32(runs.iter().filter(|run| run.in_progress > SLOTS).count())
 }
 
-fn count(number: usize) -> u32 {
+fn to_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/lynxwheel/src/report.rs
+++ b/crates/lynxwheel/src/report.rs
@@ -1,53 +1,53 @@
-//! What the main job of the embedded platform came to.
+//! Report of the main job of the embedded platform.
 
 use {serde::Serialize, std::fmt::Write};
 
-/// One pool.
+/// Availability and maintenance of one pool.
 #[derive(Clone, Debug, Serialize)]
 pub struct PoolReport {
-    /// Pool.
+    /// Name of the pool.
     pub pool: String,
-    /// VMs.
+    /// Number of VMs.
     pub vms: u32,
-    /// VMs that had to stay available.
+    /// Guaranteed number of available VMs.
     pub promised: u32,
-    /// Lowest number of available VMs seen at any offset of the log.
+    /// Lowest number of available VMs at any offset of the log.
     pub lowest: u32,
-    /// Time from the wave's declaration to its last VM, in milliseconds.
+    /// Time from the declaration of the wave to the maintenance of its last VM, in milliseconds.
     pub roll_out_ms: u64,
-    /// Moves of VMs.
+    /// VMs moved into the pool.
     pub vm_moves: u32,
-    /// Starts of jobs beyond the first.
+    /// Restarts of jobs after their first attempt.
     pub job_moves: u32,
 }
 
-/// Requests.
+/// Outcomes of the requests.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct RequestReport {
-    /// Answered in full.
+    /// Requests with the complete response.
     pub answered: u32,
-    /// Refused.
+    /// Requests that were refused.
     pub refused: u32,
-    /// Answered otherwise, or not at all.
+    /// Requests without a response.
     pub failed: u32,
-    /// Answers that were not the request's own or not whole.
+    /// Requests with another request's response or an incomplete one.
     pub wrong: u32,
-    /// Non-idempotent requests that ran more than once.
+    /// Repeated runs of non-idempotent requests.
     pub doubled: u32,
 }
 
 /// Outcome of the main job.
 #[derive(Clone, Debug, Serialize)]
 pub struct DevReport {
-    /// Pools by name.
+    /// Pools, sorted by name.
     pub pools: Vec<PoolReport>,
-    /// Requests.
+    /// Outcomes of the requests.
     pub requests: RequestReport,
     /// Jobs that succeeded.
     pub jobs_succeeded: u32,
     /// Jobs declared.
     pub jobs_declared: u32,
-    /// What did not hold.
+    /// Violated guarantees.
     pub broken: Vec<String>,
 }
 
@@ -58,11 +58,11 @@
         serde_json::to_string(self).unwrap_or_else(|error| format!("{{\"error\":\"{error}\"}}"))
     }
 
-    /// Returns the report as a table for people.
+    /// Returns the report as a table and a summary.
     #[must_use]
     pub fn to_table(&self) -> String {
         let mut text = String::new();
-        let mut line = |cells: [&str; 7]| {
+        let mut add_row = |cells: [&str; 7]| {
             let [pool, vms, promised, lowest, roll_out, vm_moves, job_moves] = cells;
             // Writing to a string cannot fail.
             let _ = writeln!(
@@ -70,7 +70,7 @@
                 "{pool:<12}{vms:>5}{promised:>10}{lowest:>8}{roll_out:>14}{vm_moves:>10}{job_moves:>11}"
             );
         };
-        line([
+        add_row([
             "POOL",
             "VMS",
             "PROMISED",
@@ -85,7 +85,7 @@
                 pool.roll_out_ms / 1_000,
                 pool.roll_out_ms % 1_000 / 100
             );
-            line([
+            add_row([
                 &pool.pool,
                 &pool.vms.to_string(),
                 &pool.promised.to_string(),
@@ -110,18 +110,18 @@
         if self.broken.is_empty() {
             text.push_str("everything held");
         } else {
-            for broken in &self.broken {
-                let _ = writeln!(text, "BROKEN: {broken}");
+            for violation in &self.broken {
+                let _ = writeln!(text, "BROKEN: {violation}");
             }
         }
         text
     }
 
-    /// Tells whether everything held.
+    /// Checks that no guarantee was violated.
     ///
     /// # Errors
     ///
-    /// Returns what did not hold.
+    /// Returns the violations, separated by semicolons.
     pub fn check(&self) -> Result<(), String> {
         if self.broken.is_empty() {
             Ok(())
