--- a/crates/lynxwheel/src/config.rs
+++ b/crates/lynxwheel/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a node.
+//! Settings file of a node.
 
 use {
     ini::{Ini, ParseOption},
@@ -12,7 +12,7 @@
     },
 };
 
-/// Sections and the keys that each may hold.
+/// Sections and their allowed keys.
 pub const KNOWN_KEYS: [(&str, &[&str]); 8] = [
     ("node", &["name", "zone"]),
     ("listen", &["callers", "operators", "peers"]),
@@ -33,16 +33,16 @@
     ("log", &["level", "file"]),
 ];
 
-/// Sections whose keys are names of the operators' own choice.
+/// Sections whose keys are names chosen by the operator.
 pub const NAMED_SECTIONS: [&str; 2] = ["peers", "tokens"];
 
-/// Characters of an access token at least; shorter ones can be guessed.
+/// Minimum length of an access token, which makes guessing infeasible.
 const MIN_TOKEN_CHARS: usize = 16;
 
-/// Levels of the log.
-const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+/// Accepted log levels.
+const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// One mistake in the settings.
+/// One error in the settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -52,13 +52,13 @@
         /// Reason.
         reason: String,
     },
-    /// A key is missing, unknown or has a bad value.
+    /// A section or key is missing, unknown, duplicated or has an invalid value.
     InvalidKey {
         /// File.
         file: PathBuf,
         /// Section.
         section: String,
-        /// Key; empty when the section itself is wrong.
+        /// Key; empty when the error concerns the whole section.
         key: String,
         /// Reason.
         reason: String,
@@ -90,7 +90,7 @@
 /// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// `[node] name`: name, unique among the nodes.
+    /// `[node] name`: unique name of the node.
     pub node_name: String,
     /// `[node] zone`: availability zone.
     pub zone: String,
@@ -106,27 +106,30 @@
     pub platform_address: SocketAddr,
     /// `[platform] stream`: name of the fleet's stream; `fleet` by default.
     pub stream: String,
-    /// `[peers]`: the other nodes, `name = ip:port` of their peer listeners.
+    /// `[peers]`: the other nodes, `name = ip:port` of each peer listener.
     pub peers: Vec<PeerAddress>,
-    /// `[timing] propose_timeout_ms`: time until a proposal's outcome is called unknown; 3000.
+    /// `[timing] propose_timeout_ms`: time after which a proposal's outcome counts as unknown;
+    /// 3000 by default.
     pub propose_timeout_ms: u64,
-    /// `[timing] tick_ms`: pause between looks at VMs and jobs; 200.
+    /// `[timing] tick_ms`: interval at which VMs and jobs are polled; 200 by default.
     pub poll_interval_ms: u64,
-    /// `[timing] rank_delay_ms`: pause by which each rank waits for the one before; 300.
+    /// `[timing] rank_delay_ms`: time that each rank waits for the one before; 300 by default.
     pub join_retry_ms: u64,
-    /// `[timing] action_timeout_ms`: time that a VM may take for an action; 600000.
+    /// `[timing] action_timeout_ms`: time limit for an action of a VM; 600000 by default.
     pub action_timeout_ms: u64,
-    /// `[timing] drain_ms`: time between readiness off and the end of accepting; 1000.
+    /// `[timing] drain_ms`: time between reporting not ready and closing the listeners; 1000 by
+    /// default.
     pub drain_delay_ms: u64,
-    /// `[platform] appends_per_s`: appends in a second that all nodes together make at most; 360.
+    /// `[platform] appends_per_s`: maximum appends per second of all nodes together; 360 by
+    /// default.
     pub max_appends_per_s: u32,
-    /// `[snapshots] records`: records after which a snapshot is due; 20000.
+    /// `[snapshots] records`: records after which a snapshot is due; 20000 by default.
     pub snapshot_interval_records: u64,
-    /// `[snapshots] period_ms`: time after which a snapshot is due; 600000.
+    /// `[snapshots] period_ms`: time after which a snapshot is due; 600000 by default.
     pub snapshot_interval_ms: u64,
-    /// `[log] level`: lowest level written; `info`.
+    /// `[log] level`: least severe level that is logged; `info` by default.
     pub log_level: String,
-    /// `[log] file`: file of the log; standard output by default.
+    /// `[log] file`: log file; standard output by default.
     pub log_file: Option<PathBuf>,
 }
 
@@ -135,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every mistake found.
+    /// Returns every error found.
     pub fn load(path: &Path) -> Result<Self, Vec<ConfigError>> {
         let text = fs::read_to_string(path).map_err(|error| {
             vec![ConfigError::Unreadable {
@@ -146,14 +149,14 @@
         Self::parse(path, &text)
     }
 
-    /// Reads settings from a text; `file` is named in errors.
+    /// Parses settings; `file` is the name that errors show.
     ///
     /// # Errors
     ///
-    /// Returns every mistake found.
+    /// Returns every error found.
     pub fn parse(file: impl AsRef<Path>, text: &str) -> Result<Self, Vec<ConfigError>> {
         let file = file.as_ref();
-        // Backslashes are kept, as in paths.
+        // Backslashes are literal, as in paths.
         let option = ParseOption {
             enabled_escape: false,
             ..ParseOption::default()
@@ -169,7 +172,7 @@
             ini: &ini,
             errors: Vec::new(),
         };
-        reader.check_known();
+        reader.check_keys();
         let config = Self {
             node_name: reader.required("node", "name"),
             zone: reader.required("node", "zone"),
@@ -188,10 +191,10 @@
             join_retry_ms: reader.number("timing", "rank_delay_ms", 300),
             action_timeout_ms: reader.number("timing", "action_timeout_ms", 600_000),
             drain_delay_ms: reader.number("timing", "drain_ms", 1_000),
-            max_appends_per_s: reader.small_number("platform", "appends_per_s", 360),
+            max_appends_per_s: reader.number_u32("platform", "appends_per_s", 360),
             snapshot_interval_records: reader.number("snapshots", "records", 20_000),
             snapshot_interval_ms: reader.number("snapshots", "period_ms", 600_000),
-            log_level: reader.level(),
+            log_level: reader.log_level(),
             log_file: reader.text("log", "file").map(PathBuf::from),
         };
         if reader.errors.is_empty() {
@@ -222,7 +225,7 @@
     }
 }
 
-/// Reads values and gathers mistakes.
+/// Reads values and collects every error.
 struct Reader<'a> {
     file: &'a Path,
     ini: &'a Ini,
@@ -230,7 +233,7 @@
 }
 
 impl<'a> Reader<'a> {
-    fn bad(&mut self, section: &str, key: &str, reason: impl Into<String>) {
+    fn add_error(&mut self, section: &str, key: &str, reason: impl Into<String>) {
         self.errors.push(ConfigError::InvalidKey {
             file: self.file.into(),
             section: section.into(),
@@ -239,12 +242,12 @@
         });
     }
 
-    fn check_known(&mut self) {
+    fn check_keys(&mut self) {
         for (section, properties) in self.ini {
             let name = section.unwrap_or("");
             let known = KNOWN_KEYS.iter().find(|(known, _)| *known == name);
             if known.is_none() && (section.is_some() || !properties.is_empty()) {
-                self.bad(name, "", "no such section");
+                self.add_error(name, "", "no such section");
                 continue;
             }
             let Some((_, keys)) = known else {
@@ -253,10 +256,10 @@
             let mut seen: Vec<&str> = Vec::new();
             for (key, _) in properties {
                 if !NAMED_SECTIONS.contains(&name) && !keys.contains(&key) {
-                    self.bad(name, key, "no such key");
+                    self.add_error(name, key, "no such key");
                 }
                 if seen.contains(&key) {
-                    self.bad(name, key, "is given twice");
+                    self.add_error(name, key, "is given twice");
                 }
                 seen.push(key);
             }
@@ -271,7 +274,7 @@
         match self.text(section, key) {
             Some(text) if !text.is_empty() => text.to_owned(),
             _ => {
-                self.bad(section, key, "is required");
+                self.add_error(section, key, "is required");
                 String::new()
             }
         }
@@ -284,15 +287,15 @@
             return unspecified;
         }
         SocketAddr::from_str(&text).unwrap_or_else(|_| {
-            self.bad(section, key, format!("must be ip:port, not {text}"));
+            self.add_error(section, key, format!("must be ip:port, not {text}"));
             unspecified
         })
     }
 
-    fn small_number(&mut self, section: &str, key: &str, default: u32) -> u32 {
+    fn number_u32(&mut self, section: &str, key: &str, default: u32) -> u32 {
         let number = self.number(section, key, default.into());
         u32::try_from(number).unwrap_or_else(|_| {
-            self.bad(section, key, "is too large");
+            self.add_error(section, key, "is too large");
             default
         })
     }
@@ -305,7 +308,7 @@
             Ok(number) if number > 0 => number,
             _ => {
                 let reason = format!("must be a whole number above 0, not {text}");
-                self.bad(section, key, reason);
+                self.add_error(section, key, reason);
                 default
             }
         }
@@ -322,7 +325,7 @@
                     node: name.into(),
                     address,
                 }),
-                Err(_) => self.bad("peers", name, format!("must be ip:port, not {text}")),
+                Err(_) => self.add_error("peers", name, format!("must be ip:port, not {text}")),
             }
         }
         peers.sort();
@@ -335,15 +338,15 @@
         };
         let mut tokens = Vec::new();
         for (name, text) in section {
-            match access_token(name, text) {
+            match parse_access_token(name, text) {
                 Ok(token) => tokens.push(token),
-                Err(reason) => self.bad("tokens", name, reason),
+                Err(reason) => self.add_error("tokens", name, reason),
             }
         }
         Access::new(tokens)
     }
 
-    /// Refuses an operators' listener that strangers reach and that asks for no token.
+    /// Rejects a listener for operators that requires no token and is not on a loopback address.
     fn check_open_access(&mut self, config: &Config) {
         let is_open = self
             .ini
@@ -351,25 +354,25 @@
             .is_none_or(ini::Properties::is_empty);
         if is_open && !config.operator_address.ip().is_loopback() {
             let reason = "without [tokens], operators may listen on loopback addresses only";
-            self.bad("listen", "operators", reason);
+            self.add_error("listen", "operators", reason);
         }
     }
 
-    fn level(&mut self) -> String {
+    fn log_level(&mut self) -> String {
         let level = self.text("log", "level").unwrap_or("info").to_owned();
-        if !LEVELS.contains(&level.as_str()) {
-            self.bad(
+        if !LOG_LEVELS.contains(&level.as_str()) {
+            self.add_error(
                 "log",
                 "level",
-                format!("must be one of {}", LEVELS.join(", ")),
+                format!("must be one of {}", LOG_LEVELS.join(", ")),
             );
         }
         level
     }
 }
 
-/// Reads `role:token` or `role:@file`; errors never show the token.
-fn access_token(name: &str, text: &str) -> Result<AccessToken, String> {
+/// Parses `role:token` or `role:@file`; errors never contain the token.
+fn parse_access_token(name: &str, text: &str) -> Result<AccessToken, String> {
     let (role, token) = text
         .split_once(':')
         .ok_or("must be role:token or role:@file")?;
