--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: listeners around one node, and its graceful stop.
+//! The daemon: one node with its listeners, and the graceful shutdown.
 
 use {
     crate::config::Config,
@@ -19,24 +19,24 @@
     },
 };
 
-/// Time that a stopping node waits for the outcomes of keys to enter the log.
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for the outcomes of idempotency keys to reach the log during shutdown.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why the daemon cannot run.
+/// Error that prevents the daemon from running.
 #[derive(Debug)]
 pub enum DaemonError {
-    /// A listener cannot be opened.
+    /// A listener cannot be bound.
     Listen {
-        /// Whose listener.
+        /// Listener: `callers`, `operators` or `peers`.
         listener: &'static str,
-        /// Address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// Reason.
+        /// Cause.
         source: io::Error,
     },
-    /// Signals cannot be received.
+    /// A signal handler cannot be installed.
     Signals {
-        /// Reason.
+        /// Cause.
         source: io::Error,
     },
 }
@@ -61,58 +61,65 @@
 
 impl Error for DaemonError {}
 
-/// A running daemon.
+/// A running node with its listeners.
 #[derive(Debug)]
 pub struct Daemon {
     node: Node,
     caller_address: SocketAddr,
     operator_address: SocketAddr,
     gateway: Gateway,
-    stopping: Shutdown,
-    closing: Shutdown,
-    ending: Shutdown,
-    drain: Duration,
+    /// Begins when the node reports that it is not ready.
+    not_ready: Shutdown,
+    /// Begins when the listeners for callers and operators stop accepting connections.
+    listener_shutdown: Shutdown,
+    /// Begins when the background threads and the peer listener stop.
+    node_shutdown: Shutdown,
+    drain_delay: Duration,
     servers: Vec<JoinHandle<()>>,
     peer_server: JoinHandle<()>,
     threads: BackgroundThreads,
 }
 
 impl Daemon {
-    /// Starts a node with its listeners.
+    /// Starts a node and its listeners.
     ///
     /// # Errors
     ///
-    /// Fails when a listener cannot be opened.
+    /// Fails when a listener cannot be bound.
     pub async fn start(config: &Config) -> Result<Self, DaemonError> {
         let callers = bind("callers", config.caller_address).await?;
         let operators = bind("operators", config.operator_address).await?;
         let peers = bind("peers", config.peer_listen_address).await?;
-        let metrics = metrics_handle();
-        let stopping = Shutdown::new();
-        let closing = Shutdown::new();
-        let ending = Shutdown::new();
-        let (node, threads) = Node::start(config.node_settings(), &ending);
+        let metrics = install_metrics_recorder();
+        let not_ready = Shutdown::new();
+        let listener_shutdown = Shutdown::new();
+        let node_shutdown = Shutdown::new();
+        let (node, threads) = Node::start(config.node_settings(), &node_shutdown);
         let addresses = (
-            local(&callers, config.caller_address),
-            local(&operators, config.operator_address),
+            local_address(&callers, config.caller_address),
+            local_address(&operators, config.operator_address),
         );
         let gateway = Gateway::new(node.clone());
         let health = Health {
             node: node.clone(),
-            stopping: stopping.clone(),
+            not_ready: not_ready.clone(),
         };
         let peer_node = node.clone();
         let peer_gateway = gateway.clone();
-        let api = Api::start(node.clone(), config.access.clone(), closing.clone());
-        let peer_server = tokio::spawn(peers.serve(ending.clone(), move |request| {
+        let api = Api::start(
+            node.clone(),
+            config.access.clone(),
+            listener_shutdown.clone(),
+        );
+        let peer_server = tokio::spawn(peers.serve(node_shutdown.clone(), move |request| {
             serve_peer(peer_node.clone(), peer_gateway.clone(), request)
         }));
         let caller_gateway = gateway.clone();
         let servers = vec![
-            tokio::spawn(callers.serve(closing.clone(), move |request| {
+            tokio::spawn(callers.serve(listener_shutdown.clone(), move |request| {
                 serve_caller(caller_gateway.clone(), health.clone(), request)
             })),
-            tokio::spawn(operators.serve(closing.clone(), move |request| {
+            tokio::spawn(operators.serve(listener_shutdown.clone(), move |request| {
                 serve_operator(api.clone(), metrics.clone(), request)
             })),
         ];
@@ -121,10 +128,10 @@
             caller_address: addresses.0,
             operator_address: addresses.1,
             gateway,
-            stopping,
-            closing,
-            ending,
-            drain: Duration::from_millis(config.drain_delay_ms),
+            not_ready,
+            listener_shutdown,
+            node_shutdown,
+            drain_delay: Duration::from_millis(config.drain_delay_ms),
             servers,
             peer_server,
             threads,
@@ -137,61 +144,62 @@
         &self.node
     }
 
-    /// Returns the address for callers.
+    /// Returns the address of the listener for callers.
     #[must_use]
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Returns the address for operators.
+    /// Returns the address of the listener for operators.
     #[must_use]
     pub fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// Stops gracefully: readiness off, a while for the balancer to notice, then no new
-    /// connections, and the end when every request in progress is answered and settled.
+    /// Shuts down gracefully: reports not ready, waits for the load balancer to notice, stops
+    /// accepting connections and completes the requests in progress.
     ///
-    /// The duties and the peer listener end last. A request in progress may need the log and its
-    /// peers; without them its intent would stay pending, and its caller's next attempt would be
-    /// told "outcome unknown" although nothing ran.
+    /// The background threads and the peer listener stop last: a request in progress may need the
+    /// log and the peers. Without them its intent would stay pending, and a retry would be
+    /// answered with an unknown outcome although nothing ran.
     pub async fn stop(self) {
-        self.stopping.begin();
+        self.not_ready.begin();
         self.node.peers().announce_stop();
-        tokio::time::sleep(self.drain).await;
-        self.closing.begin();
+        tokio::time::sleep(self.drain_delay).await;
+        self.listener_shutdown.begin();
         for server in self.servers {
-            await_end("server", server).await;
+            join_part("server", server).await;
         }
-        if timeout(SETTLE_LIMIT, self.gateway.wait_for_outcomes())
+        if timeout(OUTCOME_TIMEOUT, self.gateway.wait_for_outcomes())
             .await
             .is_err()
         {
-            warn!(event = "not_settled"; "outcomes of keys are not in the log at the stop");
+            warn!(event = "not_settled"; "stopped before all key outcomes reached the log");
         }
-        self.ending.begin();
-        await_end("peer_server", self.peer_server).await;
+        self.node_shutdown.begin();
+        join_part("peer_server", self.peer_server).await;
         let threads = self.threads;
-        await_end(
+        join_part(
             "duties",
             tokio::task::spawn_blocking(move || threads.join()),
         )
         .await;
-        info!(event = "stopped"; "");
+        info!(event = "stopped"; "daemon stopped");
     }
 }
 
-async fn await_end(part: &str, task: JoinHandle<()>) {
-    if let Err(problem) = task.await {
-        error!(event = "part_failed", part = part; "{problem}");
+/// Waits for a part of the daemon to end and logs its failure.
+async fn join_part(part: &str, task: JoinHandle<()>) {
+    if let Err(error) = task.await {
+        error!(event = "part_failed", part = part; "daemon task failed: {error}");
     }
 }
 
-/// Runs a daemon until SIGTERM or SIGINT.
+/// Runs the daemon until SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// Fails when the daemon cannot be started.
+/// Fails when a signal handler cannot be installed or a listener cannot be bound.
 pub async fn run(config: Config) -> Result<(), DaemonError> {
     let signals = |kind| signal(kind).map_err(|source| DaemonError::Signals { source });
     let mut terminate = signals(SignalKind::terminate())?;
@@ -199,12 +207,12 @@
     let daemon = Daemon::start(&config).await?;
     info!(event = "started", node = config.node_name.as_str(),
         callers = daemon.caller_address().to_string().as_str(),
-        operators = daemon.operator_address().to_string().as_str(); "");
+        operators = daemon.operator_address().to_string().as_str(); "daemon started");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    info!(event = "stopping"; "");
+    info!(event = "stopping"; "graceful shutdown started");
     daemon.stop().await;
     Ok(())
 }
@@ -219,26 +227,27 @@
         })
 }
 
-fn local(server: &Server, configured: SocketAddr) -> SocketAddr {
+/// Returns the address that a server is bound to, or the configured one when it is unknown.
+fn local_address(server: &Server, configured: SocketAddr) -> SocketAddr {
     server.local_addr().unwrap_or(configured)
 }
 
-/// Installs the recorder of metrics; a second daemon in one process goes without.
-fn metrics_handle() -> Option<PrometheusHandle> {
+/// Installs the metrics recorder, of which a process has only one; a second daemon has no metrics.
+fn install_metrics_recorder() -> Option<PrometheusHandle> {
     PrometheusBuilder::new().install_recorder().ok()
 }
 
-/// What the balancer asks about.
+/// State that the health checks of a load balancer report.
 #[derive(Clone, Debug)]
 struct Health {
     node: Node,
-    stopping: Shutdown,
+    not_ready: Shutdown,
 }
 
 impl Health {
-    fn ready(&self) -> Response<Body> {
+    fn readiness_response(&self) -> Response<Body> {
         let readiness = self.node.readiness();
-        let is_stopping = self.stopping.has_begun();
+        let is_stopping = self.not_ready.has_begun();
         let has_diverged = self.node.has_diverged();
         let status = if readiness.is_ready() && !is_stopping && !has_diverged {
             StatusCode::OK
@@ -265,12 +274,12 @@
 ) -> Response<Body> {
     let mut response = match (request.method(), request.uri().path()) {
         (&Method::GET, "/livez") => json_answer(StatusCode::OK, &true),
-        (&Method::GET, "/readyz") => health.ready(),
+        (&Method::GET, "/readyz") => health.readiness_response(),
         _ => gateway.handle(request).await,
     };
-    if health.stopping.has_begun() {
-        // A request sent on a kept connection just as a stopping node closes it shows up as cut
-        // off. Callers that are told to close beforehand have no such connection by then.
+    if health.not_ready.has_begun() {
+        // Keep-alive connections are closed before the listener is: a request that is sent just as
+        // the node closes its connection would fail.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
