--- a/crates/lynxwheel/src/cli.rs
+++ b/crates/lynxwheel/src/cli.rs
@@ -14,13 +14,13 @@
     tokio::runtime::{Builder, Runtime},
 };
 
-/// Exit code when what was asked for did not hold.
+/// Exit code when a command failed or a guarantee was violated.
 pub const EXIT_FAILED: u8 = 1;
 
-/// Exit code for bad settings.
+/// Exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 3;
 
-/// Threads for sockets and timers.
+/// Worker threads of the runtime.
 const IO_THREADS: usize = 2;
 
 /// Fleet capacity and maintenance manager.
@@ -105,20 +105,21 @@
     },
 }
 
-/// Carries a command out.
+/// Executes a command and returns the exit code of the process.
 #[must_use]
 pub fn execute(cli: &Cli) -> ExitCode {
     match &cli.command {
-        Command::Run(args) => with_settings(&args.settings, run),
-        Command::Serve(args) => serve(args),
+        Command::Run(args) => with_settings(&args.settings, run_node),
+        Command::Serve(args) => run_controller(args),
         Command::Check(args) => with_settings(&args.settings, |_| ExitCode::SUCCESS),
-        Command::Dev(args) => develop(args),
+        Command::Dev(args) => run_dev(args),
     }
 }
 
-fn with_settings(path: &Path, go_on: impl FnOnce(Config) -> ExitCode) -> ExitCode {
+/// Loads the settings and runs `action` with them, or prints every error found.
+fn with_settings(path: &Path, action: impl FnOnce(Config) -> ExitCode) -> ExitCode {
     match Config::load(path) {
-        Ok(config) => go_on(config),
+        Ok(config) => action(config),
         Err(errors) => {
             for error in &errors {
                 eprintln!("{error}");
@@ -128,20 +129,20 @@
     }
 }
 
-fn run(config: Config) -> ExitCode {
+fn run_node(config: Config) -> ExitCode {
     if let Err(error) = logging::start_logging(&config) {
         eprintln!("{error}");
         return ExitCode::from(EXIT_SETTINGS);
     }
-    let outcome = runtime().map(|runtime| runtime.block_on(daemon::run(config)));
+    let outcome = build_runtime().map(|runtime| runtime.block_on(daemon::run(config)));
     match outcome {
         Ok(Ok(())) => ExitCode::SUCCESS,
-        Ok(Err(error)) => failed(&error.to_string()),
-        Err(error) => failed(&error.to_string()),
+        Ok(Err(error)) => print_failure(&error.to_string()),
+        Err(error) => print_failure(&error.to_string()),
     }
 }
 
-fn serve(args: &PlatformArgs) -> ExitCode {
+fn run_controller(args: &PlatformArgs) -> ExitCode {
     let settings = match PlatformSettings::load(&args.settings) {
         Ok(settings) => settings,
         Err(errors) => {
@@ -154,7 +155,7 @@
     if args.check {
         return ExitCode::SUCCESS;
     }
-    if let Err(error) = logging::start_ring_logging() {
+    if let Err(error) = logging::start_non_blocking_logging() {
         eprintln!("{error}");
         return ExitCode::from(EXIT_FAILED);
     }
@@ -163,24 +164,24 @@
             let upkeep = recorder.clone();
             MetricsHandle::new(move || recorder.render(), move || upkeep.run_upkeep())
         }
-        Err(error) => return failed(&error.to_string()),
+        Err(error) => return print_failure(&error.to_string()),
     };
-    // One thread: entry VMs have a share of one core, and each further thread costs memory.
+    // A single thread: the smallest VMs have a share of one core and little memory.
     let outcome = Builder::new_current_thread()
         .enable_all()
         .build()
         .and_then(|runtime| runtime.block_on(lynxwheel_controller::run(settings, metrics)));
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(&error.to_string()),
+        Err(error) => print_failure(&error.to_string()),
     }
 }
 
-fn develop(args: &DevArgs) -> ExitCode {
+fn run_dev(args: &DevArgs) -> ExitCode {
     logging::start_quiet_logging();
-    let runtime = match runtime() {
+    let runtime = match build_runtime() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&error.to_string()),
+        Err(error) => return print_failure(&error.to_string()),
     };
     let outcome = match &args.part {
         Some(DevPart::Platform {
@@ -204,22 +205,22 @@
         },
         None => runtime.block_on(dev::run_dev_fleet()),
     };
-    // Threads of duties end with the process.
+    // Background threads end with the process.
     runtime.shutdown_background();
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(reason) => failed(&reason),
+        Err(reason) => print_failure(&reason),
     }
 }
 
-fn runtime() -> std::io::Result<Runtime> {
+fn build_runtime() -> std::io::Result<Runtime> {
     Builder::new_multi_thread()
         .worker_threads(IO_THREADS)
         .enable_all()
         .build()
 }
 
-fn failed(reason: &str) -> ExitCode {
+fn print_failure(reason: &str) -> ExitCode {
     eprintln!("lynxwheel: {reason}");
     ExitCode::from(EXIT_FAILED)
 }
--- a/crates/lynxwheel/src/lib.rs
+++ b/crates/lynxwheel/src/lib.rs
@@ -1,4 +1,5 @@
-//! The lynxwheel daemon as a library: settings, logging, the daemon and the embedded platform.
+//! Library of the lynxwheel daemon: settings, logging, listeners and the embedded development
+//! platform.
 //!
 //! ```
 //! use lynxwheel::Config;
@@ -21,8 +22,8 @@
 mod embedded;
 mod logging;
 mod main_job;
+mod non_blocking_log;
 mod report;
-mod ring_log;
 
 pub use audit::{PoolAudit, audit};
 pub use config::{Config, ConfigError, KNOWN_KEYS, NAMED_SECTIONS};
--- a/crates/lynxwheel/src/logging.rs
+++ b/crates/lynxwheel/src/logging.rs
@@ -1,7 +1,7 @@
-//! JSON log lines.
+//! Setup of the JSON log.
 
 use {
-    crate::{config::Config, ring_log::RingAppender},
+    crate::{config::Config, non_blocking_log::NonBlockingAppender},
     log::LevelFilter,
     log4rs::{
         Handle,
@@ -15,11 +15,11 @@
 /// Name of the only appender.
 const APPENDER: &str = "lines";
 
-/// Starts the log as the settings say.
+/// Starts logging to the configured file, or to standard output when none is set.
 ///
 /// # Errors
 ///
-/// Returns the reason when the log's file cannot be opened.
+/// Returns an error when the file cannot be opened or a logger is installed already.
 pub fn start_logging(config: &Config) -> Result<Handle, String> {
     let encoder = Box::new(JsonEncoder::new());
     let appender = if let Some(file) = &config.log_file {
@@ -40,21 +40,21 @@
     log4rs::init_config(log_config).map_err(|error| error.to_string())
 }
 
-/// Starts a log of decisions on standard output that never blocks.
+/// Starts logging to standard output without ever blocking the threads that log.
 ///
 /// # Errors
 ///
-/// Returns the reason when its thread cannot be started or a log was started before.
-pub fn start_ring_logging() -> Result<Handle, String> {
-    let ring = RingAppender::start().map_err(|error| error.to_string())?;
+/// Returns an error when the writer thread cannot be spawned or a logger is installed already.
+pub fn start_non_blocking_logging() -> Result<Handle, String> {
+    let appender = NonBlockingAppender::start().map_err(|error| error.to_string())?;
     let log_config = LogConfig::builder()
-        .appender(Appender::builder().build(APPENDER, Box::new(ring)))
+        .appender(Appender::builder().build(APPENDER, Box::new(appender)))
         .build(Root::builder().appender(APPENDER).build(LevelFilter::Info))
         .map_err(|error| error.to_string())?;
     log4rs::init_config(log_config).map_err(|error| error.to_string())
 }
 
-/// Starts a log of warnings and errors on standard error, for development.
+/// Starts logging errors to standard error, for the development modes.
 pub fn start_quiet_logging() {
     let appender = ConsoleAppender::builder()
         .encoder(Box::new(JsonEncoder::new()))
@@ -67,6 +67,6 @@
     if let Ok(log_config) = log_config
         && log4rs::init_config(log_config).is_err()
     {
-        eprintln!("the log was started before");
+        eprintln!("a logger is installed already");
     }
 }
--- a/crates/lynxwheel/src/ring_log.rs
+++ b/crates/lynxwheel/src/non_blocking_log.rs
@@ -1,4 +1,4 @@
-//! Log lines through a bounded ring: a caller of the log never waits for standard output.
+//! Non-blocking log appender: a bounded queue and a thread that writes to standard output.
 
 use {
     log::{
@@ -18,51 +18,51 @@
     },
 };
 
-/// Lines that wait for the writer at most; what comes when the ring is full is counted and lost.
-const RING_LINES: usize = 2_048;
+/// Capacity of the queue; lines that arrive while it is full are dropped and counted.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Time for which a line waits for others that are written with it.
-const GATHER: Duration = Duration::from_millis(5);
+/// Delay before a write, in which further lines are batched.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Appender whose lines are written by a thread of its own.
+/// Appender that queues lines for a writer thread and never blocks.
 #[derive(Debug)]
-pub struct RingAppender {
+pub struct NonBlockingAppender {
     lines: SyncSender<String>,
-    lost: AtomicU64,
+    dropped_lines: AtomicU64,
 }
 
-impl RingAppender {
-    /// Starts the writer.
+impl NonBlockingAppender {
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
-    /// Fails when its thread cannot be started.
+    /// Fails when the thread cannot be spawned.
     pub fn start() -> io::Result<Self> {
-        let (lines, receiver) = sync_channel(RING_LINES);
+        let (lines, receiver) = sync_channel(MAX_QUEUED_LINES);
         thread::Builder::new()
             .name("log".into())
             .stack_size(64 * 1024)
             .spawn(move || write_lines(&receiver))?;
         Ok(Self {
             lines,
-            lost: AtomicU64::new(0),
+            dropped_lines: AtomicU64::new(0),
         })
     }
 }
 
-/// Writes lines as they come, those that came together in one go.
+/// Writes queued lines in batches.
 ///
-/// A busy owner logs thousands of lines a second; a wake-up and a write for each cost it a good part
-/// of a small processor.
+/// A busy owner logs thousands of lines per second; waking up and writing for each one would take
+/// a considerable share of a small VM's processor.
 fn write_lines(lines: &Receiver<String>) {
     let stdout = io::stdout();
     while let Ok(mut text) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         while let Ok(line) = lines.try_recv() {
             text.push_str(&line);
         }
         let mut stdout = stdout.lock();
-        // Nobody can be told when standard output is closed.
+        // A closed standard output leaves nowhere to report the error.
         drop(
             stdout
                 .write_all(text.as_bytes())
@@ -71,11 +71,11 @@
     }
 }
 
-impl Append for RingAppender {
+impl Append for NonBlockingAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        let lost = self.lost.swap(0, Ordering::Relaxed);
-        if self.lines.try_send(encode(record, lost)).is_err() {
-            self.lost.fetch_add(lost + 1, Ordering::Relaxed);
+        let dropped = self.dropped_lines.swap(0, Ordering::Relaxed);
+        if self.lines.try_send(encode(record, dropped)).is_err() {
+            self.dropped_lines.fetch_add(dropped + 1, Ordering::Relaxed);
         }
         Ok(())
     }
@@ -83,7 +83,7 @@
     fn flush(&self) {}
 }
 
-/// Fields of a line.
+/// Fields of a JSON log line.
 struct Fields(Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
@@ -99,7 +99,8 @@
     }
 }
 
-fn encode(record: &Record<'_>, lost: u64) -> String {
+/// Encodes a record as a line of JSON, with the number of lines dropped before it.
+fn encode(record: &Record<'_>, dropped: u64) -> String {
     let mut fields = Fields(Map::new());
     let time_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -109,14 +110,14 @@
     fields
         .0
         .insert("level".into(), record.level().as_str().into());
-    // A field that cannot be read leaves the others.
+    // A field that cannot be converted does not drop the line.
     drop(record.key_values().visit(&mut fields));
     let message = record.args().to_string();
     if !message.is_empty() {
         fields.0.insert("message".into(), message.into());
     }
-    if lost > 0 {
-        fields.0.insert("lines_lost_before".into(), lost.into());
+    if dropped > 0 {
+        fields.0.insert("lines_lost_before".into(), dropped.into());
     }
     let mut line = Json::Object(fields.0).to_string();
     line.push('\n');
