--- a/crates/soak/src/cut_off.rs
+++ b/crates/soak/src/cut_off.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         callers::Callers,
-        faults::{Fault, LinkPlace},
-        proxy::LinkTrouble,
+        faults::{Fault, LinkId},
+        proxy::LinkFault,
         run::SoakPlan,
         scene::{SETTLE_MS, Scene},
     },
@@ -36,11 +36,11 @@
         for node in 0..plan.nodes {
             scene.callers.count_at(node, &old_key).await;
         }
-        let place = LinkPlace::Store(cut);
-        scene.world.begin(Fault::Link(place, LinkTrouble::Reset));
+        let place = LinkId::Store(cut);
+        scene.world.begin(Fault::Link(place, LinkFault::Reset));
         // A key is in two configurations, so that the second takes it away.
-        scene.world.begin(Fault::Configure);
-        scene.world.begin(Fault::Configure);
+        scene.world.begin(Fault::ChangeConfig);
+        scene.world.begin(Fault::ChangeConfig);
         let new_key = accounts.key(0);
         let mut looks = [(new_key, Look::Known), (old_key, Look::Refused)];
         // What is asked first has to bring the configuration by itself.
@@ -52,7 +52,7 @@
             is_current &= is_seen(&scene.callers, cut, &key, look).await;
         }
         current += usize::from(is_current);
-        scene.world.end(Fault::Link(place, LinkTrouble::None)).await;
+        scene.world.end(Fault::Link(place, LinkFault::None)).await;
         sleep(Duration::from_millis(SETTLE_MS)).await;
     }
     drop(scene);
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! The faults of one run, drawn from its seed.
 
 use {
-    crate::proxy::LinkTrouble,
+    crate::proxy::LinkFault,
     lynxwheel_platform_standin::{EndpointFault, StoreFault},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
@@ -19,7 +19,7 @@
 
 /// Which link is disturbed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LinkPlace {
+pub enum LinkId {
     /// Between a node and the store.
     Store(usize),
     /// Between callers and a node.
@@ -40,32 +40,32 @@
     /// A node is told to stop, and started again when it has.
     StopNode(usize),
     /// A node is told that its settings have changed.
-    HangUp(usize),
+    ReloadSettings(usize),
     /// The store misbehaves.
     Store(StoreFault),
     /// The store drops the history of what operators and endpoints write.
-    ForgetHistory,
+    TrimTopics,
     /// A link is disturbed.
-    Link(LinkPlace, LinkTrouble),
+    Link(LinkId, LinkFault),
     /// An endpoint misbehaves.
     Endpoint(usize, EndpointFault),
     /// An endpoint's life ends; another begins at the end.
-    EndLife(usize),
+    EndIncarnation(usize),
     /// An endpoint says that it leaves, and does so at the end.
     Drain(usize),
     /// A new configuration.
-    Configure,
+    ChangeConfig,
     /// Maintenance is ordered for half of the VMs.
-    Maintain,
+    OrderMaintenance,
 }
 
 /// A fault with its times.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlannedFault {
     /// When it begins, in milliseconds since the traffic's start.
-    pub at_ms: u64,
+    pub start_ms: u64,
     /// How long it lasts, in milliseconds.
-    pub for_ms: u64,
+    pub duration_ms: u64,
     /// What happens.
     pub fault: Fault,
 }
@@ -75,41 +75,41 @@
 pub fn plan_faults(seed: u64, length_ms: u64, nodes: usize, endpoints: usize) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut planned = Vec::new();
-    let mut at_ms = FIRST_MS;
-    while at_ms < length_ms {
+    let mut start_ms = FIRST_MS;
+    while start_ms < length_ms {
         planned.push(PlannedFault {
-            at_ms,
-            for_ms: random.random_range(LENGTHS_MS),
-            fault: draw(&mut random, nodes, endpoints),
+            start_ms,
+            duration_ms: random.random_range(LENGTHS_MS),
+            fault: draw_fault(&mut random, nodes, endpoints),
         });
-        at_ms += random.random_range(PAUSES_MS);
+        start_ms += random.random_range(PAUSES_MS);
     }
     planned
 }
 
-fn draw(random: &mut ChaCha8Rng, nodes: usize, endpoints: usize) -> Fault {
+fn draw_fault(random: &mut ChaCha8Rng, nodes: usize, endpoints: usize) -> Fault {
     let node = random.random_range(0..nodes);
     let endpoint = random.random_range(0..endpoints);
     match random.random_range(0..28) {
         0..4 => Fault::KillNode(node),
         4..7 => Fault::PauseNode(node),
         7 | 8 => Fault::StopNode(node),
-        9 => Fault::HangUp(node),
+        9 => Fault::ReloadSettings(node),
         10 => Fault::KillAll,
-        11 | 12 => Fault::Store(store_trouble(random)),
-        13 => Fault::ForgetHistory,
-        14 | 15 => Fault::Link(LinkPlace::Store(node), link_trouble(random)),
-        16 => Fault::Link(LinkPlace::Callers(node), link_trouble(random)),
-        17 | 18 => Fault::Link(LinkPlace::Endpoint(endpoint), link_trouble(random)),
-        19..23 => Fault::Endpoint(endpoint, endpoint_trouble(random)),
-        23 | 24 => Fault::EndLife(endpoint),
+        11 | 12 => Fault::Store(draw_store_fault(random)),
+        13 => Fault::TrimTopics,
+        14 | 15 => Fault::Link(LinkId::Store(node), draw_link_fault(random)),
+        16 => Fault::Link(LinkId::Callers(node), draw_link_fault(random)),
+        17 | 18 => Fault::Link(LinkId::Endpoint(endpoint), draw_link_fault(random)),
+        19..23 => Fault::Endpoint(endpoint, draw_endpoint_fault(random)),
+        23 | 24 => Fault::EndIncarnation(endpoint),
         25 => Fault::Drain(endpoint),
-        26 => Fault::Configure,
-        _ => Fault::Maintain,
+        26 => Fault::ChangeConfig,
+        _ => Fault::OrderMaintenance,
     }
 }
 
-fn store_trouble(random: &mut ChaCha8Rng) -> StoreFault {
+fn draw_store_fault(random: &mut ChaCha8Rng) -> StoreFault {
     match random.random_range(0..4) {
         0 => StoreFault::Unavailable,
         1 => StoreFault::Unresponsive,
@@ -118,17 +118,17 @@
     }
 }
 
-fn link_trouble(random: &mut ChaCha8Rng) -> LinkTrouble {
+fn draw_link_fault(random: &mut ChaCha8Rng) -> LinkFault {
     match random.random_range(0..5) {
-        0 => LinkTrouble::Delayed(random.random_range(20..400)),
-        1 => LinkTrouble::Reset,
-        2 => LinkTrouble::CutForward,
-        3 => LinkTrouble::CutBack,
-        _ => LinkTrouble::Silent,
+        0 => LinkFault::Delayed(random.random_range(20..400)),
+        1 => LinkFault::Reset,
+        2 => LinkFault::DropToTarget,
+        3 => LinkFault::DropFromTarget,
+        _ => LinkFault::DropBoth,
     }
 }
 
-fn endpoint_trouble(random: &mut ChaCha8Rng) -> EndpointFault {
+fn draw_endpoint_fault(random: &mut ChaCha8Rng) -> EndpointFault {
     match random.random_range(0..8) {
         0 => EndpointFault::Unresponsive,
         1 | 2 => EndpointFault::LostAnswers,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -26,9 +26,9 @@
 
 pub use {
     cut_off::nodes_with_newest_keys,
-    faults::{Fault, LinkPlace, PlannedFault, plan_faults},
+    faults::{Fault, LinkId, PlannedFault, plan_faults},
     ledger::Ledger,
-    proxy::{LinkTrouble, Proxy},
+    proxy::{LinkFault, Proxy},
     run::{SoakPlan, Verdict, run_soak},
     seeds::play_seeds,
     take_over::{OwnerLoss, measure_take_over},
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -15,7 +15,7 @@
 
 /// What is wrong with a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum LinkTrouble {
+pub enum LinkFault {
     /// Nothing.
     #[default]
     None,
@@ -25,18 +25,18 @@
     Reset,
     /// What is sent to the target vanishes; so does what is sent on connections from this time,
     /// for as long as they live.
-    CutForward,
+    DropToTarget,
     /// What the target sends vanishes, as above.
-    CutBack,
+    DropFromTarget,
     /// Nothing arrives either way, as above; new connections are accepted.
-    Silent,
+    DropBoth,
 }
 
 /// A proxy in front of one address.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
-    trouble: watch::Sender<LinkTrouble>,
+    fault: watch::Sender<LinkFault>,
 }
 
 #[derive(Clone, Copy, Eq, PartialEq)]
@@ -46,12 +46,12 @@
 }
 
 impl Direction {
-    fn is_cut_by(self, trouble: LinkTrouble) -> bool {
-        match trouble {
-            LinkTrouble::Silent => true,
-            LinkTrouble::CutForward => self == Self::Forward,
-            LinkTrouble::CutBack => self == Self::Back,
-            LinkTrouble::None | LinkTrouble::Delayed(_) | LinkTrouble::Reset => false,
+    fn is_cut_by(self, fault: LinkFault) -> bool {
+        match fault {
+            LinkFault::DropBoth => true,
+            LinkFault::DropToTarget => self == Self::Forward,
+            LinkFault::DropFromTarget => self == Self::Back,
+            LinkFault::None | LinkFault::Delayed(_) | LinkFault::Reset => false,
         }
     }
 }
@@ -65,9 +65,9 @@
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let trouble = watch::Sender::new(LinkTrouble::None);
-        tokio::spawn(accept(listener, target, trouble.subscribe()));
-        Ok(Self { address, trouble })
+        let fault = watch::Sender::new(LinkFault::None);
+        tokio::spawn(accept(listener, target, fault.subscribe()));
+        Ok(Self { address, fault })
     }
 
     /// Returns the address to connect to.
@@ -76,26 +76,26 @@
         self.address
     }
 
-    /// Puts the link in trouble, or ends it.
-    pub fn set_trouble(&self, trouble: LinkTrouble) {
-        self.trouble.send_replace(trouble);
+    /// Puts the link in fault, or ends it.
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, trouble: watch::Receiver<LinkTrouble>) {
+async fn accept(listener: TcpListener, target: SocketAddr, fault: watch::Receiver<LinkFault>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        if *trouble.borrow() != LinkTrouble::Reset {
-            tokio::spawn(pass(stream, target, trouble.clone()));
+        if *fault.borrow() != LinkFault::Reset {
+            tokio::spawn(pass(stream, target, fault.clone()));
         }
     }
 }
 
 /// Passes a connection on until one end closes it or it is reset.
-async fn pass(stream: TcpStream, target: SocketAddr, mut trouble: watch::Receiver<LinkTrouble>) {
+async fn pass(stream: TcpStream, target: SocketAddr, mut fault: watch::Receiver<LinkFault>) {
     let Ok(other) = TcpStream::connect(target).await else {
         return;
     };
@@ -103,13 +103,13 @@
     drop((stream.set_nodelay(true), other.set_nodelay(true)));
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = other.into_split();
-    let forward = copy(from_caller, to_target, Direction::Forward, trouble.clone());
-    let back = copy(from_target, to_caller, Direction::Back, trouble.clone());
+    let forward = copy(from_caller, to_target, Direction::Forward, fault.clone());
+    let back = copy(from_target, to_caller, Direction::Back, fault.clone());
     tokio::select! {
         () = forward => {}
         () = back => {}
         // Ends with the proxy, too.
-        _ = trouble.wait_for(|trouble| *trouble == LinkTrouble::Reset) => {}
+        _ = fault.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
 
@@ -117,7 +117,7 @@
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
     direction: Direction,
-    trouble: watch::Receiver<LinkTrouble>,
+    fault: watch::Receiver<LinkFault>,
 ) {
     let mut chunk = vec![0; CHUNK];
     let mut is_cut = false;
@@ -125,7 +125,7 @@
         let Ok(length) = from.read(&mut chunk).await else {
             return;
         };
-        let now = *trouble.borrow();
+        let now = *fault.borrow();
         is_cut |= direction.is_cut_by(now);
         if length == 0 {
             if is_cut {
@@ -137,7 +137,7 @@
         if is_cut {
             continue;
         }
-        if let LinkTrouble::Delayed(ms) = now {
+        if let LinkFault::Delayed(ms) = now {
             sleep(Duration::from_millis(ms)).await;
         }
         if to.write_all(&chunk[..length]).await.is_err() {
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -3,10 +3,10 @@
 use {
     crate::{
         accounts::Accounts,
-        faults::{Fault, LinkPlace, PlannedFault},
+        faults::{Fault, LinkId, PlannedFault},
         ledger::Ledger,
         nodes::NodeProcess,
-        proxy::{LinkTrouble, Proxy},
+        proxy::{LinkFault, Proxy},
         run::SoakPlan,
     },
     lynxwheel_platform_standin::{
@@ -198,19 +198,19 @@
         put_wave(&self.store, wave, &vms, WAVE_S, MAX_DOWN);
     }
 
-    fn link(&self, place: LinkPlace) -> &Proxy {
+    fn link(&self, place: LinkId) -> &Proxy {
         match place {
-            LinkPlace::Store(node) => &self.store_links[node],
-            LinkPlace::Callers(node) => &self.caller_links[node],
-            LinkPlace::Endpoint(endpoint) => &self.endpoint_links[endpoint],
+            LinkId::Store(node) => &self.store_links[node],
+            LinkId::Callers(node) => &self.caller_links[node],
+            LinkId::Endpoint(endpoint) => &self.endpoint_links[endpoint],
         }
     }
 
     /// Lets one fault happen, and ends it.
     pub async fn suffer(&self, planned: PlannedFault) {
-        sleep(Duration::from_millis(planned.at_ms)).await;
+        sleep(Duration::from_millis(planned.start_ms)).await;
         self.begin(planned.fault);
-        sleep(Duration::from_millis(planned.for_ms)).await;
+        sleep(Duration::from_millis(planned.duration_ms)).await;
         self.end(planned.fault).await;
     }
 
@@ -221,17 +221,17 @@
             Fault::KillAll => self.nodes.iter().for_each(|n| n.signal(Signal::SIGKILL)),
             Fault::PauseNode(node) => self.nodes[node].signal(Signal::SIGSTOP),
             Fault::StopNode(node) => self.nodes[node].signal(Signal::SIGTERM),
-            Fault::HangUp(node) => self.nodes[node].signal(Signal::SIGHUP),
-            Fault::Store(trouble) => self.store.set_fault(trouble),
-            Fault::ForgetHistory => {
+            Fault::ReloadSettings(node) => self.nodes[node].signal(Signal::SIGHUP),
+            Fault::Store(fault) => self.store.set_fault(fault),
+            Fault::TrimTopics => {
                 trim_operator_topics(&self.store);
             }
-            Fault::Link(place, trouble) => self.link(place).set_trouble(trouble),
-            Fault::Endpoint(endpoint, trouble) => self.endpoints[endpoint].set_fault(trouble),
-            Fault::EndLife(endpoint) => self.endpoints[endpoint].end_incarnation(),
+            Fault::Link(place, fault) => self.link(place).set_fault(fault),
+            Fault::Endpoint(endpoint, fault) => self.endpoints[endpoint].set_fault(fault),
+            Fault::EndIncarnation(endpoint) => self.endpoints[endpoint].end_incarnation(),
             Fault::Drain(endpoint) => self.endpoints[endpoint].drain(),
-            Fault::Configure => self.configure(&self.accounts.next_round()),
-            Fault::Maintain => self.maintain(),
+            Fault::ChangeConfig => self.configure(&self.accounts.next_round()),
+            Fault::OrderMaintenance => self.maintain(),
         }
     }
 
@@ -246,16 +246,19 @@
                 self.restart(node);
             }
             Fault::Store(_) => self.store.set_fault(StoreFault::None),
-            Fault::Link(place, _) => self.link(place).set_trouble(LinkTrouble::None),
+            Fault::Link(place, _) => self.link(place).set_fault(LinkFault::None),
             Fault::Endpoint(endpoint, _) => {
                 self.endpoints[endpoint].set_fault(EndpointFault::None);
             }
-            Fault::EndLife(endpoint) => self.endpoints[endpoint].start_incarnation(),
+            Fault::EndIncarnation(endpoint) => self.endpoints[endpoint].start_incarnation(),
             Fault::Drain(endpoint) => {
                 self.endpoints[endpoint].end_incarnation();
                 self.endpoints[endpoint].start_incarnation();
             }
-            Fault::HangUp(_) | Fault::ForgetHistory | Fault::Configure | Fault::Maintain => {}
+            Fault::ReloadSettings(_)
+            | Fault::TrimTopics
+            | Fault::ChangeConfig
+            | Fault::OrderMaintenance => {}
         }
     }
 
@@ -271,7 +274,7 @@
         self.store.set_fault(StoreFault::None);
         let links = [&self.store_links, &self.caller_links, &self.endpoint_links];
         for link in links.into_iter().flatten() {
-            link.set_trouble(LinkTrouble::None);
+            link.set_fault(LinkFault::None);
         }
         for endpoint in &self.endpoints {
             endpoint.set_fault(EndpointFault::None);
