--- a/crates/lynxwheel/tests/soak.rs
+++ b/crates/lynxwheel/tests/soak.rs
@@ -1,7 +1,7 @@
 //! A short soak of the program: nodes as processes, faults from outside, promises checked.
 
 use {
-    lynxwheel_soak::{SoakPlan, nodes_with_newest_keys, run_soak},
+    lynxwheel_soak::{SoakPlan, count_nodes_with_latest_keys, run_soak},
     std::path::Path,
     tokio::runtime::Runtime,
 };
@@ -42,7 +42,7 @@
     let plan = SoakPlan::new(program, 3, 0, 3);
     let runtime = Runtime::new().expect("a runtime");
     let current = runtime
-        .block_on(nodes_with_newest_keys(&plan))
+        .block_on(count_nodes_with_latest_keys(&plan))
         .expect("a run");
     assert_eq!(current, plan.nodes);
 }
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -2,7 +2,7 @@
 
 use {
     clap::Parser,
-    lynxwheel_soak::{SoakPlan, play_seeds, run_soak},
+    lynxwheel_soak::{SoakPlan, run_seeds, run_soak},
     std::{path::PathBuf, process::ExitCode},
 };
 
@@ -49,7 +49,7 @@
         async move { run_soak(&plan).await }
     };
     let mut is_well = true;
-    play_seeds(first..first + count, jobs, run, |outcome| match outcome {
+    run_seeds(first..first + count, jobs, run, |outcome| match outcome {
         Ok((seed, verdict)) => {
             println!(
                 "seed {seed}: {} faults, {} jobs owed, {} starts, {} broken",
--- a/crates/soak/examples/take_over.rs
+++ b/crates/soak/examples/takeover.rs
@@ -1,8 +1,8 @@
-//! Measures take-overs: `cargo run --release -p lynxwheel-soak --example take_over -- --count 30`.
+//! Measures take-overs: `cargo run --release -p lynxwheel-soak --example takeover -- --count 30`.
 
 use {
     clap::{Parser, ValueEnum},
-    lynxwheel_soak::{OwnerLoss, SoakPlan, measure_take_over, play_seeds},
+    lynxwheel_soak::{OwnerLoss, SoakPlan, measure_takeover, run_seeds},
     std::path::PathBuf,
 };
 
@@ -54,10 +54,10 @@
     };
     let play = |seed| {
         let plan = SoakPlan::new(&program, seed, 0, nodes);
-        async move { measure_take_over(&plan, loss).await }
+        async move { measure_takeover(&plan, loss).await }
     };
     let mut gaps_ms = Vec::new();
-    play_seeds(first..first + count, jobs, play, |run| match run {
+    run_seeds(first..first + count, jobs, play, |run| match run {
         Ok((_, gap)) => gaps_ms.push(gap.as_millis()),
         Err(text) => println!("a run failed: {text}"),
     })
--- a/crates/soak/src/cut_off.rs
+++ b/crates/soak/src/key_propagation.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// Fails when stand-ins or nodes cannot be started.
-pub async fn nodes_with_newest_keys(plan: &SoakPlan) -> io::Result<usize> {
+pub async fn count_nodes_with_latest_keys(plan: &SoakPlan) -> io::Result<usize> {
     let scene = Scene::start(plan).await?;
     let accounts = scene.world.accounts();
     let mut current = 0;
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -13,25 +13,25 @@
 
 mod accounts;
 mod callers;
-mod cut_off;
 mod faults;
+mod key_propagation;
 mod ledger;
 mod nodes;
 mod proxy;
 mod run;
 mod scene;
 mod seeds;
-mod take_over;
+mod takeover;
 mod world;
 
 pub use {
-    cut_off::nodes_with_newest_keys,
     faults::{Fault, LinkId, PlannedFault, plan_faults},
+    key_propagation::count_nodes_with_latest_keys,
     ledger::Ledger,
     proxy::{LinkFault, Proxy},
     run::{SoakPlan, Verdict, run_soak},
-    seeds::play_seeds,
-    take_over::{OwnerLoss, measure_take_over},
+    seeds::run_seeds,
+    takeover::{OwnerLoss, measure_takeover},
 };
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/soak/src/seeds.rs
+++ b/crates/soak/src/seeds.rs
@@ -7,7 +7,7 @@
 
 /// Plays seeds, `jobs` of them at once, and tells each outcome as it comes; a run that did not come
 /// to its end is told as text.
-pub async fn play_seeds<T, F>(
+pub async fn run_seeds<T, F>(
     seeds: Range<u64>,
     jobs: usize,
     play: impl Fn(u64) -> F,
--- a/crates/soak/src/take_over.rs
+++ b/crates/soak/src/takeover.rs
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// Fails when stand-ins or nodes cannot be started.
-pub async fn measure_take_over(plan: &SoakPlan, loss: OwnerLoss) -> io::Result<Duration> {
+pub async fn measure_takeover(plan: &SoakPlan, loss: OwnerLoss) -> io::Result<Duration> {
     let scene = Scene::start(plan).await?;
     let nodes = u64::try_from(plan.nodes).unwrap_or(u64::MAX);
     let mut tasks = JoinSet::new();
