--- a/crates/lynxwheel/tests/soak.rs
+++ b/crates/lynxwheel/tests/soak.rs
@@ -11,8 +11,8 @@
     let program = Path::new(env!("CARGO_BIN_EXE_lynxwheel"));
     let plan = SoakPlan::new(program, seed, length_ms, 3).with_small_nodes(are_nodes_small);
     let runtime = Runtime::new().expect("a runtime");
-    let verdict = runtime.block_on(run_soak(&plan)).expect("a run");
-    verdict.broken
+    let report = runtime.block_on(run_soak(&plan)).expect("a run");
+    report.violations
 }
 
 macro_rules! seeds {
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -50,18 +50,18 @@
     };
     let mut is_well = true;
     run_seeds(first..first + count, jobs, run, |outcome| match outcome {
-        Ok((seed, verdict)) => {
+        Ok((seed, report)) => {
             println!(
                 "seed {seed}: {} faults, {} jobs owed, {} starts, {} broken",
-                verdict.faults,
-                verdict.owed,
-                verdict.starts,
-                verdict.broken.len()
+                report.fault_count,
+                report.expected_jobs,
+                report.started_runs,
+                report.violations.len()
             );
-            for broken in &verdict.broken {
-                println!("  {broken}");
+            for violation in &report.violations {
+                println!("  {violation}");
             }
-            if !verdict.broken.is_empty() {
+            if !report.violations.is_empty() {
                 is_well = false;
                 println!("  logs: {}", plan(seed).folder.display());
             }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -29,7 +29,7 @@
     key_propagation::count_nodes_with_latest_keys,
     ledger::Ledger,
     proxy::{LinkFault, Proxy},
-    run::{SoakPlan, Verdict, run_soak},
+    run::{SoakPlan, SoakReport, run_soak},
     seeds::run_seeds,
     takeover::{OwnerLoss, measure_takeover},
 };
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: traffic and faults, healing, and the verdict.
+//! One run: traffic and faults, healing, and the report.
 
 use {
     crate::{
@@ -69,17 +69,17 @@
     }
 }
 
-/// What a run has shown.
+/// Result of a run.
 #[derive(Clone, Debug)]
-pub struct Verdict {
-    /// Broken promises, with the seconds since the start.
-    pub broken: Vec<String>,
-    /// Jobs that were accepted and not cancelled.
-    pub owed: usize,
-    /// Runs that began.
-    pub starts: usize,
-    /// Faults.
-    pub faults: usize,
+pub struct SoakReport {
+    /// Violated invariants, each with the seconds since the start of the run.
+    pub violations: Vec<String>,
+    /// Number of jobs that were accepted and not cancelled.
+    pub expected_jobs: usize,
+    /// Number of task runs that started.
+    pub started_runs: usize,
+    /// Number of injected faults.
+    pub fault_count: usize,
 }
 
 /// Runs a seed.
@@ -87,7 +87,7 @@
 /// # Errors
 ///
 /// Fails when stand-ins or nodes cannot be started.
-pub async fn run_soak(plan: &SoakPlan) -> io::Result<Verdict> {
+pub async fn run_soak(plan: &SoakPlan) -> io::Result<SoakReport> {
     let scene = Scene::start(plan).await?;
     let mut tasks = JoinSet::new();
     scene.call(plan.seed, plan.length_ms, &mut tasks);
@@ -97,7 +97,7 @@
         callers,
     } = scene;
     let faults = plan_faults(plan.seed, plan.length_ms, plan.nodes, world.endpoints.len());
-    let count = faults.len();
+    let fault_count = faults.len();
     for planned in faults {
         let world = Arc::clone(&world);
         tasks.spawn(async move { world.suffer(planned).await });
@@ -112,17 +112,17 @@
     if ledger.owed().is_empty() {
         ledger.breaks("no job was accepted");
     }
-    let verdict = Verdict {
-        broken: ledger.broken(),
-        owed: ledger.owed().len(),
-        starts: ledger.starts(),
-        faults: count,
+    let report = SoakReport {
+        violations: ledger.broken(),
+        expected_jobs: ledger.owed().len(),
+        started_runs: ledger.starts(),
+        fault_count,
     };
     drop(world);
-    if verdict.broken.is_empty() {
+    if report.violations.is_empty() {
         fs::remove_dir_all(&plan.folder)?;
     }
-    Ok(verdict)
+    Ok(report)
 }
 
 /// Checks that what was accepted comes to its end, and that lasting tasks are all at work.
