--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         accounts::{ACCOUNT_COUNT, AccountPlace, Accounts, STRANGE_KEY},
-        ledger::Ledger,
+        checker::Checker,
     },
     http::{Method, StatusCode},
     lynxwheel_engine::{JobId, JobSpec, Resources, StepSpec},
@@ -47,7 +47,7 @@
     nodes: Arc<[SocketAddr]>,
     queues: Arc<[QueueSpec]>,
     accounts: Arc<Accounts>,
-    ledger: Arc<Ledger>,
+    checker: Arc<Checker>,
     clients: Arc<Clients>,
 }
 
@@ -58,13 +58,13 @@
         nodes: &[SocketAddr],
         queues: &[QueueSpec],
         accounts: Arc<Accounts>,
-        ledger: Arc<Ledger>,
+        checker: Arc<Checker>,
     ) -> Self {
         Self {
             nodes: nodes.into(),
             queues: queues.into(),
             accounts,
-            ledger,
+            checker,
             clients: Arc::new(Clients::new(CONNECTIONS)),
         }
     }
@@ -119,7 +119,8 @@
         let QueueSpec {
             pool, max_attempts, ..
         } = &self.queues[queue];
-        self.ledger.hand_in(id, account, &spec, pool, *max_attempts);
+        self.checker
+            .record_submission(id, account, &spec, pool, *max_attempts);
         let known = HandedIn {
             job: id,
             queue,
@@ -133,7 +134,7 @@
             let answer = self.call(self.any_node(random), &request).await;
             match answer.map(|answer| answer.status.as_u16()) {
                 Some(200..=299) => {
-                    self.ledger.accepted(id);
+                    self.checker.record_acceptance(id);
                     // Now and then a caller has lost the answer, and comes back.
                     if random.random_range(0..10) != 0 {
                         break;
@@ -143,10 +144,10 @@
                 Some(401 | 429 | 503) if random.random_range(0..2) == 0 => break,
                 // A node that has not read the newest configuration may not know the key yet.
                 Some(401 | 429 | 503) => {}
-                None | Some(502 | 504) => self.ledger.unclear(id),
+                None | Some(502 | 504) => self.checker.record_unknown_outcome(id),
                 Some(status) => {
                     let text = format!("{id}: a hand-in was answered with {status}");
-                    self.ledger.breaks(&text);
+                    self.checker.record_violation(&text);
                     break;
                 }
             }
@@ -171,7 +172,7 @@
         let answer = self.call(self.any_node(random), &request).await;
         if answer.is_some_and(|answer| answer.status.is_success()) {
             let text = format!("{}: its state was told to a stranger", known.job);
-            self.ledger.breaks(&text);
+            self.checker.record_violation(&text);
         }
     }
 
@@ -185,14 +186,14 @@
         match answer.status {
             StatusCode::OK => match decode_job_state(&answer.body) {
                 Some(state) => {
-                    self.ledger.shown(job, Some(state));
+                    self.checker.check_reported_state(job, Some(state));
                     return state.is_final();
                 }
                 None => self
-                    .ledger
-                    .breaks(&format!("{job}: its state is not whole")),
+                    .checker
+                    .record_violation(&format!("{job}: its state is not whole")),
             },
-            StatusCode::GONE => self.ledger.shown(job, None),
+            StatusCode::GONE => self.checker.check_reported_state(job, None),
             _ => {}
         }
         false
@@ -203,11 +204,11 @@
         if random.random_range(0..3) != 0 {
             return;
         }
-        self.ledger.cancel_sent(job);
+        self.checker.record_cancel_request(job);
         let request = self.request_for(Method::DELETE, known);
         let answer = self.call(self.any_node(random), &request).await;
         if answer.is_some_and(|answer| answer.status.is_success()) {
-            self.ledger.cancelled(job);
+            self.checker.record_cancellation(job);
         }
     }
 
@@ -229,12 +230,14 @@
         let answer = self.call(self.any_node(random), &request).await;
         if is_strange {
             if answer.is_some_and(|answer| answer.status.is_success()) {
-                self.ledger.breaks("a stranger was told a queue's count");
+                self.checker
+                    .record_violation("a stranger was told a queue's count");
             }
             return;
         }
         if answer.is_some_and(|answer| answer.status == StatusCode::OK && !is_count(&answer.body)) {
-            self.ledger.breaks("a queue's count is not whole");
+            self.checker
+                .record_violation("a queue's count is not whole");
         }
     }
 
--- /dev/null
+++ b/crates/soak/src/checker.rs
@@ -0,0 +1,560 @@
+//! Checks what callers and endpoints observe against the invariants of the fleet.
+
+use {
+    crate::{
+        accounts::{AccountPlace, highest_quota},
+        lock,
+    },
+    compact_str::CompactString,
+    lynxwheel_engine::{JobId, JobSpec, JobState, TaskRef},
+    lynxwheel_platform_standin::{Observation, ObservedEnd},
+    std::{
+        sync::Mutex,
+        time::{Duration, Instant},
+    },
+};
+
+/// Time after a cancellation is acknowledged in which its tasks may still start, in milliseconds:
+/// covers the longest delay of an order at an endpoint and a takeover.
+const CANCEL_GRACE_MS: u128 = 8_000;
+
+/// What callers know about the submission of a job.
+#[derive(Clone, Copy, Debug, Default)]
+struct SubmissionOutcome {
+    is_accepted: bool,
+    is_unknown: bool,
+}
+
+#[derive(Clone, Debug, Default)]
+struct TaskRecord {
+    /// Incarnation of the endpoint and run number of each run in progress.
+    running: Vec<(CompactString, u32)>,
+    /// Incarnation of the endpoint, run number and later starts of the task, for each completed run
+    /// whose end can still be acknowledged.
+    done: Vec<(CompactString, u32, u32)>,
+    has_completed: bool,
+    is_done_acknowledged: bool,
+    failures: u32,
+    failures_acknowledged: u32,
+    starts_after_last_failure: u32,
+}
+
+#[derive(Clone, Debug)]
+struct JobRecord {
+    id: JobId,
+    account: AccountPlace,
+    spec: JobSpec,
+    pool: CompactString,
+    max_attempts: u32,
+    outcome: SubmissionOutcome,
+    is_started: bool,
+    is_cancel_requested: bool,
+    cancelled_at: Option<Instant>,
+    tasks: Vec<(TaskRef, TaskRecord)>,
+}
+
+impl JobRecord {
+    fn task(&mut self, task: &TaskRef) -> Option<&mut TaskRecord> {
+        let index = self.tasks.binary_search_by_key(task, |known| known.0);
+        index.ok().map(|index| &mut self.tasks[index].1)
+    }
+
+    fn is_step_complete(&self, step: u16) -> bool {
+        let mut tasks = self.tasks.iter().filter(|(task, _)| task.step == step);
+        tasks.all(|(_, record)| record.has_completed)
+    }
+
+    fn cpu_millis(&self, task: &TaskRef) -> u64 {
+        let step = self.spec.steps.get(usize::from(task.step));
+        step.map_or(0, |step| step.room.cpu_millis)
+    }
+}
+
+#[derive(Debug, Default)]
+struct State {
+    jobs: Vec<JobRecord>,
+    /// CPU in use by incarnation of an endpoint, in thousandths of a core.
+    cpu_in_use: Vec<(CompactString, u64)>,
+    /// VM, its highest fencing token and the holder of that token.
+    orders: Vec<(CompactString, u64, CompactString)>,
+    violations: Vec<String>,
+    are_quotas_lifted: bool,
+    starts: usize,
+    last_start: Option<Instant>,
+    /// Longest time between two starts since it was last taken.
+    longest_gap: Duration,
+}
+
+impl State {
+    fn job(&mut self, id: JobId) -> Option<&mut JobRecord> {
+        let index = self.jobs.binary_search_by_key(&id, |job| job.id);
+        index.ok().map(|index| &mut self.jobs[index])
+    }
+
+    /// Returns the CPU that the tasks of an account use, in thousandths of a core.
+    fn running_cpu_millis(&self, account: AccountPlace) -> u64 {
+        let jobs = self.jobs.iter().filter(|job| job.account == account);
+        let tasks =
+            jobs.flat_map(|job| job.tasks.iter().map(move |(task, seen)| (job, task, seen)));
+        tasks
+            .map(|(job, task, seen)| {
+                let runs = u64::try_from(seen.running.len()).unwrap_or_default();
+                runs * job.cpu_millis(task)
+            })
+            .sum()
+    }
+
+    fn record_violation(&mut self, text: String) {
+        self.violations.push(text);
+    }
+
+    fn record_start(&mut self, now: Instant) {
+        if let Some(last) = self.last_start.replace(now) {
+            self.longest_gap = self.longest_gap.max(now - last);
+        }
+    }
+
+    /// Adds `change` to the CPU in use on an endpoint and returns the new total.
+    fn adjust_cpu_in_use(&mut self, incarnation: &CompactString, change: i64) -> u64 {
+        let index = self
+            .cpu_in_use
+            .iter()
+            .position(|(known, _)| known == incarnation);
+        let index = index.unwrap_or_else(|| {
+            self.cpu_in_use.push((incarnation.clone(), 0));
+            self.cpu_in_use.len() - 1
+        });
+        let in_use = &mut self.cpu_in_use[index].1;
+        *in_use = in_use.saturating_add_signed(change);
+        *in_use
+    }
+}
+
+/// A job that was accepted and not cancelled.
+#[derive(Clone, Debug)]
+pub struct ExpectedJob {
+    /// Id of the job.
+    pub job: JobId,
+    /// Account that submitted it.
+    pub account: AccountPlace,
+    /// Pool in which it runs.
+    pub pool: CompactString,
+    /// Whether its tasks run until they are stopped.
+    pub is_long_running: bool,
+}
+
+/// State what callers and endpoints observe, and the invariants that it violates.
+#[derive(Debug)]
+pub struct Checker {
+    state: Mutex<State>,
+    started_at: Instant,
+    /// CPU capacity of every endpoint, in thousandths of a core.
+    cpu_millis: u64,
+    /// Maximum number of VMs of a wave that may be down at the same time.
+    max_down: usize,
+}
+
+impl Checker {
+    /// Creates a checker that has observed nothing yet.
+    #[must_use]
+    pub fn new(cpu_millis: u64, max_down: usize) -> Self {
+        Self {
+            state: Mutex::default(),
+            started_at: Instant::now(),
+            cpu_millis,
+            max_down,
+        }
+    }
+
+    /// Returns the violations, each with the seconds since the start of the run.
+    #[must_use]
+    pub fn violations(&self) -> Vec<String> {
+        lock(&self.state).violations.clone()
+    }
+
+    /// Returns the number of task runs that have started.
+    #[must_use]
+    pub fn started_runs(&self) -> usize {
+        lock(&self.state).starts
+    }
+
+    /// Returns the longest time between two starts since the last call, and resets it.
+    #[must_use]
+    pub fn take_longest_gap(&self) -> Duration {
+        std::mem::take(&mut lock(&self.state).longest_gap)
+    }
+
+    /// Stops checking the quotas of accounts.
+    pub fn lift_quotas(&self) {
+        lock(&self.state).are_quotas_lifted = true;
+    }
+
+    /// State a violation.
+    pub fn record_violation(&self, text: &str) {
+        let text = self.timestamped(text);
+        lock(&self.state).record_violation(text);
+    }
+
+    fn timestamped(&self, text: &str) -> String {
+        format!("{:8.3} s  {text}", self.started_at.elapsed().as_secs_f64())
+    }
+
+    /// State a job before it is submitted.
+    pub fn record_submission(
+        &self,
+        id: JobId,
+        account: AccountPlace,
+        spec: &JobSpec,
+        pool: &str,
+        max_attempts: u32,
+    ) {
+        let mut state = lock(&self.state);
+        let mut tasks = Vec::new();
+        for (step, spec) in (0..).zip(&spec.steps) {
+            for index in 0..spec.count {
+                let task = TaskRef {
+                    job: id,
+                    occurrence: 0,
+                    step,
+                    index,
+                };
+                tasks.push((task, TaskRecord::default()));
+            }
+        }
+        let job = JobRecord {
+            id,
+            account,
+            spec: spec.clone(),
+            pool: pool.into(),
+            max_attempts,
+            outcome: SubmissionOutcome::default(),
+            is_started: false,
+            is_cancel_requested: false,
+            cancelled_at: None,
+            tasks,
+        };
+        if let Err(index) = state.jobs.binary_search_by_key(&id, |job| job.id) {
+            state.jobs.insert(index, job);
+        }
+    }
+
+    /// State that a job was accepted.
+    pub fn record_acceptance(&self, id: JobId) {
+        if let Some(job) = lock(&self.state).job(id) {
+            job.outcome.is_accepted = true;
+        }
+    }
+
+    /// State that the outcome of a submission is unknown.
+    pub fn record_unknown_outcome(&self, id: JobId) {
+        if let Some(job) = lock(&self.state).job(id) {
+            job.outcome.is_unknown = true;
+        }
+    }
+
+    /// State that a cancellation is about to be requested.
+    pub fn record_cancel_request(&self, id: JobId) {
+        if let Some(job) = lock(&self.state).job(id) {
+            job.is_cancel_requested = true;
+        }
+    }
+
+    /// State that a cancellation was acknowledged.
+    pub fn record_cancellation(&self, id: JobId) {
+        if let Some(job) = lock(&self.state).job(id) {
+            job.cancelled_at.get_or_insert_with(Instant::now);
+        }
+    }
+
+    /// Checks the state of a job that a caller received; `None` means that the job is unknown.
+    pub fn check_reported_state(&self, id: JobId, reported: Option<JobState>) {
+        let mut state = lock(&self.state);
+        let Some(job) = state.job(id) else {
+            return;
+        };
+        let is_complete = job.tasks.iter().all(|(_, task)| task.has_completed);
+        let max_attempts = job.max_attempts;
+        let may_fail = job
+            .tasks
+            .iter()
+            .any(|(_, task)| task.failures >= max_attempts);
+        let violation = match reported {
+            None if job.outcome.is_accepted => Some("an accepted job is unknown"),
+            Some(JobState::Completed) if !is_complete => Some("reported as completed too early"),
+            Some(JobState::Failed) if !may_fail => Some("reported as failed with attempts left"),
+            Some(JobState::Cancelled) if !job.is_cancel_requested => {
+                Some("reported as cancelled without a cancel request")
+            }
+            _ => None,
+        };
+        if let Some(violation) = violation {
+            let text = self.timestamped(&format!("{id}: {violation}"));
+            state.record_violation(text);
+        }
+    }
+
+    /// Returns the accepted jobs for which no cancellation was requested.
+    #[must_use]
+    pub fn expected_jobs(&self) -> Vec<ExpectedJob> {
+        let state = lock(&self.state);
+        let expected = state
+            .jobs
+            .iter()
+            .filter(|job| job.outcome.is_accepted && !job.is_cancel_requested);
+        expected
+            .map(|job| {
+                let is_long_running = job.spec.steps.iter().any(|step| step.long_running);
+                ExpectedJob {
+                    job: job.id,
+                    account: job.account,
+                    pool: job.pool.clone(),
+                    is_long_running,
+                }
+            })
+            .collect()
+    }
+
+    /// Returns the number of running tasks of a job, and of all its tasks.
+    #[must_use]
+    pub fn count_running_tasks(&self, id: JobId) -> (usize, usize) {
+        let mut state = lock(&self.state);
+        state.job(id).map_or((0, 0), |job| {
+            let running = job
+                .tasks
+                .iter()
+                .filter(|(_, task)| !task.running.is_empty());
+            (running.count(), job.tasks.len())
+        })
+    }
+
+    /// Checks at the end of a run that no job ran whose every submission was rejected.
+    pub fn check_rejected_jobs(&self) {
+        let mut state = lock(&self.state);
+        let rejected: Vec<JobId> = state
+            .jobs
+            .iter()
+            .filter(|job| !job.outcome.is_accepted && !job.outcome.is_unknown && job.is_started)
+            .map(|job| job.id)
+            .collect();
+        for id in rejected {
+            let text =
+                self.timestamped(&format!("{id}: ran although every submission was rejected"));
+            state.record_violation(text);
+        }
+    }
+
+    /// Checks an observation of a stand-in.
+    pub fn observe(&self, observation: Observation) {
+        let mut state = lock(&self.state);
+        let violations = match observation {
+            Observation::Started {
+                incarnation,
+                pool,
+                task,
+                run,
+                payload,
+            } => self.check_start(&mut state, &incarnation, &pool, task, run, &payload),
+            Observation::Ended {
+                incarnation,
+                task,
+                run,
+                end,
+            } => {
+                record_end(&mut state, &incarnation, &task, run, end);
+                Vec::new()
+            }
+            Observation::Acknowledged { task, run, end } => check_ack(&mut state, &task, run, end),
+            Observation::EndsExpired { incarnation } => {
+                forget_unacknowledged(&mut state, &incarnation);
+                Vec::new()
+            }
+            Observation::VmOrder {
+                vm,
+                holder,
+                fencing_token,
+            } => check_vm_order(&mut state, vm, holder, fencing_token),
+            Observation::MaintenanceStarted {
+                vm,
+                wave,
+                others_down,
+            } if others_down >= self.max_down => {
+                vec![format!(
+                    "{vm}: maintenance of wave {wave} while {others_down} other VMs are down"
+                )]
+            }
+            Observation::MaintenanceStarted { .. } => Vec::new(),
+        };
+        for violation in violations {
+            let text = self.timestamped(&violation);
+            state.record_violation(text);
+        }
+    }
+
+    fn check_start(
+        &self,
+        state: &mut State,
+        incarnation: &CompactString,
+        pool: &CompactString,
+        task: TaskRef,
+        run: u32,
+        payload: &CompactString,
+    ) -> Vec<String> {
+        state.starts += 1;
+        state.record_start(Instant::now());
+        let name = format!("{task} run {run} on {incarnation}");
+        let Some(job) = state.job(task.job) else {
+            return vec![format!("{name}: its job was never submitted")];
+        };
+        job.is_started = true;
+        let mut violations = Vec::new();
+        if job.spec.payload != *payload {
+            violations.push(format!("{name}: payload differs from that of its job"));
+        }
+        if job.pool != *pool {
+            violations.push(format!("{name}: started in the wrong pool {pool}"));
+        }
+        let is_late = |at: Instant| at.elapsed().as_millis() > CANCEL_GRACE_MS;
+        if job.cancelled_at.is_some_and(is_late) {
+            violations.push(format!(
+                "{name}: started too long after its job was cancelled"
+            ));
+        }
+        let step = job.spec.steps.get(usize::from(task.step));
+        let after = step.map(|step| step.after.clone()).unwrap_or_default();
+        if !after.iter().all(|&before| job.is_step_complete(before)) {
+            violations.push(format!(
+                "{name}: started before a step that it depends on was done"
+            ));
+        }
+        let max_attempts = job.max_attempts;
+        let is_long_running = step.is_some_and(|step| step.long_running);
+        let cpu_millis = job.cpu_millis(&task);
+        let Some(known) = job.task(&task) else {
+            return vec![format!("{name}: its job has no such task")];
+        };
+        if let Some((other, other_run)) = known.running.first() {
+            violations.push(format!(
+                "{name}: run {other_run} is still in progress on {other}"
+            ));
+        }
+        if known.is_done_acknowledged {
+            violations.push(format!(
+                "{name}: started after its completion was acknowledged"
+            ));
+        }
+        for (_, _, starts) in &mut known.done {
+            *starts += 1;
+        }
+        if !is_long_running && known.failures_acknowledged >= max_attempts {
+            violations.push(format!(
+                "{name}: started after its last allowed failure was acknowledged"
+            ));
+        } else if !is_long_running && known.failures >= max_attempts {
+            known.starts_after_last_failure += 1;
+        }
+        known.running.push((incarnation.clone(), run));
+        let account = job.account;
+        let running = state.running_cpu_millis(account);
+        let quota = highest_quota(account).filter(|_| !state.are_quotas_lifted);
+        if quota.is_some_and(|quota| running > quota) {
+            violations.push(format!(
+                "{name}: its account uses {running} millicores, more than any quota"
+            ));
+        }
+        let used =
+            state.adjust_cpu_in_use(incarnation, i64::try_from(cpu_millis).unwrap_or_default());
+        if used > self.cpu_millis {
+            violations.push(format!(
+                "{name}: {used} of {} millicores are in use on the endpoint",
+                self.cpu_millis
+            ));
+        }
+        violations
+    }
+}
+
+fn record_end(
+    state: &mut State,
+    incarnation: &CompactString,
+    task: &TaskRef,
+    run: u32,
+    end: ObservedEnd,
+) {
+    let Some(job) = state.job(task.job) else {
+        return;
+    };
+    let cpu_millis = job.cpu_millis(task);
+    if let Some(known) = job.task(task) {
+        known
+            .running
+            .retain(|(at, known_run)| at != incarnation || *known_run != run);
+        match end {
+            ObservedEnd::Done => {
+                known.done.push((incarnation.clone(), run, 0));
+                known.has_completed = true;
+            }
+            ObservedEnd::Failed => known.failures += 1,
+            ObservedEnd::Stopped | ObservedEnd::Lapsed | ObservedEnd::Lost => {}
+        }
+    }
+    state.adjust_cpu_in_use(incarnation, -i64::try_from(cpu_millis).unwrap_or_default());
+}
+
+/// Forgets the completed runs of an incarnation whose ends can no longer be acknowledged.
+fn forget_unacknowledged(state: &mut State, incarnation: &CompactString) {
+    for (_, known) in state.jobs.iter_mut().flat_map(|job| &mut job.tasks) {
+        known.done.retain(|(at, ..)| at != incarnation);
+    }
+}
+
+fn check_ack(state: &mut State, task: &TaskRef, run: u32, end: ObservedEnd) -> Vec<String> {
+    let Some(job) = state.job(task.job) else {
+        return Vec::new();
+    };
+    let max_attempts = job.max_attempts;
+    let Some(known) = job.task(task) else {
+        return Vec::new();
+    };
+    let mut violations = Vec::new();
+    if let Some((_, _, starts)) = known.done.iter().find(|(_, done, _)| *done == run) {
+        known.is_done_acknowledged = true;
+        if *starts > 0 {
+            violations.push(format!("{task}: started again after run {run} was done"));
+        }
+    }
+    if end == ObservedEnd::Failed {
+        known.failures_acknowledged += 1;
+        if known.failures_acknowledged >= max_attempts && known.starts_after_last_failure > 0 {
+            violations.push(format!(
+                "{task}: started again after its last allowed failure"
+            ));
+        }
+    }
+    violations
+}
+
+fn check_vm_order(
+    state: &mut State,
+    vm: CompactString,
+    holder: CompactString,
+    fencing_token: u64,
+) -> Vec<String> {
+    let Some(index) = state.orders.iter().position(|(known, ..)| *known == vm) else {
+        state.orders.push((vm, fencing_token, holder));
+        return Vec::new();
+    };
+    let (_, highest, known_holder) = &mut state.orders[index];
+    if fencing_token < *highest {
+        return vec![format!(
+            "{vm}: order with fencing token {fencing_token} after one with {highest}"
+        )];
+    }
+    if fencing_token == *highest && *known_holder != holder {
+        return vec![format!(
+            "{vm}: {holder} and {known_holder} both use fencing token {fencing_token}"
+        )];
+    }
+    *highest = fencing_token;
+    *known_holder = holder;
+    Vec::new()
+}
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -13,9 +13,9 @@
 
 mod accounts;
 mod callers;
+mod checker;
 mod faults;
 mod key_propagation;
-mod ledger;
 mod nodes;
 mod proxy;
 mod run;
@@ -25,9 +25,9 @@
 mod world;
 
 pub use {
+    checker::Checker,
     faults::{Fault, LinkId, PlannedFault, plan_faults},
     key_propagation::count_nodes_with_latest_keys,
-    ledger::Ledger,
     proxy::{LinkFault, Proxy},
     run::{SoakPlan, SoakReport, run_soak},
     seeds::run_seeds,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         callers::Callers,
+        checker::{Checker, ExpectedJob},
         faults::plan_faults,
-        ledger::{Ledger, Owed},
         scene::{SETTLE_MS, Scene},
         world::{GRACE_MS, World},
     },
@@ -92,7 +92,7 @@
     let mut tasks = JoinSet::new();
     scene.call(plan.seed, plan.length_ms, &mut tasks);
     let Scene {
-        ledger,
+        checker,
         world,
         callers,
     } = scene;
@@ -103,19 +103,19 @@
         tasks.spawn(async move { world.suffer(planned).await });
     }
     while tasks.join_next().await.is_some() {}
-    ledger.lift_quotas();
+    checker.lift_quotas();
     world.heal();
     sleep(Duration::from_millis(SETTLE_MS)).await;
-    check_calm(&callers, &ledger).await;
-    check_stop(&world, &ledger).await;
-    ledger.close();
-    if ledger.owed().is_empty() {
-        ledger.breaks("no job was accepted");
+    check_calm(&callers, &checker).await;
+    check_stop(&world, &checker).await;
+    checker.check_rejected_jobs();
+    if checker.expected_jobs().is_empty() {
+        checker.record_violation("no job was accepted");
     }
     let report = SoakReport {
-        violations: ledger.broken(),
-        expected_jobs: ledger.owed().len(),
-        started_runs: ledger.starts(),
+        violations: checker.violations(),
+        expected_jobs: checker.expected_jobs().len(),
+        started_runs: checker.started_runs(),
         fault_count,
     };
     drop(world);
@@ -126,32 +126,32 @@
 }
 
 /// Checks that what was accepted comes to its end, and that lasting tasks are all at work.
-async fn check_calm(callers: &Callers, ledger: &Arc<Ledger>) {
+async fn check_calm(callers: &Callers, checker: &Arc<Checker>) {
     let until = Instant::now() + Duration::from_millis(CALM_MS);
     let mut checks = JoinSet::new();
-    for owed in ledger.owed() {
-        let Owed { job, account, .. } = owed;
+    for expected in checker.expected_jobs() {
+        let ExpectedJob { job, account, .. } = expected;
         let callers = callers.clone();
-        let ledger = Arc::clone(ledger);
+        let checker = Arc::clone(checker);
         checks.spawn(async move {
-            let is_well = if owed.is_lasting {
-                are_at_work(&ledger, job, until).await
+            let is_well = if expected.is_long_running {
+                are_at_work(&checker, job, until).await
             } else {
-                callers.settles(job, account, &owed.pool, until).await
+                callers.settles(job, account, &expected.pool, until).await
             };
             if !is_well {
-                let (live, all) = ledger.at_work(job);
+                let (live, all) = checker.count_running_tasks(job);
                 let text = format!("{job}: accepted, and {live} of {all} tasks run at the end");
-                ledger.breaks(&text);
+                checker.record_violation(&text);
             }
         });
     }
     while checks.join_next().await.is_some() {}
 }
 
-async fn are_at_work(ledger: &Ledger, job: JobId, until: Instant) -> bool {
+async fn are_at_work(checker: &Checker, job: JobId, until: Instant) -> bool {
     while Instant::now() < until {
-        let (live, all) = ledger.at_work(job);
+        let (live, all) = checker.count_running_tasks(job);
         if live == all {
             return true;
         }
@@ -161,7 +161,7 @@
 }
 
 /// Checks that every node stops in time when it is told to.
-async fn check_stop(world: &World, ledger: &Ledger) {
+async fn check_stop(world: &World, checker: &Checker) {
     for node in &world.nodes {
         node.signal(Signal::SIGTERM);
     }
@@ -172,8 +172,8 @@
         }
         match node.ended() {
             Some(status) if status.success() => {}
-            Some(status) => ledger.breaks(&format!("node{number} stopped with {status}")),
-            None => ledger.breaks(&format!("node{number} did not stop in time")),
+            Some(status) => checker.record_violation(&format!("node{number} ended: {status}")),
+            None => checker.record_violation(&format!("node{number} did not stop in time")),
         }
     }
 }
--- a/crates/soak/src/scene.rs
+++ b/crates/soak/src/scene.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         callers::Callers,
-        ledger::Ledger,
+        checker::Checker,
         run::SoakPlan,
         world::{CPU_MILLIS, MAX_DOWN, World, queues},
     },
@@ -23,7 +23,7 @@
 
 /// Everything of one run.
 pub struct Scene {
-    pub ledger: Arc<Ledger>,
+    pub checker: Arc<Checker>,
     pub world: Arc<World>,
     pub callers: Callers,
 }
@@ -32,17 +32,17 @@
     /// Starts everything but the traffic.
     pub async fn start(plan: &SoakPlan) -> io::Result<Self> {
         fs::create_dir_all(&plan.folder)?;
-        let ledger = Arc::new(Ledger::new(CPU_MILLIS, MAX_DOWN));
-        let world = World::start(plan, &ledger).await?;
+        let checker = Arc::new(Checker::new(CPU_MILLIS, MAX_DOWN));
+        let world = World::start(plan, &checker).await?;
         sleep(Duration::from_millis(SETTLE_MS)).await;
         let callers = Callers::new(
             &world.caller_addresses,
             &queues(),
             world.accounts(),
-            Arc::clone(&ledger),
+            Arc::clone(&checker),
         );
         Ok(Self {
-            ledger,
+            checker,
             world: Arc::new(world),
             callers,
         })
--- a/crates/soak/src/takeover.rs
+++ b/crates/soak/src/takeover.rs
@@ -36,13 +36,13 @@
     for node in &scene.world.nodes {
         sleep(Duration::from_millis(REST_MS)).await;
         // What came before the loss does not count.
-        let _ = scene.ledger.take_longest_gap();
+        let _ = scene.checker.take_longest_gap();
         node.signal(match loss {
             OwnerLoss::Kill => Signal::SIGKILL,
             OwnerLoss::Pause => Signal::SIGSTOP,
         });
         sleep(Duration::from_millis(LOST_MS)).await;
-        longest = longest.max(scene.ledger.take_longest_gap());
+        longest = longest.max(scene.checker.take_longest_gap());
         match loss {
             OwnerLoss::Kill => node.start()?,
             OwnerLoss::Pause => node.signal(Signal::SIGCONT),
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         accounts::Accounts,
+        checker::Checker,
         faults::{Fault, LinkId, PlannedFault},
-        ledger::Ledger,
         nodes::NodeProcess,
         proxy::{LinkFault, Proxy},
         run::SoakPlan,
@@ -104,12 +104,12 @@
 
 impl World {
     /// Starts stand-ins, proxies and nodes, and puts the first configuration in force.
-    pub async fn start(plan: &SoakPlan, ledger: &Arc<Ledger>) -> io::Result<Self> {
+    pub async fn start(plan: &SoakPlan, checker: &Arc<Checker>) -> io::Result<Self> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let observer: Observer = {
-            let ledger = Arc::clone(ledger);
-            Arc::new(move |seen| ledger.see(seen))
+            let checker = Arc::clone(checker);
+            Arc::new(move |observation| checker.observe(observation))
         };
         let store = StoreStandIn::start().await?;
         let mut endpoints = Vec::new();
