--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -1,4 +1,4 @@
-//! Runs seeds by hand: `cargo run --release -p lynxwheel-soak --example soak -- --count 50`.
+//! Runs a range of seeds: `cargo run --release -p lynxwheel-soak --example soak -- --count 50`.
 
 use {
     clap::Parser,
@@ -6,10 +6,10 @@
     std::{path::PathBuf, process::ExitCode},
 };
 
-/// Randomized soak of real nodes.
+/// Randomized soak test of nodes that run as processes.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// The program.
+    /// Path of the `lynxwheel` program.
     #[arg(long, default_value = "target/release/lynxwheel")]
     program: PathBuf,
     /// First seed.
@@ -18,16 +18,16 @@
     /// Number of seeds.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// Seeds played at once.
+    /// Number of seeds run in parallel.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// Nodes of each run.
+    /// Number of nodes in each run.
     #[arg(long, default_value_t = 3)]
     nodes: usize,
-    /// Let each node call so few endpoints that the owner needs the others.
+    /// Limits each node to so few endpoint calls that the owner depends on delegates.
     #[arg(long)]
     small_nodes: bool,
-    /// Length of traffic and faults, in milliseconds.
+    /// Duration of the traffic and the faults, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     length_ms: u64,
 }
@@ -48,11 +48,11 @@
         let plan = plan(seed);
         async move { run_soak(&plan).await }
     };
-    let mut is_well = true;
+    let mut has_passed = true;
     run_seeds(first..first + count, jobs, run, |outcome| match outcome {
         Ok((seed, report)) => {
             println!(
-                "seed {seed}: {} faults, {} jobs owed, {} starts, {} broken",
+                "seed {seed}: {} faults, {} expected jobs, {} started runs, {} violations",
                 report.fault_count,
                 report.expected_jobs,
                 report.started_runs,
@@ -62,17 +62,17 @@
                 println!("  {violation}");
             }
             if !report.violations.is_empty() {
-                is_well = false;
-                println!("  logs: {}", plan(seed).folder.display());
+                has_passed = false;
+                println!("  logs: {}", plan(seed).directory.display());
             }
         }
         Err(text) => {
-            is_well = false;
+            has_passed = false;
             println!("{text}");
         }
     })
     .await;
-    if is_well {
+    if has_passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/soak/examples/takeover.rs
+++ b/crates/soak/examples/takeover.rs
@@ -1,39 +1,39 @@
-//! Measures take-overs: `cargo run --release -p lynxwheel-soak --example takeover -- --count 30`.
+//! Measures takeovers: `cargo run --release -p lynxwheel-soak --example takeover -- --count 30`.
 
 use {
     clap::{Parser, ValueEnum},
-    lynxwheel_soak::{OwnerLoss, SoakPlan, measure_takeover, run_seeds},
+    lynxwheel_soak::{OwnerFailure, SoakPlan, measure_takeover, run_seeds},
     std::path::PathBuf,
 };
 
-/// How the owner is lost.
+/// How the owner fails.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-enum Loss {
-    /// Its process ends at once.
+enum Failure {
+    /// The process is killed.
     Kill,
-    /// It stands still.
+    /// The process is paused.
     Pause,
 }
 
-/// Time without a start when the owner is lost.
+/// Measures the time without a task start when the owner fails.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// The program.
+    /// Path of the `lynxwheel` program.
     #[arg(long, default_value = "target/release/lynxwheel")]
     program: PathBuf,
-    /// How the owner is lost.
-    #[arg(long, value_enum, default_value_t = Loss::Kill)]
-    loss: Loss,
+    /// How the owner fails.
+    #[arg(long, value_enum, default_value_t = Failure::Kill)]
+    loss: Failure,
     /// First seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
     /// Number of seeds.
     #[arg(long, default_value_t = 30)]
     count: u64,
-    /// Seeds played at once.
+    /// Number of seeds run in parallel.
     #[arg(long, default_value_t = 6)]
     jobs: usize,
-    /// Nodes of each run.
+    /// Number of nodes in each run.
     #[arg(long, default_value_t = 3)]
     nodes: usize,
 }
@@ -49,26 +49,26 @@
         nodes,
     } = Arguments::parse();
     let loss = match loss {
-        Loss::Kill => OwnerLoss::Kill,
-        Loss::Pause => OwnerLoss::Pause,
+        Failure::Kill => OwnerFailure::Kill,
+        Failure::Pause => OwnerFailure::Pause,
     };
-    let play = |seed| {
+    let measure = |seed| {
         let plan = SoakPlan::new(&program, seed, 0, nodes);
         async move { measure_takeover(&plan, loss).await }
     };
     let mut gaps_ms = Vec::new();
-    run_seeds(first..first + count, jobs, play, |run| match run {
+    run_seeds(first..first + count, jobs, measure, |run| match run {
         Ok((_, gap)) => gaps_ms.push(gap.as_millis()),
         Err(text) => println!("a run failed: {text}"),
     })
     .await;
     gaps_ms.sort_unstable();
-    let at = |percent: usize| gaps_ms.get(gaps_ms.len() * percent / 100);
+    let percentile = |percent: usize| gaps_ms.get(gaps_ms.len() * percent / 100);
     println!(
-        "{} runs, time without a start in ms: p50 {:?}, p90 {:?}, most {:?}",
+        "{} runs, time without a start in ms: p50 {:?}, p90 {:?}, max {:?}",
         gaps_ms.len(),
-        at(50),
-        at(90),
+        percentile(50),
+        percentile(90),
         gaps_ms.last()
     );
 }
--- a/crates/soak/src/accounts.rs
+++ b/crates/soak/src/accounts.rs
@@ -1,44 +1,43 @@
-//! Client accounts of a run: their keys change with each configuration, and so do their quotas.
+//! Client accounts of a run, whose keys and quotas change with each configuration.
 
 use {
     lynxwheel_platform_standin::AccountSpec,
     std::sync::atomic::{AtomicU64, Ordering},
 };
 
-/// Names, with the quotas by turns, in thousandths of a core.
+/// Account names and the two CPU quotas that configurations alternate between, in millicores.
 const ACCOUNTS: [(&str, [u64; 2]); 3] = [
     ("hall", [3_000, 7_000]),
     ("desk", [12_000, 4_000]),
     ("hotline", [0, 0]),
 ];
 
-/// A key that no configuration holds.
-pub const STRANGE_KEY: &str = "nobody-0";
+/// A key that is in no configuration.
+pub const UNKNOWN_KEY: &str = "nobody-0";
 
-/// Place of an account.
-pub type AccountPlace = usize;
+/// Index of an account in `ACCOUNTS`.
+pub type AccountIndex = usize;
 
-/// Number of accounts.
 pub const ACCOUNT_COUNT: usize = ACCOUNTS.len();
 
-/// Returns the most that an account may have running by any configuration; nothing for no limit.
-pub fn highest_quota(account: AccountPlace) -> Option<u64> {
+/// Returns the highest CPU quota of an account in any configuration, or `None` without a limit.
+pub fn highest_quota(account: AccountIndex) -> Option<u64> {
     ACCOUNTS[account]
         .1
         .into_iter()
         .max()
-        .filter(|&most| most > 0)
+        .filter(|&quota| quota > 0)
 }
 
-/// What the configurations of a run say of accounts.
+/// Generates the accounts of each configuration of a run.
 #[derive(Debug, Default)]
 pub struct Accounts {
     round: AtomicU64,
 }
 
 impl Accounts {
-    /// Begins the next round, and returns the accounts of its configuration: each keeps one of its keys,
-    /// loses one and gets one.
+    /// Begins the next round and returns the accounts of its configuration. Each account keeps one
+    /// of its keys, and another one is replaced.
     pub fn next_round(&self) -> Vec<AccountSpec> {
         let round = self.round.fetch_add(1, Ordering::Relaxed) + 1;
         let spec = |(name, quotas): &(&str, [u64; 2])| AccountSpec {
@@ -49,8 +48,8 @@
         ACCOUNTS.iter().map(spec).collect()
     }
 
-    /// Begins the last round, in which no account has a limit: whatever waits for a quota runs then, also
-    /// beside long-running tasks that fill it.
+    /// Begins the last round, in which no account has a quota, so that jobs can end whose quota is
+    /// taken by long-running tasks.
     pub fn last_round(&self) -> Vec<AccountSpec> {
         let mut accounts = self.next_round();
         for account in &mut accounts {
@@ -59,8 +58,8 @@
         accounts
     }
 
-    /// Returns a key that the newest configuration holds, and the one before it.
-    pub fn key(&self, account: AccountPlace) -> String {
+    /// Returns a key that is valid in the latest configuration and in the one before it.
+    pub fn key(&self, account: AccountIndex) -> String {
         key(ACCOUNTS[account].0, self.round.load(Ordering::Relaxed))
     }
 }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,8 +1,8 @@
-//! Callers: they hand jobs in, ask for them, cancel some, and come back as real ones do.
+//! Callers that submit, query and cancel jobs, and retry as real clients do.
 
 use {
     crate::{
-        accounts::{ACCOUNT_COUNT, AccountPlace, Accounts, STRANGE_KEY},
+        accounts::{ACCOUNT_COUNT, AccountIndex, Accounts, UNKNOWN_KEY},
         checker::Checker,
     },
     http::{Method, StatusCode},
@@ -18,30 +18,30 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Time that a caller waits for an answer, in milliseconds.
-const WAIT_MS: u64 = 2_500;
+/// Timeout that a caller requests in its timeout header, in milliseconds.
+const TIMEOUT_MS: u64 = 2_500;
 
-/// Time that it waits beyond that before it gives a connection up, in milliseconds.
-const SLACK_MS: u64 = 500;
+/// Time that a caller waits for the response beyond the requested timeout, in milliseconds.
+const TIMEOUT_MARGIN_MS: u64 = 500;
 
-/// Pause between a caller's requests, in milliseconds.
+/// Pause between two requests of a caller, in milliseconds.
 const PAUSES_MS: std::ops::Range<u64> = 20..160;
 
-/// Times that a caller comes back with a job whose hand-in had no clear answer.
-const RETRIES: u32 = 6;
+/// Maximum number of times that a caller submits the same job.
+const MAX_SUBMISSIONS: u32 = 6;
 
-/// Connections of all callers to a node.
-const CONNECTIONS: usize = 16;
+/// Maximum number of connections of all callers to a node.
+const MAX_CONNECTIONS: usize = 16;
 
-/// A job that was handed in, and how to ask for it.
+/// A submitted job, with what is needed to query it.
 #[derive(Clone, Copy, Debug)]
-struct HandedIn {
+struct SubmittedJob {
     job: JobId,
     queue: usize,
-    account: AccountPlace,
+    account: AccountIndex,
 }
 
-/// What all callers share.
+/// State shared by all callers of a run.
 #[derive(Clone, Debug)]
 pub struct Callers {
     nodes: Arc<[SocketAddr]>,
@@ -52,7 +52,7 @@
 }
 
 impl Callers {
-    /// Creates callers of these nodes.
+    /// Creates the callers of `nodes`.
     #[must_use]
     pub fn new(
         nodes: &[SocketAddr],
@@ -65,53 +65,56 @@
             queues: queues.into(),
             accounts,
             checker,
-            clients: Arc::new(Clients::new(CONNECTIONS)),
+            clients: Arc::new(Clients::new(MAX_CONNECTIONS)),
         }
     }
 
-    /// Lets one caller work until a time.
-    pub async fn work(self, seed: u64, until: Instant) {
+    /// Runs one caller until `until`.
+    pub async fn run(self, seed: u64, until: Instant) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut handed_in: Vec<HandedIn> = Vec::new();
+        let mut submitted_jobs: Vec<SubmittedJob> = Vec::new();
         while Instant::now() < until {
             sleep(Duration::from_millis(random.random_range(PAUSES_MS))).await;
-            let known = random.random_range(0..handed_in.len().max(1));
-            match (random.random_range(0..12), handed_in.get(known).copied()) {
-                (0..7, Some(known)) => self.ask_state(&mut random, known).await,
-                (7, Some(known)) => self.cancel(&mut random, known).await,
-                (8, _) => self.count(&mut random).await,
-                (9, Some(known)) => self.ask_as_stranger(&mut random, known).await,
-                _ => handed_in.push(self.hand_in(&mut random).await),
+            let submitted = random.random_range(0..submitted_jobs.len().max(1));
+            match (
+                random.random_range(0..12),
+                submitted_jobs.get(submitted).copied(),
+            ) {
+                (0..7, Some(submitted)) => self.query_state(&mut random, submitted).await,
+                (7, Some(submitted)) => self.cancel(&mut random, submitted).await,
+                (8, _) => self.query_count(&mut random).await,
+                (9, Some(submitted)) => self.query_without_access(&mut random, submitted).await,
+                _ => submitted_jobs.push(self.submit(&mut random).await),
             }
         }
     }
 
     async fn call(&self, node: usize, request: &ClientRequest) -> Option<Answer> {
-        let limit = Duration::from_millis(WAIT_MS + SLACK_MS);
+        let timeout = Duration::from_millis(TIMEOUT_MS + TIMEOUT_MARGIN_MS);
         let client = self.clients.get(self.nodes[node]);
-        client.call(request, limit).await.ok()
+        client.call(request, timeout).await.ok()
     }
 
     fn request(&self, method: Method, queue: usize, id: &str, key: &str) -> ClientRequest {
         let path = format!("{}{id}", self.queues[queue].path_prefix);
-        let (name, value) = timeout_header(WAIT_MS);
+        let (name, value) = timeout_header(TIMEOUT_MS);
         let (key_name, key) = api_key_header(key);
         ClientRequest::new(method, path)
             .with_header(name, value)
             .with_header(key_name, key)
     }
 
-    fn request_for(&self, method: Method, known: HandedIn) -> ClientRequest {
-        let key = self.accounts.key(known.account);
-        self.request(method, known.queue, known.job.as_str(), &key)
+    fn request_for(&self, method: Method, submitted: SubmittedJob) -> ClientRequest {
+        let key = self.accounts.key(submitted.account);
+        self.request(method, submitted.queue, submitted.job.as_str(), &key)
     }
 
-    fn any_node(&self, random: &mut ChaCha8Rng) -> usize {
+    fn draw_node(&self, random: &mut ChaCha8Rng) -> usize {
         random.random_range(0..self.nodes.len())
     }
 
-    /// Hands a job in, again at another node while the answer is not clear.
-    async fn hand_in(&self, random: &mut ChaCha8Rng) -> HandedIn {
+    /// Submits a job, and submits it again to a random node while its outcome is unknown.
+    async fn submit(&self, random: &mut ChaCha8Rng) -> SubmittedJob {
         let queue = random.random_range(0..self.queues.len());
         let account = random.random_range(0..ACCOUNT_COUNT);
         let spec = draw_job(random);
@@ -121,77 +124,80 @@
         } = &self.queues[queue];
         self.checker
             .record_submission(id, account, &spec, pool, *max_attempts);
-        let known = HandedIn {
+        let submitted = SubmittedJob {
             job: id,
             queue,
             account,
         };
-        for _ in 0..RETRIES {
+        for _ in 0..MAX_SUBMISSIONS {
             let request = self
-                .request_for(Method::POST, known)
+                .request_for(Method::POST, submitted)
                 .with_header("Content-Type", "application/json")
                 .with_body(encode_job(&spec));
-            let answer = self.call(self.any_node(random), &request).await;
-            match answer.map(|answer| answer.status.as_u16()) {
+            let response = self.call(self.draw_node(random), &request).await;
+            match response.map(|response| response.status.as_u16()) {
                 Some(200..=299) => {
                     self.checker.record_acceptance(id);
-                    // Now and then a caller has lost the answer, and comes back.
+                    // Sometimes retries as a caller that lost the response.
                     if random.random_range(0..10) != 0 {
                         break;
                     }
                 }
-                // Told that it never runs: some give it up, others come back.
+                // Rejected: the caller either gives up or submits the job again.
                 Some(401 | 429 | 503) if random.random_range(0..2) == 0 => break,
-                // A node that has not read the newest configuration may not know the key yet.
+                // A node that has not read the latest configuration may not know the key yet.
                 Some(401 | 429 | 503) => {}
                 None | Some(502 | 504) => self.checker.record_unknown_outcome(id),
                 Some(status) => {
-                    let text = format!("{id}: a hand-in was answered with {status}");
+                    let text = format!("{id}: unexpected status {status} for a submission");
                     self.checker.record_violation(&text);
                     break;
                 }
             }
             sleep(Duration::from_millis(random.random_range(50..700))).await;
         }
-        known
+        submitted
     }
 
-    async fn ask_state(&self, random: &mut ChaCha8Rng, known: HandedIn) {
-        let node = self.any_node(random);
-        self.ask_state_at(node, known).await;
+    async fn query_state(&self, random: &mut ChaCha8Rng, submitted: SubmittedJob) {
+        let node = self.draw_node(random);
+        self.query_state_at(node, submitted).await;
     }
 
-    /// Asks for a job with the key of another account, or with none that is known.
-    async fn ask_as_stranger(&self, random: &mut ChaCha8Rng, known: HandedIn) {
-        let other = (known.account + 1) % ACCOUNT_COUNT;
+    /// Queries a job with the key of another account or with an unknown key.
+    async fn query_without_access(&self, random: &mut ChaCha8Rng, submitted: SubmittedJob) {
+        let other = (submitted.account + 1) % ACCOUNT_COUNT;
         let key = match random.random_range(0..2) {
             0 => self.accounts.key(other),
-            _ => STRANGE_KEY.into(),
+            _ => UNKNOWN_KEY.into(),
         };
-        let request = self.request(Method::GET, known.queue, known.job.as_str(), &key);
-        let answer = self.call(self.any_node(random), &request).await;
-        if answer.is_some_and(|answer| answer.status.is_success()) {
-            let text = format!("{}: its state was told to a stranger", known.job);
+        let request = self.request(Method::GET, submitted.queue, submitted.job.as_str(), &key);
+        let response = self.call(self.draw_node(random), &request).await;
+        if response.is_some_and(|response| response.status.is_success()) {
+            let text = format!(
+                "{}: its state was returned to an unauthorized caller",
+                submitted.job
+            );
             self.checker.record_violation(&text);
         }
     }
 
-    /// Asks a node for the state of a job; tells whether it was told a final one.
-    async fn ask_state_at(&self, node: usize, known: HandedIn) -> bool {
-        let HandedIn { job, .. } = known;
-        let request = self.request_for(Method::GET, known);
-        let Some(answer) = self.call(node, &request).await else {
+    /// Queries the state of a job at a node; returns whether it is final.
+    async fn query_state_at(&self, node: usize, submitted: SubmittedJob) -> bool {
+        let SubmittedJob { job, .. } = submitted;
+        let request = self.request_for(Method::GET, submitted);
+        let Some(response) = self.call(node, &request).await else {
             return false;
         };
-        match answer.status {
-            StatusCode::OK => match decode_job_state(&answer.body) {
+        match response.status {
+            StatusCode::OK => match decode_job_state(&response.body) {
                 Some(state) => {
                     self.checker.check_reported_state(job, Some(state));
                     return state.is_final();
                 }
                 None => self
                     .checker
-                    .record_violation(&format!("{job}: its state is not whole")),
+                    .record_violation(&format!("{job}: malformed state")),
             },
             StatusCode::GONE => self.checker.check_reported_state(job, None),
             _ => {}
@@ -199,65 +205,67 @@
         false
     }
 
-    async fn cancel(&self, random: &mut ChaCha8Rng, known: HandedIn) {
-        let HandedIn { job, .. } = known;
+    async fn cancel(&self, random: &mut ChaCha8Rng, submitted: SubmittedJob) {
+        let SubmittedJob { job, .. } = submitted;
         if random.random_range(0..3) != 0 {
             return;
         }
         self.checker.record_cancel_request(job);
-        let request = self.request_for(Method::DELETE, known);
-        let answer = self.call(self.any_node(random), &request).await;
-        if answer.is_some_and(|answer| answer.status.is_success()) {
+        let request = self.request_for(Method::DELETE, submitted);
+        let response = self.call(self.draw_node(random), &request).await;
+        if response.is_some_and(|response| response.status.is_success()) {
             self.checker.record_cancellation(job);
         }
     }
 
-    /// Asks a node for the count of the first queue with a key; returns the status of its answer.
-    pub async fn count_at(&self, node: usize, key: &str) -> Option<StatusCode> {
+    /// Queries the job count of the first queue at a node, and returns the status of the response.
+    pub async fn query_count_at(&self, node: usize, key: &str) -> Option<StatusCode> {
         let request = self.request(Method::GET, 0, "", key);
-        self.call(node, &request).await.map(|answer| answer.status)
+        self.call(node, &request)
+            .await
+            .map(|response| response.status)
     }
 
-    async fn count(&self, random: &mut ChaCha8Rng) {
+    async fn query_count(&self, random: &mut ChaCha8Rng) {
         let queue = random.random_range(0..self.queues.len());
-        let is_strange = random.random_range(0..3) == 0;
-        let key = if is_strange {
-            STRANGE_KEY.into()
+        let is_key_unknown = random.random_range(0..3) == 0;
+        let key = if is_key_unknown {
+            UNKNOWN_KEY.into()
         } else {
             self.accounts.key(random.random_range(0..ACCOUNT_COUNT))
         };
         let request = self.request(Method::GET, queue, "", &key);
-        let answer = self.call(self.any_node(random), &request).await;
-        if is_strange {
-            if answer.is_some_and(|answer| answer.status.is_success()) {
+        let response = self.call(self.draw_node(random), &request).await;
+        if is_key_unknown {
+            if response.is_some_and(|response| response.status.is_success()) {
                 self.checker
-                    .record_violation("a stranger was told a queue's count");
+                    .record_violation("a job count was returned for an unknown key");
             }
             return;
         }
-        if answer.is_some_and(|answer| answer.status == StatusCode::OK && !is_count(&answer.body)) {
+        if response.is_some_and(|reply| reply.status == StatusCode::OK && !is_count(&reply.body)) {
             self.checker
-                .record_violation("a queue's count is not whole");
+                .record_violation("malformed job count of a queue");
         }
     }
 
-    /// Asks until a job that was owed has come to its end; tells whether it has.
-    pub async fn settles(
+    /// Queries a job until it has ended; returns whether it does before the deadline.
+    pub async fn await_end(
         &self,
         job: JobId,
-        account: AccountPlace,
+        account: AccountIndex,
         pool: &str,
         until: Instant,
     ) -> bool {
         let queue = self.queues.iter().position(|queue| queue.pool == pool);
-        let known = HandedIn {
+        let submitted = SubmittedJob {
             job,
             queue: queue.unwrap_or_default(),
             account,
         };
         let mut node = 0;
         while Instant::now() < until {
-            if self.ask_state_at(node, known).await {
+            if self.query_state_at(node, submitted).await {
                 return true;
             }
             node = (node + 1) % self.nodes.len();
@@ -273,22 +281,22 @@
 }
 
 fn draw_job(random: &mut ChaCha8Rng) -> JobSpec {
-    let is_lasting = random.random_range(0..25) == 0;
+    let is_long_running = random.random_range(0..25) == 0;
     let payload = format!(
         "{} {:08x}",
-        if is_lasting {
+        if is_long_running {
             LONG_RUNNING_PAYLOAD
         } else {
             "batch"
         },
         random.random::<u32>()
     );
-    let count = if is_lasting {
+    let step_count = if is_long_running {
         1
     } else {
         random.random_range(1..4)
     };
-    let steps = (0..count).map(|step| StepSpec {
+    let steps = (0..step_count).map(|step| StepSpec {
         count: random.random_range(1..5),
         room: Resources {
             cpu_millis: random.random_range(200..1_500),
@@ -301,8 +309,8 @@
         } else {
             vec![step - 1]
         },
-        long_running: is_lasting,
-        max_unavailable: u16::from(is_lasting),
+        long_running: is_long_running,
+        max_unavailable: u16::from(is_long_running),
         ..StepSpec::default()
     });
     JobSpec {
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        accounts::{AccountPlace, highest_quota},
+        accounts::{AccountIndex, highest_quota},
         lock,
     },
     compact_str::CompactString,
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct JobRecord {
     id: JobId,
-    account: AccountPlace,
+    account: AccountIndex,
     spec: JobSpec,
     pool: CompactString,
     max_attempts: u32,
@@ -92,7 +92,7 @@
     }
 
     /// Returns the CPU that the tasks of an account use, in thousandths of a core.
-    fn running_cpu_millis(&self, account: AccountPlace) -> u64 {
+    fn running_cpu_millis(&self, account: AccountIndex) -> u64 {
         let jobs = self.jobs.iter().filter(|job| job.account == account);
         let tasks =
             jobs.flat_map(|job| job.tasks.iter().map(move |(task, seen)| (job, task, seen)));
@@ -136,14 +136,14 @@
     /// Id of the job.
     pub job: JobId,
     /// Account that submitted it.
-    pub account: AccountPlace,
+    pub account: AccountIndex,
     /// Pool in which it runs.
     pub pool: CompactString,
     /// Whether its tasks run until they are stopped.
     pub is_long_running: bool,
 }
 
-/// State what callers and endpoints observe, and the invariants that it violates.
+/// Records what callers and endpoints observe, and the invariants that it violates.
 #[derive(Debug)]
 pub struct Checker {
     state: Mutex<State>,
@@ -189,7 +189,7 @@
         lock(&self.state).are_quotas_lifted = true;
     }
 
-    /// State a violation.
+    /// Records a violation.
     pub fn record_violation(&self, text: &str) {
         let text = self.timestamped(text);
         lock(&self.state).record_violation(text);
@@ -199,11 +199,11 @@
         format!("{:8.3} s  {text}", self.started_at.elapsed().as_secs_f64())
     }
 
-    /// State a job before it is submitted.
+    /// Records a job before it is submitted.
     pub fn record_submission(
         &self,
         id: JobId,
-        account: AccountPlace,
+        account: AccountIndex,
         spec: &JobSpec,
         pool: &str,
         max_attempts: u32,
@@ -238,28 +238,28 @@
         }
     }
 
-    /// State that a job was accepted.
+    /// Records that a job was accepted.
     pub fn record_acceptance(&self, id: JobId) {
         if let Some(job) = lock(&self.state).job(id) {
             job.outcome.is_accepted = true;
         }
     }
 
-    /// State that the outcome of a submission is unknown.
+    /// Records that the outcome of a submission is unknown.
     pub fn record_unknown_outcome(&self, id: JobId) {
         if let Some(job) = lock(&self.state).job(id) {
             job.outcome.is_unknown = true;
         }
     }
 
-    /// State that a cancellation is about to be requested.
+    /// Records that a cancellation is about to be requested.
     pub fn record_cancel_request(&self, id: JobId) {
         if let Some(job) = lock(&self.state).job(id) {
             job.is_cancel_requested = true;
         }
     }
 
-    /// State that a cancellation was acknowledged.
+    /// Records that a cancellation was acknowledged.
     pub fn record_cancellation(&self, id: JobId) {
         if let Some(job) = lock(&self.state).job(id) {
             job.cancelled_at.get_or_insert_with(Instant::now);
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Everything around the nodes of one run, and how faults reach it.
+//! The nodes of one run and the stand-ins around them, with the injection of faults.
 
 use {
     crate::{
@@ -28,46 +28,46 @@
     tokio::time::sleep,
 };
 
-/// Room of every endpoint, in thousandths of a core.
-pub const CPU_MILLIS: u64 = 6_000;
+/// CPU capacity of every endpoint, in thousandths of a core.
+pub const ENDPOINT_CPU_MILLIS: u64 = 6_000;
 
-/// VMs of a wave that may be down at once.
-pub const MAX_DOWN: usize = 2;
+/// Maximum number of VMs of a wave that may be down at the same time.
+pub const MAX_VMS_DOWN: usize = 2;
 
-/// Pools; the VMs of the last one are switched off.
+/// Names of the pools; the VMs of the last one are switched off.
 const POOLS: [&str; 3] = ["alpha", "beta", "spare"];
 
-/// VMs of each pool at the start.
+/// Number of VMs in each pool at the start.
 const VMS_PER_POOL: usize = 3;
 
-/// Time in which a wave's maintenance has to be done, in seconds.
-const WAVE_S: u64 = 8;
+/// Time within which the maintenance of a wave has to be done, in seconds.
+const WAVE_DURATION_S: u64 = 8;
 
-/// Ports of every node, each on an address of its own: callers, asks whether it is ready, peers.
+/// Ports of every node for callers, readiness checks and peers; each node has its own address.
 const PORTS: (u16, u16, u16) = (7_801, 7_802, 7_803);
 
-/// Share of a processor with which an owner calls two endpoints itself, and another node four.
-const SMALL_CPU_SHARE: f64 = 0.012;
+/// Share of a processor with which an owner can call two endpoints, and a delegate four.
+const SMALL_NODE_CPU_SHARE: f64 = 0.012;
 
-/// Longest time for a node to stop when it is told to, in milliseconds: its grace and a little.
-pub const GRACE_MS: u64 = 7_000;
+/// Maximum time for a node to exit after SIGTERM, in milliseconds: a little over its grace period.
+pub const SHUTDOWN_MS: u64 = 7_000;
 
-/// What surrounds the nodes.
-pub struct World {
+/// Nodes, stand-ins of the platform and the proxies between them.
+pub struct Cluster {
     pub store: StoreStandIn,
     pub endpoints: Vec<EndpointStandIn>,
     pub nodes: Vec<NodeProcess>,
-    /// Where callers reach the nodes.
+    /// Addresses of the proxies through which callers reach the nodes.
     pub caller_addresses: Vec<SocketAddr>,
     store_links: Vec<Proxy>,
     caller_links: Vec<Proxy>,
     endpoint_links: Vec<Proxy>,
-    version: AtomicU64,
+    config_version: AtomicU64,
     accounts: Arc<Accounts>,
-    waves: AtomicU64,
+    last_wave: AtomicU64,
 }
 
-/// Returns an address of the loopback network for a node that no other run on this machine has.
+/// Returns a loopback address for a node that differs from those of other runs on this machine.
 fn node_ip(run: u32, node: usize) -> IpAddr {
     let id = process::id();
     let octet = |value: u32| u8::try_from(value % 250).unwrap_or_default();
@@ -79,17 +79,17 @@
     ))
 }
 
-/// Returns the share of a processor that a node is told to have.
+/// Returns the share of a processor in the settings of a node.
 fn cpu_share(plan: &SoakPlan, number: usize) -> f64 {
     match number {
-        _ if plan.are_nodes_small => SMALL_CPU_SHARE,
-        // So that others ask it to yield.
+        _ if plan.has_small_nodes => SMALL_NODE_CPU_SHARE,
+        // Small enough that larger nodes replace it as the owner.
         0 => 0.1,
         _ => 0.5,
     }
 }
 
-/// Returns the queues of every run.
+/// Returns the queues, which are the same in every run.
 pub fn queues() -> Vec<QueueSpec> {
     POOLS[..2]
         .iter()
@@ -102,8 +102,8 @@
         .collect()
 }
 
-impl World {
-    /// Starts stand-ins, proxies and nodes, and puts the first configuration in force.
+impl Cluster {
+    /// Starts stand-ins, proxies and nodes with the first configuration.
     pub async fn start(plan: &SoakPlan, checker: &Arc<Checker>) -> io::Result<Self> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
@@ -118,7 +118,7 @@
             let spec = EndpointSpec {
                 vm: format!("vm{number}").into(),
                 pool: POOLS[number / VMS_PER_POOL].into(),
-                cpu_millis: CPU_MILLIS,
+                cpu_millis: ENDPOINT_CPU_MILLIS,
             };
             let endpoint =
                 EndpointStandIn::start(spec, store.clone(), Arc::clone(&observer)).await?;
@@ -129,7 +129,7 @@
             endpoint_links.push(link);
         }
         let vms = VmServiceStandIn::start(&endpoints, observer).await?;
-        let mut world = Self {
+        let mut cluster = Self {
             store,
             endpoints,
             nodes: Vec::new(),
@@ -137,19 +137,19 @@
             store_links: Vec::new(),
             caller_links: Vec::new(),
             endpoint_links,
-            version: AtomicU64::new(0),
+            config_version: AtomicU64::new(0),
             accounts: Arc::default(),
-            waves: AtomicU64::new(0),
+            last_wave: AtomicU64::new(0),
         };
-        world.configure(&world.accounts.next_round());
+        cluster.apply_config(&cluster.accounts.next_round());
         for number in 0..plan.nodes {
             let ip = node_ip(run, number);
-            world.add_node(plan, number, ip, vms.address()).await?;
+            cluster.add_node(plan, number, ip, vms.address()).await?;
         }
-        Ok(world)
+        Ok(cluster)
     }
 
-    /// Returns the accounts of the configurations.
+    /// Returns the generator of the accounts.
     pub fn accounts(&self) -> Arc<Accounts> {
         Arc::clone(&self.accounts)
     }
@@ -170,7 +170,7 @@
             vms,
             cpu_share: cpu_share(plan, number),
         };
-        let node = NodeProcess::new(&plan.program, &plan.folder, &settings)?;
+        let node = NodeProcess::new(&plan.program, &plan.directory, &settings)?;
         node.start()?;
         let caller_link = Proxy::start(SocketAddr::new(ip, PORTS.0)).await?;
         self.caller_addresses.push(caller_link.address());
@@ -180,42 +180,42 @@
         Ok(())
     }
 
-    /// Puts a configuration with these accounts in force.
-    fn configure(&self, accounts: &[AccountSpec]) {
-        let version = self.version.fetch_add(3, Ordering::Relaxed) + 3;
-        put_config(&self.store, version, &queues(), &POOLS, accounts);
+    /// Writes a configuration with `accounts` to the store.
+    fn apply_config(&self, accounts: &[AccountSpec]) {
+        let config_version = self.config_version.fetch_add(3, Ordering::Relaxed) + 3;
+        put_config(&self.store, config_version, &queues(), &POOLS, accounts);
     }
 
-    /// Orders maintenance of every other VM.
-    fn maintain(&self) {
-        let wave = self.waves.fetch_add(1, Ordering::Relaxed) + 1;
+    /// Orders maintenance of every second VM.
+    fn order_maintenance(&self) {
+        let wave = self.last_wave.fetch_add(1, Ordering::Relaxed) + 1;
         let vms: Vec<&str> = self
             .endpoints
             .iter()
             .step_by(2)
             .map(|endpoint| endpoint.spec().vm.as_str())
             .collect();
-        put_wave(&self.store, wave, &vms, WAVE_S, MAX_DOWN);
+        put_wave(&self.store, wave, &vms, WAVE_DURATION_S, MAX_VMS_DOWN);
     }
 
-    fn link(&self, place: LinkId) -> &Proxy {
-        match place {
+    fn link(&self, id: LinkId) -> &Proxy {
+        match id {
             LinkId::Store(node) => &self.store_links[node],
             LinkId::Callers(node) => &self.caller_links[node],
             LinkId::Endpoint(endpoint) => &self.endpoint_links[endpoint],
         }
     }
 
-    /// Lets one fault happen, and ends it.
-    pub async fn suffer(&self, planned: PlannedFault) {
+    /// Starts a fault at its time and ends it after its duration.
+    pub async fn inject(&self, planned: PlannedFault) {
         sleep(Duration::from_millis(planned.start_ms)).await;
-        self.begin(planned.fault);
+        self.start_fault(planned.fault);
         sleep(Duration::from_millis(planned.duration_ms)).await;
-        self.end(planned.fault).await;
+        self.end_fault(planned.fault).await;
     }
 
-    /// Lets a fault begin.
-    pub fn begin(&self, fault: Fault) {
+    /// Starts a fault.
+    pub fn start_fault(&self, fault: Fault) {
         match fault {
             Fault::KillNode(node) => self.nodes[node].signal(Signal::SIGKILL),
             Fault::KillAll => self.nodes.iter().for_each(|n| n.signal(Signal::SIGKILL)),
@@ -226,27 +226,27 @@
             Fault::TrimTopics => {
                 trim_operator_topics(&self.store);
             }
-            Fault::Link(place, fault) => self.link(place).set_fault(fault),
+            Fault::Link(id, fault) => self.link(id).set_fault(fault),
             Fault::Endpoint(endpoint, fault) => self.endpoints[endpoint].set_fault(fault),
             Fault::EndIncarnation(endpoint) => self.endpoints[endpoint].end_incarnation(),
             Fault::Drain(endpoint) => self.endpoints[endpoint].drain(),
-            Fault::ChangeConfig => self.configure(&self.accounts.next_round()),
-            Fault::OrderMaintenance => self.maintain(),
+            Fault::ChangeConfig => self.apply_config(&self.accounts.next_round()),
+            Fault::OrderMaintenance => self.order_maintenance(),
         }
     }
 
     /// Ends a fault.
-    pub async fn end(&self, fault: Fault) {
+    pub async fn end_fault(&self, fault: Fault) {
         match fault {
             Fault::KillNode(node) => self.restart(node),
             Fault::KillAll => (0..self.nodes.len()).for_each(|node| self.restart(node)),
             Fault::PauseNode(node) => self.nodes[node].signal(Signal::SIGCONT),
             Fault::StopNode(node) => {
-                sleep(Duration::from_millis(GRACE_MS)).await;
+                sleep(Duration::from_millis(SHUTDOWN_MS)).await;
                 self.restart(node);
             }
             Fault::Store(_) => self.store.set_fault(StoreFault::None),
-            Fault::Link(place, _) => self.link(place).set_fault(LinkFault::None),
+            Fault::Link(id, _) => self.link(id).set_fault(LinkFault::None),
             Fault::Endpoint(endpoint, _) => {
                 self.endpoints[endpoint].set_fault(EndpointFault::None);
             }
@@ -263,14 +263,14 @@
     }
 
     fn restart(&self, node: usize) {
-        // A node that cannot be started shows as a job that never ends.
+        // The final checks detect a node that does not start by jobs that do not end.
         if let Err(error) = self.nodes[node].start() {
-            eprintln!("node{node} does not start: {error}");
+            eprintln!("cannot start node{node}: {error}");
         }
     }
 
-    /// Ends every trouble and starts what is down.
-    pub fn heal(&self) {
+    /// Ends all faults and starts every node and endpoint that is down.
+    pub fn end_all_faults(&self) {
         self.store.set_fault(StoreFault::None);
         let links = [&self.store_links, &self.caller_links, &self.endpoint_links];
         for link in links.into_iter().flatten() {
@@ -284,6 +284,6 @@
             self.nodes[number].signal(Signal::SIGCONT);
             self.restart(number);
         }
-        self.configure(&self.accounts.last_round());
+        self.apply_config(&self.accounts.last_round());
     }
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of one run, drawn from its seed.
+//! Random faults of a run, determined by its seed.
 
 use {
     crate::proxy::LinkFault,
@@ -8,16 +8,16 @@
 };
 
 /// Time before the first fault, in milliseconds.
-const FIRST_MS: u64 = 300;
+const FIRST_FAULT_MS: u64 = 300;
 
-/// Pause between the beginnings of two faults, in milliseconds; they last longer, and overlap.
+/// Time between the starts of two faults, in milliseconds; most last longer, so that they overlap.
 const PAUSES_MS: std::ops::Range<u64> = 100..900;
 
-/// How long a fault lasts, in milliseconds: from less than a heartbeat to beyond the time after
-/// which a successor takes over.
-const LENGTHS_MS: std::ops::Range<u64> = 150..3_500;
+/// Duration of a fault, in milliseconds: from less than a heartbeat to longer than the time after
+/// which another node takes over.
+const DURATIONS_MS: std::ops::Range<u64> = 150..3_500;
 
-/// Which link is disturbed.
+/// Identifies a link that a proxy can disturb.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkId {
     /// Between a node and the store.
@@ -28,58 +28,63 @@
     Endpoint(usize),
 }
 
-/// One fault.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// A node is killed, and started again at the end.
+    /// Kills a node, and restarts it at the end.
     KillNode(usize),
-    /// Every node is killed; all are started again at the end.
+    /// Kills every node, and restarts them at the end.
     KillAll,
-    /// A node stands still.
+    /// Pauses a node.
     PauseNode(usize),
-    /// A node is told to stop, and started again when it has.
+    /// Stops a node with SIGTERM, and restarts it after it has exited.
     StopNode(usize),
-    /// A node is told that its settings have changed.
+    /// Makes a node reload its settings by SIGHUP.
     ReloadSettings(usize),
-    /// The store misbehaves.
+    /// Makes the store misbehave.
     Store(StoreFault),
-    /// The store drops the history of what operators and endpoints write.
+    /// Trims the topics of operators and endpoints to the latest record of each key.
     TrimTopics,
-    /// A link is disturbed.
+    /// Disturbs a link.
     Link(LinkId, LinkFault),
-    /// An endpoint misbehaves.
+    /// Makes an endpoint misbehave.
     Endpoint(usize, EndpointFault),
-    /// An endpoint's life ends; another begins at the end.
+    /// Ends the incarnation of an endpoint, and starts the next one at the end.
     EndIncarnation(usize),
-    /// An endpoint says that it leaves, and does so at the end.
+    /// Drains an endpoint, and restarts it with a new incarnation at the end.
     Drain(usize),
-    /// A new configuration.
+    /// Writes a new configuration.
     ChangeConfig,
-    /// Maintenance is ordered for half of the VMs.
+    /// Orders maintenance of half of the VMs.
     OrderMaintenance,
 }
 
-/// A fault with its times.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins, in milliseconds since the traffic's start.
+    /// Time of the start, in milliseconds since the start of the traffic.
     pub start_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration, in milliseconds.
     pub duration_ms: u64,
-    /// What happens.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// Draws the faults of a run.
+/// Returns the faults of a run, in the order of their starts.
 #[must_use]
-pub fn plan_faults(seed: u64, length_ms: u64, nodes: usize, endpoints: usize) -> Vec<PlannedFault> {
+pub fn plan_faults(
+    seed: u64,
+    traffic_ms: u64,
+    nodes: usize,
+    endpoints: usize,
+) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut planned = Vec::new();
-    let mut start_ms = FIRST_MS;
-    while start_ms < length_ms {
+    let mut start_ms = FIRST_FAULT_MS;
+    while start_ms < traffic_ms {
         planned.push(PlannedFault {
             start_ms,
-            duration_ms: random.random_range(LENGTHS_MS),
+            duration_ms: random.random_range(DURATIONS_MS),
             fault: draw_fault(&mut random, nodes, endpoints),
         });
         start_ms += random.random_range(PAUSES_MS);
--- a/crates/soak/src/key_propagation.rs
+++ b/crates/soak/src/key_propagation.rs
@@ -1,89 +1,104 @@
-//! Which keys count at nodes that the store turns away while the configuration changes.
+//! Checks which API keys nodes accept that cannot reach the store while the configuration changes.
 
 use {
     crate::{
         callers::Callers,
         faults::{Fault, LinkId},
+        harness::{Harness, STARTUP_MS},
         proxy::LinkFault,
         run::SoakPlan,
-        scene::{SETTLE_MS, Scene},
     },
     http::StatusCode,
     std::{fs, io, time::Duration},
     tokio::time::{Instant, sleep},
 };
 
-/// Time within which a node that others reach knows the newest keys, in milliseconds.
-const APPLY_MS: u64 = 3_000;
+/// Time within which a node has to learn the latest keys from other nodes, in milliseconds.
+const PROPAGATION_MS: u64 = 3_000;
 
-/// Pause between two looks, in milliseconds.
-const LOOK_MS: u64 = 100;
+/// Pause between two requests, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 100;
 
-/// Cuts each node in turn off the store, takes every key away that it knows, and returns how many nodes
-/// know the newest key and serve no old one three seconds later. The owner among them loses the fleet with
-/// the store, and may refuse what it cannot pass on.
+/// Returns how many nodes follow a change of the API keys without the store.
+///
+/// Each node in turn is disconnected from the store while all keys that it knows are replaced. It
+/// has to know the latest key and to reject the old one within `PROPAGATION_MS`. An isolated owner
+/// loses ownership with the store, and may reject requests that it cannot forward.
 ///
 /// # Errors
 ///
-/// Fails when stand-ins or nodes cannot be started.
+/// Returns an error if a stand-in or a node cannot be started.
 pub async fn count_nodes_with_latest_keys(plan: &SoakPlan) -> io::Result<usize> {
-    let scene = Scene::start(plan).await?;
-    let accounts = scene.world.accounts();
-    let mut current = 0;
-    for cut in 0..plan.nodes {
+    let harness = Harness::start(plan).await?;
+    let accounts = harness.cluster.accounts();
+    let mut up_to_date = 0;
+    for isolated in 0..plan.nodes {
         let old_key = accounts.key(0);
-        // Nodes know of each other by the requests that they pass on.
+        // Nodes learn of each other by the requests that they forward.
         for node in 0..plan.nodes {
-            scene.callers.count_at(node, &old_key).await;
+            harness.callers.query_count_at(node, &old_key).await;
         }
-        let place = LinkId::Store(cut);
-        scene.world.begin(Fault::Link(place, LinkFault::Reset));
-        // A key is in two configurations, so that the second takes it away.
-        scene.world.begin(Fault::ChangeConfig);
-        scene.world.begin(Fault::ChangeConfig);
+        let link = LinkId::Store(isolated);
+        harness
+            .cluster
+            .start_fault(Fault::Link(link, LinkFault::Reset));
+        // Each key is in two consecutive configurations, so only the second change removes it.
+        harness.cluster.start_fault(Fault::ChangeConfig);
+        harness.cluster.start_fault(Fault::ChangeConfig);
         let new_key = accounts.key(0);
-        let mut looks = [(new_key, Look::Known), (old_key, Look::Refused)];
-        // What is asked first has to bring the configuration by itself.
-        if cut % 2 == 1 {
-            looks.reverse();
+        let mut expectations = [
+            (new_key, Expectation::KeyKnown),
+            (old_key, Expectation::NotServed),
+        ];
+        // Alternates the order, because the first request has to trigger the update.
+        if isolated % 2 == 1 {
+            expectations.reverse();
         }
-        let mut is_current = true;
-        for (key, look) in looks {
-            is_current &= is_seen(&scene.callers, cut, &key, look).await;
+        let mut is_up_to_date = true;
+        for (key, expected) in expectations {
+            is_up_to_date &= meets_expectation(&harness.callers, isolated, &key, expected).await;
         }
-        current += usize::from(is_current);
-        scene.world.end(Fault::Link(place, LinkFault::None)).await;
-        sleep(Duration::from_millis(SETTLE_MS)).await;
+        up_to_date += usize::from(is_up_to_date);
+        harness
+            .cluster
+            .end_fault(Fault::Link(link, LinkFault::None))
+            .await;
+        sleep(Duration::from_millis(STARTUP_MS)).await;
     }
-    drop(scene);
-    if current == plan.nodes {
-        fs::remove_dir_all(&plan.folder)?;
+    drop(harness);
+    if up_to_date == plan.nodes {
+        fs::remove_dir_all(&plan.directory)?;
     }
-    Ok(current)
+    Ok(up_to_date)
 }
 
-/// What is looked for in a node's answer.
+/// Expected response of a node.
 #[derive(Clone, Copy, Debug)]
-enum Look {
-    /// The key is known.
-    Known,
-    /// The request is not served.
-    Refused,
+enum Expectation {
+    /// The node knows the key.
+    KeyKnown,
+    /// The node does not serve the request.
+    NotServed,
 }
 
-/// Asks a node with a key until its answer is as looked for; tells whether it was in time.
-async fn is_seen(callers: &Callers, node: usize, key: &str, look: Look) -> bool {
-    let until = Instant::now() + Duration::from_millis(APPLY_MS);
+/// Sends requests with a key until the response is as expected; returns whether it is in time.
+async fn meets_expectation(
+    callers: &Callers,
+    node: usize,
+    key: &str,
+    expected: Expectation,
+) -> bool {
+    let until = Instant::now() + Duration::from_millis(PROPAGATION_MS);
     while Instant::now() < until {
-        let status = callers.count_at(node, key).await;
-        let is_seen = status.is_some_and(|status| match look {
-            Look::Known => status != StatusCode::UNAUTHORIZED,
-            Look::Refused => !status.is_success(),
+        let status = callers.query_count_at(node, key).await;
+        let is_as_expected = status.is_some_and(|status| match expected {
+            Expectation::KeyKnown => status != StatusCode::UNAUTHORIZED,
+            Expectation::NotServed => !status.is_success(),
         });
-        if is_seen {
+        if is_as_expected {
             return true;
         }
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
     false
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Randomized soak of the real program.
+//! Randomized soak test of the `lynxwheel` program.
 //!
-//! Nodes run as processes of their own, against stand-ins of the platform in this process. Faults
-//! come from outside: signals, proxies between nodes and what they talk to, a store and endpoints
-//! that misbehave, all drawn from a seed and overlapping. What callers and endpoints see is checked
-//! while it happens; afterwards everything is healed, and what was accepted has to come to its end.
+//! Nodes run as separate processes against stand-ins of the platform in this process. A seed
+//! determines overlapping faults: signals to nodes, proxies that disturb connections, and a store
+//! and endpoints that misbehave. Invariants are checked on what callers and endpoints observe
+//! during the run. Afterwards all faults are removed, and every accepted job has to end.
 //!
 //! ```
 //! use lynxwheel_soak::plan_faults;
@@ -14,15 +14,15 @@
 mod accounts;
 mod callers;
 mod checker;
+mod cluster;
 mod faults;
+mod harness;
 mod key_propagation;
 mod nodes;
 mod proxy;
 mod run;
-mod scene;
 mod seeds;
 mod takeover;
-mod world;
 
 pub use {
     checker::Checker,
@@ -31,12 +31,12 @@
     proxy::{LinkFault, Proxy},
     run::{SoakPlan, SoakReport, run_soak},
     seeds::run_seeds,
-    takeover::{OwnerLoss, measure_takeover},
+    takeover::{OwnerFailure, measure_takeover},
 };
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks what tasks of one process share; a panic elsewhere changes nothing here.
+/// Locks a mutex, also after a task panicked while holding it.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes.
+//! Nodes that run as processes.
 
 use {
     crate::lock,
@@ -16,47 +16,47 @@
     },
 };
 
-/// A node's process, and what is needed to start it again.
+/// A node's process, with what is needed to restart it.
 #[derive(Debug)]
 pub struct NodeProcess {
     program: PathBuf,
     settings_file: PathBuf,
     log_file: PathBuf,
-    child: Mutex<Option<Child>>,
+    process: Mutex<Option<Child>>,
 }
 
 impl NodeProcess {
-    /// Writes the settings of a node into `folder`, in which its log is kept too.
+    /// Writes the settings of a node to `directory`, which will also hold its log.
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be written.
-    pub fn new(program: &Path, folder: &Path, settings: &NodeSettings) -> io::Result<Self> {
-        let settings_file = folder.join(format!("{}.conf", settings.name));
+    /// Returns an error if the file cannot be written.
+    pub fn new(program: &Path, directory: &Path, settings: &NodeSettings) -> io::Result<Self> {
+        let settings_file = directory.join(format!("{}.conf", settings.name));
         fs::write(&settings_file, settings.text())?;
         Ok(Self {
             program: program.into(),
             settings_file,
-            log_file: folder.join(format!("{}.log", settings.name)),
-            child: Mutex::default(),
+            log_file: directory.join(format!("{}.log", settings.name)),
+            process: Mutex::default(),
         })
     }
 
-    /// Starts the process, unless it runs.
+    /// Starts the process unless it is running.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn start(&self) -> io::Result<()> {
-        let mut child = lock(&self.child);
-        let is_running = match child.as_mut() {
-            Some(child) => child.try_wait()?.is_none(),
+        let mut process = lock(&self.process);
+        let is_running = match process.as_mut() {
+            Some(process) => process.try_wait()?.is_none(),
             None => false,
         };
         if is_running {
             return Ok(());
         }
-        *child = Some(
+        *process = Some(
             Command::new(&self.program)
                 .arg("serve")
                 .arg("--settings")
@@ -76,32 +76,32 @@
             .open(&self.log_file)
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub fn signal(&self, signal: Signal) {
-        let mut child = lock(&self.child);
-        // Only a child that was not waited for still has its id.
-        if let Some(child) = child.as_mut()
-            && matches!(child.try_wait(), Ok(None))
-            && let Ok(id) = i32::try_from(child.id())
+        let mut process = lock(&self.process);
+        // The id of a process that was waited for may belong to another process.
+        if let Some(process) = process.as_mut()
+            && matches!(process.try_wait(), Ok(None))
+            && let Ok(id) = i32::try_from(process.id())
         {
-            // A process that has just ended needs no signal.
+            // The signal fails if the process has just exited.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Returns how the process ended, once it has.
-    pub fn ended(&self) -> Option<ExitStatus> {
-        let mut child = lock(&self.child);
-        child.as_mut()?.try_wait().ok().flatten()
+    /// Returns the exit status of the process, or `None` while it is running.
+    pub fn exit_status(&self) -> Option<ExitStatus> {
+        let mut process = lock(&self.process);
+        process.as_mut()?.try_wait().ok().flatten()
     }
 }
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        if let Some(child) = lock(&self.child).as_mut() {
-            // It may have ended by itself.
-            drop(child.kill());
-            drop(child.wait());
+        if let Some(process) = lock(&self.process).as_mut() {
+            // Killing fails if the process has already exited.
+            drop(process.kill());
+            drop(process.wait());
         }
     }
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on the loopback interface that can disturb what passes through it.
+//! A loopback TCP proxy with fault injection.
 
 use {
     std::{io, net::SocketAddr, time::Duration},
@@ -10,29 +10,29 @@
     },
 };
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1_024;
+/// Size of the copy buffer.
+const CHUNK_BYTES: usize = 16 * 1_024;
 
-/// What is wrong with a link.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Everything arrives this much later, in milliseconds.
+    /// Delays each chunk by this time, in milliseconds.
     Delayed(u64),
-    /// Connections are broken off, and new ones too.
+    /// Closes existing and new connections.
     Reset,
-    /// What is sent to the target vanishes; so does what is sent on connections from this time,
-    /// for as long as they live.
+    /// Drops the data sent to the target. A connection on which data was dropped keeps dropping it
+    /// after the fault has ended.
     DropToTarget,
-    /// What the target sends vanishes, as above.
+    /// Drops the data sent by the target, in the same way.
     DropFromTarget,
-    /// Nothing arrives either way, as above; new connections are accepted.
+    /// Drops the data in both directions, in the same way; new connections are accepted.
     DropBoth,
 }
 
-/// A proxy in front of one address.
+/// A TCP proxy for one target address.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -46,7 +46,7 @@
 }
 
 impl Direction {
-    fn is_cut_by(self, fault: LinkFault) -> bool {
+    fn is_dropped_by(self, fault: LinkFault) -> bool {
         match fault {
             LinkFault::DropBoth => true,
             LinkFault::DropToTarget => self == Self::Forward,
@@ -57,11 +57,11 @@
 }
 
 impl Proxy {
-    /// Starts a proxy in front of `target`.
+    /// Starts a proxy for `target`.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be bound.
+    /// Returns an error if no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -70,13 +70,13 @@
         Ok(Self { address, fault })
     }
 
-    /// Returns the address to connect to.
+    /// Returns the address of the proxy.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Puts the link in fault, or ends it.
+    /// Sets the fault of the link.
     pub fn set_fault(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
@@ -89,17 +89,21 @@
             continue;
         };
         if *fault.borrow() != LinkFault::Reset {
-            tokio::spawn(pass(stream, target, fault.clone()));
+            tokio::spawn(forward_connection(stream, target, fault.clone()));
         }
     }
 }
 
-/// Passes a connection on until one end closes it or it is reset.
-async fn pass(stream: TcpStream, target: SocketAddr, mut fault: watch::Receiver<LinkFault>) {
+/// Forwards a connection until one end closes it or it is reset.
+async fn forward_connection(
+    stream: TcpStream,
+    target: SocketAddr,
+    mut fault: watch::Receiver<LinkFault>,
+) {
     let Ok(other) = TcpStream::connect(target).await else {
         return;
     };
-    // Both ends matter for small messages.
+    // Avoids delays of small messages; an error changes only the timing.
     drop((stream.set_nodelay(true), other.set_nodelay(true)));
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = other.into_split();
@@ -108,7 +112,7 @@
     tokio::select! {
         () = forward => {}
         () = back => {}
-        // Ends with the proxy, too.
+        // Also ends when the proxy is dropped.
         _ = fault.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
@@ -119,22 +123,22 @@
     direction: Direction,
     fault: watch::Receiver<LinkFault>,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    let mut is_cut = false;
+    let mut chunk = vec![0; CHUNK_BYTES];
+    let mut is_dropping = false;
     loop {
         let Ok(length) = from.read(&mut chunk).await else {
             return;
         };
         let now = *fault.borrow();
-        is_cut |= direction.is_cut_by(now);
+        is_dropping |= direction.is_dropped_by(now);
         if length == 0 {
-            if is_cut {
-                // The other end never learns of it.
+            if is_dropping {
+                // Keeps the other end open, as a network that drops packets does.
                 std::future::pending::<()>().await;
             }
             return;
         }
-        if is_cut {
+        if is_dropping {
             continue;
         }
         if let LinkFault::Delayed(ms) = now {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,12 +1,12 @@
-//! One run: traffic and faults, healing, and the report.
+//! Runs one seed: traffic with faults, recovery, and the final checks.
 
 use {
     crate::{
         callers::Callers,
         checker::{Checker, ExpectedJob},
+        cluster::{Cluster, SHUTDOWN_MS},
         faults::plan_faults,
-        scene::{SETTLE_MS, Scene},
-        world::{GRACE_MS, World},
+        harness::{Harness, STARTUP_MS},
     },
     lynxwheel_engine::JobId,
     nix::sys::signal::Signal,
@@ -23,47 +23,47 @@
     },
 };
 
-/// Time after the healing in which everything that was accepted has to come to its end, in
-/// milliseconds: the longest silence, leases that run out, and the work itself, several times over.
-const CALM_MS: u64 = 40_000;
+/// Time after the end of all faults within which every accepted job has to end, in milliseconds:
+/// several times what the detection of silent nodes, the expiry of leases and the jobs take.
+const RECOVERY_MS: u64 = 40_000;
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The real program.
+    /// Path of the `lynxwheel` program.
     pub program: PathBuf,
-    /// Seed of faults and traffic.
+    /// Seed of the faults and the traffic.
     pub seed: u64,
-    /// Length of traffic and faults, in milliseconds.
-    pub length_ms: u64,
-    /// Nodes.
+    /// Duration of the traffic and the faults, in milliseconds.
+    pub traffic_ms: u64,
+    /// Number of nodes.
     pub nodes: usize,
-    /// Whether each node calls so few endpoints that the owner needs the others.
-    pub are_nodes_small: bool,
-    /// Folder for settings and logs of the nodes; kept when a promise is broken.
-    pub folder: PathBuf,
+    /// Whether each node can call so few endpoints that the owner depends on delegates.
+    pub has_small_nodes: bool,
+    /// Directory for settings and logs of the nodes, kept when an invariant is violated.
+    pub directory: PathBuf,
 }
 
 impl SoakPlan {
-    /// Plans a run of a seed with a folder of its own.
+    /// Creates the parameters for a seed, with a directory of its own.
     #[must_use]
-    pub fn new(program: &Path, seed: u64, length_ms: u64, nodes: usize) -> Self {
+    pub fn new(program: &Path, seed: u64, traffic_ms: u64, nodes: usize) -> Self {
         let name = format!("lynxwheel-soak-{}-{seed}", process::id());
         Self {
             program: program.into(),
             seed,
-            length_ms,
+            traffic_ms,
             nodes,
-            are_nodes_small: false,
-            folder: std::env::temp_dir().join(name),
+            has_small_nodes: false,
+            directory: std::env::temp_dir().join(name),
         }
     }
 
-    /// Lets every node be so small that the owner needs the others to call its endpoints.
+    /// Sets whether each node can call so few endpoints that the owner depends on delegates.
     #[must_use]
-    pub fn with_small_nodes(self, are_nodes_small: bool) -> Self {
+    pub fn with_small_nodes(self, has_small_nodes: bool) -> Self {
         Self {
-            are_nodes_small,
+            has_small_nodes,
             ..self
         }
     }
@@ -82,32 +82,37 @@
     pub fault_count: usize,
 }
 
-/// Runs a seed.
+/// Runs one seed.
 ///
 /// # Errors
 ///
-/// Fails when stand-ins or nodes cannot be started.
+/// Returns an error if a stand-in or a node cannot be started.
 pub async fn run_soak(plan: &SoakPlan) -> io::Result<SoakReport> {
-    let scene = Scene::start(plan).await?;
+    let harness = Harness::start(plan).await?;
     let mut tasks = JoinSet::new();
-    scene.call(plan.seed, plan.length_ms, &mut tasks);
-    let Scene {
+    harness.start_callers(plan.seed, plan.traffic_ms, &mut tasks);
+    let Harness {
         checker,
-        world,
+        cluster,
         callers,
-    } = scene;
-    let faults = plan_faults(plan.seed, plan.length_ms, plan.nodes, world.endpoints.len());
+    } = harness;
+    let faults = plan_faults(
+        plan.seed,
+        plan.traffic_ms,
+        plan.nodes,
+        cluster.endpoints.len(),
+    );
     let fault_count = faults.len();
     for planned in faults {
-        let world = Arc::clone(&world);
-        tasks.spawn(async move { world.suffer(planned).await });
+        let cluster = Arc::clone(&cluster);
+        tasks.spawn(async move { cluster.inject(planned).await });
     }
     while tasks.join_next().await.is_some() {}
     checker.lift_quotas();
-    world.heal();
-    sleep(Duration::from_millis(SETTLE_MS)).await;
-    check_calm(&callers, &checker).await;
-    check_stop(&world, &checker).await;
+    cluster.end_all_faults();
+    sleep(Duration::from_millis(STARTUP_MS)).await;
+    check_recovery(&callers, &checker).await;
+    check_shutdown(&cluster, &checker).await;
     checker.check_rejected_jobs();
     if checker.expected_jobs().is_empty() {
         checker.record_violation("no job was accepted");
@@ -118,30 +123,31 @@
         started_runs: checker.started_runs(),
         fault_count,
     };
-    drop(world);
+    drop(cluster);
     if report.violations.is_empty() {
-        fs::remove_dir_all(&plan.folder)?;
+        fs::remove_dir_all(&plan.directory)?;
     }
     Ok(report)
 }
 
-/// Checks that what was accepted comes to its end, and that lasting tasks are all at work.
-async fn check_calm(callers: &Callers, checker: &Arc<Checker>) {
-    let until = Instant::now() + Duration::from_millis(CALM_MS);
+/// Checks that every accepted job ends, and that all tasks of long-running jobs run.
+async fn check_recovery(callers: &Callers, checker: &Arc<Checker>) {
+    let until = Instant::now() + Duration::from_millis(RECOVERY_MS);
     let mut checks = JoinSet::new();
     for expected in checker.expected_jobs() {
         let ExpectedJob { job, account, .. } = expected;
         let callers = callers.clone();
         let checker = Arc::clone(checker);
         checks.spawn(async move {
-            let is_well = if expected.is_long_running {
-                are_at_work(&checker, job, until).await
+            let has_recovered = if expected.is_long_running {
+                await_running_tasks(&checker, job, until).await
             } else {
-                callers.settles(job, account, &expected.pool, until).await
+                callers.await_end(job, account, &expected.pool, until).await
             };
-            if !is_well {
-                let (live, all) = checker.count_running_tasks(job);
-                let text = format!("{job}: accepted, and {live} of {all} tasks run at the end");
+            if !has_recovered {
+                let (running, all) = checker.count_running_tasks(job);
+                let text =
+                    format!("{job}: accepted but not ended; {running} of {all} tasks are running");
                 checker.record_violation(&text);
             }
         });
@@ -149,10 +155,11 @@
     while checks.join_next().await.is_some() {}
 }
 
-async fn are_at_work(checker: &Checker, job: JobId, until: Instant) -> bool {
+/// Waits until all tasks of a job run; returns whether they do before the deadline.
+async fn await_running_tasks(checker: &Checker, job: JobId, until: Instant) -> bool {
     while Instant::now() < until {
-        let (live, all) = checker.count_running_tasks(job);
-        if live == all {
+        let (running, all) = checker.count_running_tasks(job);
+        if running == all {
             return true;
         }
         sleep(Duration::from_millis(100)).await;
@@ -160,20 +167,22 @@
     false
 }
 
-/// Checks that every node stops in time when it is told to.
-async fn check_stop(world: &World, checker: &Checker) {
-    for node in &world.nodes {
+/// Checks that every node exits successfully within its grace period after SIGTERM.
+async fn check_shutdown(cluster: &Cluster, checker: &Checker) {
+    for node in &cluster.nodes {
         node.signal(Signal::SIGTERM);
     }
-    let until = Instant::now() + Duration::from_millis(GRACE_MS);
-    for (number, node) in world.nodes.iter().enumerate() {
-        while node.ended().is_none() && Instant::now() < until {
+    let until = Instant::now() + Duration::from_millis(SHUTDOWN_MS);
+    for (number, node) in cluster.nodes.iter().enumerate() {
+        while node.exit_status().is_none() && Instant::now() < until {
             sleep(Duration::from_millis(50)).await;
         }
-        match node.ended() {
+        match node.exit_status() {
             Some(status) if status.success() => {}
             Some(status) => checker.record_violation(&format!("node{number} ended: {status}")),
-            None => checker.record_violation(&format!("node{number} did not stop in time")),
+            None => checker.record_violation(&format!(
+                "node{number} did not stop within its grace period"
+            )),
         }
     }
 }
--- a/crates/soak/src/takeover.rs
+++ b/crates/soak/src/takeover.rs
@@ -1,54 +1,60 @@
-//! How long no task starts when the owner is lost.
+//! Measures how long no task starts when the owner fails.
 
 use {
-    crate::{run::SoakPlan, scene::Scene},
+    crate::{harness::Harness, run::SoakPlan},
     nix::sys::signal::Signal,
     std::{fs, io, time::Duration},
     tokio::{task::JoinSet, time::sleep},
 };
 
-/// Time for which a node is lost, in milliseconds: beyond any silence that calls for a successor.
-const LOST_MS: u64 = 3_000;
+/// Duration of a node failure, in milliseconds; long enough for another node to take over.
+const OUTAGE_MS: u64 = 3_000;
 
-/// Time between two losses, in milliseconds: a larger node asks a small owner to yield meanwhile.
-const REST_MS: u64 = 2_000;
+/// Time between two failures, in milliseconds; lets a larger node replace a small owner.
+const RECOVERY_MS: u64 = 2_000;
 
-/// How a node is lost.
+/// How a node fails.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OwnerLoss {
-    /// Its process ends at once.
+pub enum OwnerFailure {
+    /// The process is killed.
     Kill,
-    /// It stands still, and its connections with it.
+    /// The process is paused and its connections stay open.
     Pause,
 }
 
-/// Loses each node in turn, and returns the longest time without a start: that of the owner.
+/// Makes each node fail in turn, and returns the longest time without a task start.
+///
+/// Only the failure of the owner delays starts.
 ///
 /// # Errors
 ///
-/// Fails when stand-ins or nodes cannot be started.
-pub async fn measure_takeover(plan: &SoakPlan, loss: OwnerLoss) -> io::Result<Duration> {
-    let scene = Scene::start(plan).await?;
+/// Returns an error if a stand-in or a node cannot be started.
+pub async fn measure_takeover(plan: &SoakPlan, failure: OwnerFailure) -> io::Result<Duration> {
+    let harness = Harness::start(plan).await?;
     let nodes = u64::try_from(plan.nodes).unwrap_or(u64::MAX);
     let mut tasks = JoinSet::new();
-    scene.call(plan.seed, (LOST_MS + REST_MS) * nodes + REST_MS, &mut tasks);
+    harness.start_callers(
+        plan.seed,
+        (OUTAGE_MS + RECOVERY_MS) * nodes + RECOVERY_MS,
+        &mut tasks,
+    );
     let mut longest = Duration::ZERO;
-    for node in &scene.world.nodes {
-        sleep(Duration::from_millis(REST_MS)).await;
-        // What came before the loss does not count.
-        let _ = scene.checker.take_longest_gap();
-        node.signal(match loss {
-            OwnerLoss::Kill => Signal::SIGKILL,
-            OwnerLoss::Pause => Signal::SIGSTOP,
+    for node in &harness.cluster.nodes {
+        sleep(Duration::from_millis(RECOVERY_MS)).await;
+        // Resets the gap to the time of the failure.
+        let _ = harness.checker.take_longest_gap();
+        node.signal(match failure {
+            OwnerFailure::Kill => Signal::SIGKILL,
+            OwnerFailure::Pause => Signal::SIGSTOP,
         });
-        sleep(Duration::from_millis(LOST_MS)).await;
-        longest = longest.max(scene.checker.take_longest_gap());
-        match loss {
-            OwnerLoss::Kill => node.start()?,
-            OwnerLoss::Pause => node.signal(Signal::SIGCONT),
+        sleep(Duration::from_millis(OUTAGE_MS)).await;
+        longest = longest.max(harness.checker.take_longest_gap());
+        match failure {
+            OwnerFailure::Kill => node.start()?,
+            OwnerFailure::Pause => node.signal(Signal::SIGCONT),
         }
     }
-    drop(scene);
-    fs::remove_dir_all(&plan.folder)?;
+    drop(harness);
+    fs::remove_dir_all(&plan.directory)?;
     Ok(longest)
 }
