--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -42,13 +42,14 @@
 mod job_table;
 mod leases;
 mod log_event;
+mod open_steps;
 mod order_rate;
 mod pacing;
 mod pools;
 mod quota;
-mod repeats;
 mod reports;
 mod restore;
+mod retries;
 mod schedule;
 mod spare_vms;
 mod state;
@@ -57,7 +58,6 @@
 mod timing;
 mod vm_cooldowns;
 mod vms;
-mod waiting;
 mod waves;
 
 pub use {
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -47,25 +47,25 @@
 }
 
 impl RemainingQuota {
-    fn startable_runs(&self, room: &Resources) -> u64 {
+    fn startable_runs(&self, resources: &Resources) -> u64 {
         let dimensions = [
-            (self.cpu_millis, room.cpu_millis),
-            (self.memory_mb, room.memory_mb),
-            (self.gpus, room.gpus),
+            (self.cpu_millis, resources.cpu_millis),
+            (self.memory_mb, resources.memory_mb),
+            (self.gpus, resources.gpus),
         ];
         dimensions
             .into_iter()
-            .filter_map(|(left, room)| left?.checked_div(room))
+            .filter_map(|(left, amount)| left?.checked_div(amount))
             .min()
             .unwrap_or(u64::MAX)
     }
 
-    fn take(&mut self, room: &Resources) {
+    fn take(&mut self, resources: &Resources) {
         let less =
-            |left: &mut Option<u64>, room| *left = left.map(|left| left.saturating_sub(room));
-        less(&mut self.cpu_millis, room.cpu_millis);
-        less(&mut self.memory_mb, room.memory_mb);
-        less(&mut self.gpus, room.gpus);
+            |left: &mut Option<u64>, amount| *left = left.map(|left| left.saturating_sub(amount));
+        less(&mut self.cpu_millis, resources.cpu_millis);
+        less(&mut self.memory_mb, resources.memory_mb);
+        less(&mut self.gpus, resources.gpus);
     }
 }
 
@@ -77,10 +77,10 @@
 
 impl RemainingQuotas {
     /// Takes runs of this room as far as the quota lets them start, at most `count`; returns how many.
-    pub fn take(&mut self, number: AccountNumber, room: &Resources, count: u64) -> u64 {
-        let left = &mut self.rows[place(number)];
-        let taken = left.startable_runs(room).min(count);
-        left.take(&room.scaled(taken));
+    pub fn take(&mut self, number: AccountNumber, resources: &Resources, count: u64) -> u64 {
+        let left = &mut self.rows[row_index(number)];
+        let taken = left.startable_runs(resources).min(count);
+        left.take(&resources.scaled(taken));
         taken
     }
 }
@@ -161,14 +161,14 @@
             return AccountNumber::default();
         }
         match self.search(name) {
-            Ok(place) => self.by_name[place],
-            Err(place) => {
+            Ok(index) => self.by_name[index],
+            Err(index) => {
                 let number = self.unused.pop().unwrap_or_else(|| {
                     self.rows.push(AccountUse::default());
                     AccountNumber(u32::try_from(self.rows.len() - 1).unwrap_or_default())
                 });
                 self.row_mut(number).name = name.into();
-                self.by_name.insert(place, number);
+                self.by_name.insert(index, number);
                 number
             }
         }
@@ -187,20 +187,20 @@
     }
 
     /// Counts a run from its decision on.
-    pub fn charge(&mut self, number: AccountNumber, room: &Resources) {
-        self.row_mut(number).running.add(room);
+    pub fn charge(&mut self, number: AccountNumber, resources: &Resources) {
+        self.row_mut(number).running.add(resources);
     }
 
     /// Counts a run no more, as its end is known.
-    pub fn release(&mut self, number: AccountNumber, room: &Resources) {
+    pub fn release(&mut self, number: AccountNumber, resources: &Resources) {
         let row = self.row_mut(number);
-        row.running = row.running.saturating_sub(room);
+        row.running = row.running.saturating_sub(resources);
     }
 
     /// Returns how many runs of this room the account may start now.
     #[must_use]
-    pub fn startable_runs(&self, number: AccountNumber, room: &Resources) -> u64 {
-        self.row(number).remaining().startable_runs(room)
+    pub fn startable_runs(&self, number: AccountNumber, resources: &Resources) -> u64 {
+        self.row(number).remaining().startable_runs(resources)
     }
 
     /// Returns what is left of every quota.
@@ -238,7 +238,7 @@
     ) -> Vec<(AccountNumber, f64)> {
         let mut claims: Vec<Claim> = self.rows.iter().map(AccountUse::claim).collect();
         for &(number, cpu_millis) in waiting {
-            claims[place(number)].wanted += millis(cpu_millis);
+            claims[row_index(number)].wanted += millis(cpu_millis);
         }
         let level = fair_level(&claims, millis(free_cpu_millis));
         (0..)
@@ -277,10 +277,10 @@
     /// Returns what the account with a name has running.
     #[must_use]
     pub fn running_resources(&self, name: &str) -> Resources {
-        let place = self.search(name);
-        place.map_or_else(
+        let index = self.search(name);
+        index.map_or_else(
             |_| Resources::default(),
-            |place| self.running(self.by_name[place]),
+            |index| self.running(self.by_name[index]),
         )
     }
 
@@ -299,19 +299,19 @@
         if number == AccountNumber::default() || !self.row(number).is_unused() {
             return;
         }
-        if let Ok(place) = self.search(&self.row(number).name) {
-            self.by_name.remove(place);
+        if let Ok(index) = self.search(&self.row(number).name) {
+            self.by_name.remove(index);
             *self.row_mut(number) = AccountUse::default();
             self.unused.push(number);
         }
     }
 
     fn row(&self, number: AccountNumber) -> &AccountUse {
-        &self.rows[place(number)]
+        &self.rows[row_index(number)]
     }
 
     fn row_mut(&mut self, number: AccountNumber) -> &mut AccountUse {
-        &mut self.rows[place(number)]
+        &mut self.rows[row_index(number)]
     }
 }
 
@@ -328,6 +328,6 @@
     cpu_millis as f64
 }
 
-fn place(number: AccountNumber) -> usize {
+fn row_index(number: AccountNumber) -> usize {
     usize::try_from(number.0).unwrap_or_default()
 }
--- a/crates/lynxwheel/src/embedded.rs
+++ b/crates/lynxwheel/src/embedded.rs
@@ -79,7 +79,7 @@
 
     /// Declares resources through the first node's API, in order.
     pub(crate) async fn declare(&self, resources: &[Resource]) -> Result<(), String> {
-        let operators = Client::new(self.daemons[0].operators(), 4);
+        let operators = Client::new(self.daemons[0].operator_address(), 4);
         for resource in resources {
             let body = serde_json::to_vec(resource).map_err(|error| error.to_string())?;
             let path = format!("/v1/{}/{}", resource.kind(), resource.name());
@@ -143,23 +143,23 @@
         .cloned()
         .partition(|peer| peer.node.as_str() == name);
     Config {
-        node: node_name(number),
+        node_name: node_name(number),
         zone: format!("zone-{number}"),
-        callers: any_port,
-        operators: any_port,
-        peers_listen: own.first().map_or(any_port, |own| own.address),
+        caller_address: any_port,
+        operator_address: any_port,
+        peer_listen_address: own.first().map_or(any_port, |own| own.address),
         access: lynxwheel_api::Access::default(),
-        platform,
+        platform_address: platform,
         stream: "fleet".into(),
         peers,
         propose_timeout_ms: 3_000,
-        tick_ms: 50,
-        rank_delay_ms: 100,
+        poll_interval_ms: 50,
+        join_retry_ms: 100,
         action_timeout_ms: 60_000,
-        drain_ms: 100,
-        appends_per_s: 360,
-        snapshot_records: 20_000,
-        snapshot_period_ms: 600_000,
+        drain_delay_ms: 100,
+        max_appends_per_s: 360,
+        snapshot_interval_records: 20_000,
+        snapshot_interval_ms: 600_000,
         log_level: "error".into(),
         log_file: None,
     }
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -66,7 +66,7 @@
 
     fn cpu_millis(&self, task: &TaskRef) -> u64 {
         let step = self.spec.steps.get(usize::from(task.step));
-        step.map_or(0, |step| step.room.cpu_millis)
+        step.map_or(0, |step| step.resources.cpu_millis)
     }
 }
 
@@ -420,8 +420,11 @@
             ));
         }
         let step = job.spec.steps.get(usize::from(task.step));
-        let after = step.map(|step| step.after.clone()).unwrap_or_default();
-        if !after.iter().all(|&before| job.is_step_complete(before)) {
+        let depends_on = step.map(|step| step.depends_on.clone()).unwrap_or_default();
+        if !depends_on
+            .iter()
+            .all(|&earlier| job.is_step_complete(earlier))
+        {
             violations.push(format!(
                 "{name}: started before a step that it depends on was done"
             ));
