--- a/crates/lynxwheel/tests/proof/main.rs
+++ b/crates/lynxwheel/tests/proof/main.rs
@@ -134,7 +134,7 @@
     let fleet = Fleet::start(3, "zone_cut").await;
     let load = Load::start(&fleet.callers(), 6);
     load.wait_answered(SOME).await;
-    fleet.relays[1].cut();
+    fleet.relays[1].interrupt();
     load.wait_answered(SOME).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let id = "charge-in-the-cut";
@@ -144,7 +144,7 @@
         Verdict::Answered,
         "a charge without the log"
     );
-    fleet.relays[1].mend();
+    fleet.relays[1].resume();
     load.wait_answered(SOME).await;
     let mut told = load.stop().await;
     told.push(answer);
@@ -259,14 +259,14 @@
     let load = Load::start(&fleet.callers(), 4);
     load.wait_answered(SOME).await;
     for relay in &fleet.peer_relays {
-        relay.cut();
+        relay.interrupt();
     }
     tokio::time::sleep(PEERS_TAKEN_FOR_DEAD).await;
     fleet.start_wave("kernel").await;
     load.wait_answered(SOME).await;
     fleet.nodes[2].wait_ready("wave/kernel").await;
     for relay in &fleet.peer_relays {
-        relay.mend();
+        relay.resume();
     }
     load.wait_answered(SOME).await;
     fleet.assert_proper(&load.stop().await).await;
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! TCP relay that can be cut, for cuts between processes.
+//! TCP relay that simulates network partitions between processes.
 
 use {
     std::{io, net::SocketAddr, sync::Arc},
@@ -12,81 +12,92 @@
     },
 };
 
-/// Bytes passed on at once.
+/// Size of the copy buffer.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Passes connections on to a target until it is cut.
+/// Forwards connections to a target unless it is interrupted.
 ///
-/// While it is cut nothing is passed on and nothing is closed, as in a network that drops
-/// packets; what was under way arrives late, after the cut has ended.
+/// While it is interrupted, no data is forwarded and no connection is closed, as in a network that
+/// drops packets. Data in flight arrives after the interruption.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
-    is_cut: Arc<watch::Sender<bool>>,
+    is_interrupted: Arc<watch::Sender<bool>>,
 }
 
 impl Relay {
-    /// Starts a relay to `target` on a free port of the loopback.
+    /// Starts a relay to `target` on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be bound.
+    /// Returns an error if no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let is_cut = Arc::new(watch::Sender::new(false));
-        let cuts = Arc::clone(&is_cut);
+        let is_interrupted = Arc::new(watch::Sender::new(false));
+        let state = Arc::clone(&is_interrupted);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass_on(stream, target, cuts.subscribe()));
+                tokio::spawn(forward(stream, target, state.subscribe()));
             }
         });
-        Ok(Self { address, is_cut })
+        Ok(Self {
+            address,
+            is_interrupted,
+        })
     }
 
-    /// Returns the address to connect to in place of the target's.
+    /// Returns the address of the relay.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts the connections.
-    pub fn cut(&self) {
-        self.is_cut.send_replace(true);
+    /// Stops forwarding on all connections.
+    pub fn interrupt(&self) {
+        self.is_interrupted.send_replace(true);
     }
 
-    /// Ends the cut.
-    pub fn mend(&self) {
-        self.is_cut.send_replace(false);
+    /// Resumes forwarding.
+    pub fn resume(&self) {
+        self.is_interrupted.send_replace(false);
     }
 }
 
-async fn pass_on(near: TcpStream, target: SocketAddr, mut cut: watch::Receiver<bool>) {
-    wait_whole(&mut cut).await;
+async fn forward(near: TcpStream, target: SocketAddr, mut is_interrupted: watch::Receiver<bool>) {
+    wait_until_resumed(&mut is_interrupted).await;
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
     tokio::join!(
-        copy(near_read, far_write, cut.clone()),
-        copy(far_read, near_write, cut)
+        copy(near_read, far_write, is_interrupted.clone()),
+        copy(far_read, near_write, is_interrupted)
     );
 }
 
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut cut: watch::Receiver<bool>) {
+async fn copy(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut is_interrupted: watch::Receiver<bool>,
+) {
     let mut buffer = vec![0; CHUNK_BYTES];
     while let Ok(count) = from.read(&mut buffer).await {
-        wait_whole(&mut cut).await;
+        wait_until_resumed(&mut is_interrupted).await;
         if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
             break;
         }
     }
-    // The other side may have closed already.
+    // The other side may already have closed the connection.
     drop(to.shutdown().await);
 }
 
-async fn wait_whole(cut: &mut watch::Receiver<bool>) {
-    // An error means that the relay itself is gone, which ends the cut too.
-    drop(cut.wait_for(|is_cut| !is_cut).await);
+async fn wait_until_resumed(is_interrupted: &mut watch::Receiver<bool>) {
+    // An error means that the relay was dropped, which also ends the interruption.
+    drop(
+        is_interrupted
+            .wait_for(|is_interrupted| !is_interrupted)
+            .await,
+    );
 }
