--- a/crates/coordination/tests/attempts.rs
+++ b/crates/coordination/tests/attempts.rs
@@ -102,7 +102,7 @@
     .await;
     platform.with_platform(|platform| {
         let vm = platform.machine_mut("vm-0").expect("vm-0");
-        vm.go_down(u64::MAX);
+        vm.shut_down(u64::MAX);
     });
     wait_until(&node, "the failure is known", |state| {
         let vm = state.vms().get("vm-0").expect("declared");
--- a/crates/scenario/src/platform_steps.rs
+++ b/crates/scenario/src/platform_steps.rs
@@ -23,7 +23,7 @@
             Command::Trim { before } => self.platform.log.trim(STREAM, *before),
             Command::FailVm { vm, back_in_ms } => {
                 let until_ms = self.now_ms + back_in_ms.unwrap_or(GONE_MS);
-                self.machine_mut(vm)?.go_down(until_ms);
+                self.machine_mut(vm)?.shut_down(until_ms);
             }
             Command::CutVm { vm } => self.cut_vms.push(vm.clone()),
             Command::FailRack { rack } => self.fail_rack(rack),
@@ -94,7 +94,7 @@
         let until_ms = self.now_ms + GONE_MS;
         for machine in &mut self.platform.machines {
             if machine.rack.as_str() == rack {
-                machine.go_down(until_ms);
+                machine.shut_down(until_ms);
             }
         }
     }
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -106,7 +106,7 @@
             VmAction::Reboot if is_repeated || is_done => {}
             VmAction::Reboot => {
                 self.rebooted_fence = request.fence;
-                self.go_down(now_ms + reboot_ms);
+                self.shut_down(now_ms + reboot_ms);
             }
         }
         Ok(())
@@ -135,7 +135,7 @@
     }
 
     /// Stops the machine with everything on it until `up_again_ms`.
-    pub fn go_down(&mut self, up_again_ms: u64) {
+    pub fn shut_down(&mut self, up_again_ms: u64) {
         self.is_up = false;
         self.up_again_ms = Some(up_again_ms);
         self.tasks.clear();
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -352,7 +352,7 @@
     match shared.platform().machine_mut(name) {
         None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
         Some(machine) => {
-            machine.go_down(now_ms() + down_ms);
+            machine.shut_down(now_ms() + down_ms);
             json_answer(StatusCode::OK, &true)
         }
     }
