--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -98,7 +98,7 @@
         let mut starts: Vec<&(String, u32)> = platform
             .machines
             .iter()
-            .flat_map(|machine| machine.started.iter())
+            .flat_map(|machine| machine.started_attempts.iter())
             .collect();
         starts.sort();
         if let Some(pair) = starts.windows(2).find(|pair| pair[0] == pair[1]) {
--- a/crates/scenario/src/platform_steps.rs
+++ b/crates/scenario/src/platform_steps.rs
@@ -59,7 +59,8 @@
     fn add_machines(&mut self, count: u32) {
         for index in 0..count {
             let address = format!("10.0.0.{}:80", index + 1);
-            self.platform.add(&VmTemplate::numbered(index), address);
+            self.platform
+                .add_machine(&VmTemplate::numbered(index), address);
         }
     }
 
--- a/crates/scenario/src/show.rs
+++ b/crates/scenario/src/show.rs
@@ -32,7 +32,7 @@
         Ok(format!(
             "{vm} life {} {life}{drain}, stopped {} times, {} in progress{}",
             machine.incarnation,
-            machine.reboots,
+            machine.stop_count,
             machine.in_progress,
             tasks.concat()
         ))
--- a/crates/scenario/src/steps.rs
+++ b/crates/scenario/src/steps.rs
@@ -274,7 +274,10 @@
             return Ok("the VM does not answer".into());
         }
         let reboot_ms = self.platform.reboot_ms;
-        match self.machine_mut(vm)?.act(&request, now_ms, reboot_ms) {
+        match self
+            .machine_mut(vm)?
+            .perform_action(&request, now_ms, reboot_ms)
+        {
             Ok(()) => Ok("carried out".into()),
             Err(reason) => Ok(format!("refused: {reason}")),
         }
@@ -302,8 +305,11 @@
         if self.reach(vm.as_str()).is_none() {
             return Ok("the worker does not answer".into());
         }
-        let fails = self.platform.fails_tasks(vm.as_str());
-        match self.machine_mut(vm.as_str())?.start(&start, now_ms, fails) {
+        let fails = self.platform.has_failing_tasks(vm.as_str());
+        match self
+            .machine_mut(vm.as_str())?
+            .start_task(&start, now_ms, fails)
+        {
             Ok(()) => Ok(format!("runs on {vm}")),
             Err(reason) => Ok(format!("refused: {reason}")),
         }
@@ -316,7 +322,7 @@
             Some(attempt) if attempt.stopping => (attempt.vm.clone(), state.attempts),
             _ => return Err("no attempt is to be stopped".into()),
         };
-        self.machine_mut(vm.as_str())?.stop(job, attempt);
+        self.machine_mut(vm.as_str())?.stop_task(job, attempt);
         Ok(String::new())
     }
 
@@ -327,7 +333,7 @@
         let outcome = match end {
             JobEnd::Lost => Some(JobOutcome::Lost),
             JobEnd::AsReported => self.reach(attempt.vm.as_str()).and_then(|machine| {
-                let reports = machine.reports();
+                let reports = machine.task_reports();
                 let report = reports
                     .iter()
                     .find(|report| report.job == job.spec.name && report.attempt == job.attempts)?;
@@ -348,7 +354,7 @@
     fn dispatch(&mut self) -> StepResult {
         let chosen = self.chosen.take().ok_or("no endpoint was chosen")?;
         let machine = self.machine_mut(chosen.vm.as_str())?;
-        match machine.enter(Some(chosen.incarnation), SLOTS) {
+        match machine.admit_request(Some(chosen.incarnation), SLOTS) {
             Ok(()) => Ok(format!("runs on {}", chosen.vm)),
             Err(reason) => Ok(format!("did not start on {}: {reason}", chosen.vm)),
         }
--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -1,9 +1,9 @@
-//! Endpoint of one VM: serves requests within its slots and notes what ran.
+//! Endpoint of one VM: serves requests up to its number of slots and records them.
 
 use {
     crate::{
         machine::NO_FREE_SLOT,
-        serve::{REQUEST_ID_HEADER, Shared},
+        server::{REQUEST_ID_HEADER, Shared},
     },
     bytes::Bytes,
     http::{HeaderMap, HeaderValue, Request, Response, StatusCode},
@@ -17,33 +17,33 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Answer header by which an endpoint says that it did not start a request.
+/// Response header that marks a request that the endpoint did not start.
 const NOT_STARTED_HEADER: &str = "not-started";
 
-/// Request header that names the life of the VM that the request is meant for.
+/// Request header with the incarnation of the VM that the request is for.
 const INCARNATION_HEADER: &str = "vm-incarnation";
 
-/// Bytes of an answer's padding that are sent at once.
+/// Size of the chunks in which a padded response is sent.
 const CHUNK_BYTES: usize = 8 * 1024;
 
-/// One request that an endpoint ran, for checkers.
+/// Record of a request that an endpoint ran, for checkers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunEntry {
-    /// VM.
+    /// VM of the endpoint.
     pub vm: VmName,
-    /// Caller's id of the request.
+    /// Request id set by the caller.
     pub request_id: String,
-    /// Idempotency key, empty when there was none.
+    /// Idempotency key, or empty if the request had none.
     pub key: String,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Requests in progress on the endpoint with this one.
+    /// Number of requests in progress on the endpoint, including this one.
     pub in_progress: u32,
-    /// Whether it was answered in full.
+    /// Whether the full response was generated.
     pub is_complete: bool,
 }
 
-/// Serves an endpoint until the signal is given.
+/// Serves an endpoint until shutdown.
 pub(crate) async fn serve(
     server: Server,
     shared: Arc<Shared>,
@@ -68,28 +68,33 @@
     if request.uri().path() == "/healthz" {
         return health(&shared, &vm);
     }
-    if let Err(reason) = enter(&shared, &vm, slots, request.headers()) {
-        return refusal(reason);
+    if let Err(reason) = take_slot(&shared, &vm, slots, request.headers()) {
+        return rejection(reason);
     }
-    let guard = Leave {
+    let guard = SlotGuard {
         shared: Arc::clone(&shared),
         vm: vm.clone(),
     };
-    let run = note_run(&shared, &vm, &request);
+    let run = record_run(&shared, &vm, &request);
     let query = request.uri().query().unwrap_or_default().to_owned();
-    let request_id = text_header(request.headers(), REQUEST_ID_HEADER);
+    let request_id = header_text(request.headers(), REQUEST_ID_HEADER);
     let Ok(body) = request.into_body().collect().await else {
         return error_answer(StatusCode::BAD_REQUEST, "the body broke off");
     };
-    let work_ms = number(&query, "ms");
+    let work_ms = query_number(&query, "ms");
     if work_ms > 0 {
-        // A sleep of nothing would still last until the timer's next tick.
+        // A sleep of zero would still last until the next tick of the timer.
         tokio::time::sleep(Duration::from_millis(work_ms)).await;
     }
-    if number(&query, "break") == 1 {
-        return broken_answer(number(&query, "size"));
+    if query_number(&query, "break") == 1 {
+        return truncated_response(query_number(&query, "size"));
     }
-    let response = answer(&vm, &request_id, &body.to_bytes(), number(&query, "size"));
+    let response = full_response(
+        &vm,
+        &request_id,
+        &body.to_bytes(),
+        query_number(&query, "size"),
+    );
     shared.complete(run);
     drop(guard);
     response
@@ -112,8 +117,8 @@
     }
 }
 
-/// Takes a slot, or refuses before anything has started.
-fn enter(
+/// Takes a slot, or returns why the request cannot start.
+fn take_slot(
     shared: &Shared,
     vm: &VmName,
     slots: u32,
@@ -123,21 +128,21 @@
     let Some(machine) = platform.machine_mut(vm.as_str()) else {
         return Err("unknown VM");
     };
-    let meant = text_header(headers, INCARNATION_HEADER);
-    if meant.is_empty() {
-        return machine.enter(None, slots);
+    let incarnation = header_text(headers, INCARNATION_HEADER);
+    if incarnation.is_empty() {
+        return machine.admit_request(None, slots);
     }
-    let meant = meant.parse().map_err(|_| "another incarnation")?;
-    machine.enter(Some(meant), slots)
+    let incarnation = incarnation.parse().map_err(|_| "another incarnation")?;
+    machine.admit_request(Some(incarnation), slots)
 }
 
-/// Gives the slot back, also when the request is cut off.
-struct Leave {
+/// Releases the slot when dropped, also if the request is cancelled.
+struct SlotGuard {
     shared: Arc<Shared>,
     vm: VmName,
 }
 
-impl Drop for Leave {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         if let Some(machine) = self.shared.platform().machine_mut(self.vm.as_str()) {
             machine.in_progress = machine.in_progress.saturating_sub(1);
@@ -145,22 +150,22 @@
     }
 }
 
-fn note_run(shared: &Shared, vm: &VmName, request: &Request<Incoming>) -> usize {
+fn record_run(shared: &Shared, vm: &VmName, request: &Request<Incoming>) -> usize {
     let in_progress = shared
         .platform()
         .machine(vm.as_str())
         .map_or(0, |machine| machine.in_progress);
-    shared.note(RunEntry {
+    shared.record_run(RunEntry {
         vm: vm.clone(),
-        request_id: text_header(request.headers(), REQUEST_ID_HEADER),
-        key: text_header(request.headers(), "idempotency-key"),
+        request_id: header_text(request.headers(), REQUEST_ID_HEADER),
+        key: header_text(request.headers(), "idempotency-key"),
         method: request.method().to_string(),
         in_progress,
         is_complete: false,
     })
 }
 
-fn refusal(reason: &str) -> Response<Body> {
+fn rejection(reason: &str) -> Response<Body> {
     let mut response = error_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
     response
         .headers_mut()
@@ -168,7 +173,7 @@
     response
 }
 
-/// Tells a missing slot from an endpoint that must get nothing more.
+/// Returns `busy` for a missing slot, and `gone` if the endpoint accepts no more requests.
 fn not_started_value(reason: &str) -> HeaderValue {
     HeaderValue::from_static(if reason == NO_FREE_SLOT {
         "busy"
@@ -177,7 +182,7 @@
     })
 }
 
-fn answer(vm: &VmName, request_id: &str, body: &Bytes, size: u64) -> Response<Body> {
+fn full_response(vm: &VmName, request_id: &str, body: &Bytes, size: u64) -> Response<Body> {
     let mut text = format!("request={request_id} vm={vm} bytes={}\n", body.len()).into_bytes();
     let padding = usize::try_from(size).unwrap_or(0);
     text.resize(text.len() + padding, b'.');
@@ -201,8 +206,8 @@
     BodyExt::boxed_unsync(http_body_util::StreamBody::new(Frames { frames }))
 }
 
-/// Breaks off after `size` bytes; the head goes out with them when they are many.
-fn broken_answer(size: u64) -> Response<Body> {
+/// Returns a response whose body fails after `size` bytes.
+fn truncated_response(size: u64) -> Response<Body> {
     let part = vec![b'.'; usize::try_from(size).unwrap_or(0)];
     let frames = [
         Ok(hyper::body::Frame::data(Bytes::from(part))),
@@ -217,7 +222,7 @@
     )))
 }
 
-/// Stream over frames that are at hand.
+/// Stream over an iterator of frames.
 struct Frames<I> {
     frames: I,
 }
@@ -233,7 +238,7 @@
     }
 }
 
-fn text_header(headers: &HeaderMap, name: &str) -> String {
+fn header_text(headers: &HeaderMap, name: &str) -> String {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
@@ -241,6 +246,6 @@
         .to_owned()
 }
 
-fn number(query: &str, name: &str) -> u64 {
-    crate::serve::query_number(query, name).unwrap_or(0)
+fn query_number(query: &str, name: &str) -> u64 {
+    crate::server::query_number(query, name).unwrap_or(0)
 }
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,27 +1,27 @@
-//! Faults that the platform can be told to show.
+//! Faults that can be injected into the platform.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults in force.
+/// Active faults; the default has none.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether the log service refuses everything.
+    /// Whether the log service rejects all requests.
     pub log_down: bool,
-    /// Time that each call to the log service takes longer, in milliseconds.
+    /// Additional latency of each log service request, in milliseconds.
     pub log_slow_ms: u64,
-    /// Appends that take effect but whose answers are lost.
+    /// Number of next appends that take effect but return a timeout.
     pub lose_answers: u32,
-    /// Appends that are answered with an error and take effect only later.
+    /// Number of next appends that return a timeout and take effect later.
     pub late_appends: u32,
-    /// How much later, in milliseconds.
+    /// Delay of late appends, in milliseconds.
     pub late_ms: u64,
-    /// Appends taken in a second; 0 means no limit.
+    /// Maximum number of appends per second; 0 means no limit.
     pub appends_per_s: u32,
-    /// Whether the VM list stays as it was.
+    /// Whether the VM list is no longer updated.
     pub vm_list_frozen: bool,
-    /// VMs on which every task fails, sorted.
+    /// Names of the VMs on which every task fails, sorted.
     pub failing_workers: Vec<String>,
-    /// VMs whose reboot never ends, sorted.
+    /// Names of the VMs whose reboots never end, sorted.
     pub stuck_reboots: Vec<String>,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the platform and the endpoints, for tests and development.
+//! Small in-memory stand-ins of the platform and the endpoints, for tests and development.
 //!
 //! ```
 //! use lynxwheel_standin::LogService;
@@ -14,7 +14,7 @@
 mod machine;
 mod platform;
 mod relay;
-mod serve;
+mod server;
 
 pub use endpoint::RunEntry;
 pub use faults::Faults;
@@ -22,4 +22,4 @@
 pub use machine::{Machine, Task};
 pub use platform::{Platform, VmTemplate};
 pub use relay::Relay;
-pub use serve::{PlatformServer, REQUEST_ID_HEADER};
+pub use server::{PlatformServer, REQUEST_ID_HEADER};
--- a/crates/standin/src/log_service.rs
+++ b/crates/standin/src/log_service.rs
@@ -1,8 +1,8 @@
-//! Append-only streams with offsets.
+//! Log service with append-only streams.
 
 use lynxwheel_protocol::{LogEntry, ReadAnswer};
 
-/// Streams by name.
+/// In-memory log service; its streams are sorted by name.
 #[derive(Clone, Debug, Default)]
 pub struct LogService {
     streams: Vec<Stream>,
@@ -28,7 +28,7 @@
         Self::default()
     }
 
-    /// Appends entries to a stream, which is made when new, and returns the first offset.
+    /// Appends entries to a stream and returns the offset of the first; creates a missing stream.
     pub fn append(&mut self, name: &str, entries: Vec<Vec<u8>>) -> u64 {
         let stream = self.stream_mut(name);
         let first_offset = stream.next_offset();
@@ -36,7 +36,7 @@
         first_offset
     }
 
-    /// Reads up to `max` entries from an offset.
+    /// Returns up to `max` entries, starting at offset `from`.
     #[must_use]
     pub fn read(&self, name: &str, from: u64, max: usize) -> ReadAnswer {
         let Some(stream) = self.stream(name) else {
@@ -68,7 +68,7 @@
         answer
     }
 
-    /// Drops the entries before an offset.
+    /// Drops the entries before offset `before`.
     pub fn trim(&mut self, name: &str, before: u64) {
         let stream = self.stream_mut(name);
         let dropped = before.saturating_sub(stream.trimmed_to + 1);
@@ -80,11 +80,11 @@
     }
 
     fn stream(&self, name: &str) -> Option<&Stream> {
-        let row = self
+        let index = self
             .streams
             .binary_search_by(|stream| stream.name.as_str().cmp(name))
             .ok()?;
-        self.streams.get(row)
+        self.streams.get(index)
     }
 
     fn stream_mut(&mut self, name: &str) -> &mut Stream {
@@ -92,16 +92,16 @@
             .streams
             .binary_search_by(|stream| stream.name.as_str().cmp(name))
         {
-            Ok(row) => &mut self.streams[row],
-            Err(row) => {
+            Ok(index) => &mut self.streams[index],
+            Err(index) => {
                 self.streams.insert(
-                    row,
+                    index,
                     Stream {
                         name: name.into(),
                         ..Stream::default()
                     },
                 );
-                &mut self.streams[row]
+                &mut self.streams[index]
             }
         }
     }
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -1,67 +1,67 @@
-//! One VM as the platform keeps it: life, drain, fencing and tasks.
+//! State of one VM in the platform: incarnation, drain, fencing and tasks.
 
 use lynxwheel_protocol::{
     ActionRequest, RackName, Resources, TaskReport, TaskStart, TaskState, VmAction, VmEntry,
     VmListState, VmName, ZoneName,
 };
 
-/// Refusal of an endpoint whose slots are all taken.
+/// Rejection reason of an endpoint whose slots are all in use.
 pub(crate) const NO_FREE_SLOT: &str = "no free slot";
 
-/// An attempt on a worker.
+/// An attempt of a job on a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Task {
-    /// What was asked for.
+    /// Request that started it.
     pub start: TaskStart,
-    /// State.
+    /// Current state.
     pub state: TaskState,
-    /// When it started, in milliseconds since the epoch.
+    /// Time of the start, in milliseconds since the epoch.
     pub started_ms: u64,
-    /// Until when its lease lasts, in milliseconds since the epoch.
+    /// Time of the expiry of its lease, in milliseconds since the epoch.
     pub lease_until_ms: u64,
 }
 
-/// A VM.
+/// A VM of the platform.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Name.
+    /// Name of the VM.
     pub name: VmName,
-    /// Count of its lives.
+    /// Number of its current incarnation; increases with each restart.
     pub incarnation: u64,
-    /// Zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Rack.
+    /// Rack in the zone.
     pub rack: RackName,
     /// Address of its endpoint as `ip:port`.
     pub address: String,
-    /// What it offers.
+    /// Resources that it offers.
     pub capacity: Resources,
-    /// Whether it is up.
+    /// Whether it is running.
     pub is_up: bool,
-    /// Whether it announced that it goes.
+    /// Whether it has announced that it will leave.
     pub is_leaving: bool,
-    /// Whether it takes no new requests because of a drain.
+    /// Whether it accepts no new requests because it is being drained.
     pub is_draining: bool,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: u32,
-    /// Highest fencing number seen.
+    /// Highest fencing number received.
     pub fence: u64,
-    /// Fencing number of the last reboot; each reboots at most once.
-    pub rebooted_fence: u64,
-    /// When its reboot ends, in milliseconds since the epoch.
-    pub up_again_ms: Option<u64>,
-    /// Attempts of this life.
+    /// Fencing number of the last reboot; each number causes at most one reboot.
+    pub last_reboot_fence: u64,
+    /// Time of the next restart, in milliseconds since the epoch.
+    pub restart_ms: Option<u64>,
+    /// Attempts of the current incarnation.
     pub tasks: Vec<Task>,
-    /// Starts of attempts over all lives, for checkers.
-    pub started: Vec<(String, u32)>,
-    /// Reboots carried out over all lives, for checkers.
-    pub reboots: u32,
+    /// Job and attempt of every start in all incarnations, for checkers.
+    pub started_attempts: Vec<(String, u32)>,
+    /// Number of times that it was stopped in all incarnations, for checkers.
+    pub stop_count: u32,
 }
 
 impl Machine {
-    /// Returns its entry in the VM list.
+    /// Returns the entry of the VM in the VM list.
     #[must_use]
-    pub fn entry(&self) -> VmEntry {
+    pub fn list_entry(&self) -> VmEntry {
         VmEntry {
             name: self.name.clone(),
             incarnation: self.incarnation,
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Carries an action out, unless its fencing number or time is past.
+    /// Performs an action unless its fencing number is outdated or its time limit has passed.
     ///
     /// # Errors
     ///
-    /// Returns the reason of the refusal.
-    pub fn act(
+    /// Returns the reason if the action is rejected.
+    pub fn perform_action(
         &mut self,
         request: &ActionRequest,
         now_ms: u64,
@@ -90,35 +90,39 @@
     ) -> Result<(), String> {
         if request.fence < self.fence {
             return Err(format!(
-                "fencing number {} is below {}",
+                "fencing number {} is lower than {}",
                 request.fence, self.fence
             ));
         }
         if now_ms > request.not_after_ms {
             return Err("too late".into());
         }
-        let is_done = request.vm_incarnation != self.incarnation;
-        let is_repeated = request.fence == self.rebooted_fence;
+        let is_stale_incarnation = request.vm_incarnation != self.incarnation;
+        let is_repeated = request.fence == self.last_reboot_fence;
         self.fence = request.fence;
         match request.action {
             VmAction::Drain => self.is_draining = true,
             VmAction::Undrain => self.is_draining = false,
-            VmAction::Reboot if is_repeated || is_done => {}
+            VmAction::Reboot if is_repeated || is_stale_incarnation => {}
             VmAction::Reboot => {
-                self.rebooted_fence = request.fence;
+                self.last_reboot_fence = request.fence;
                 self.shut_down(now_ms + reboot_ms);
             }
         }
         Ok(())
     }
 
-    /// Takes a request in, unless it is meant for another life or cannot be served now.
+    /// Admits a request unless it is for another incarnation or cannot be served now.
     ///
     /// # Errors
     ///
-    /// Returns the reason of the refusal, after which the request did not start.
-    pub fn enter(&mut self, meant: Option<u64>, slots: u32) -> Result<(), &'static str> {
-        if meant.is_some_and(|incarnation| incarnation != self.incarnation) {
+    /// Returns the reason if the request is rejected; it has not started then.
+    pub fn admit_request(
+        &mut self,
+        incarnation: Option<u64>,
+        slots: u32,
+    ) -> Result<(), &'static str> {
+        if incarnation.is_some_and(|incarnation| incarnation != self.incarnation) {
             return Err("another incarnation");
         }
         if !self.is_up {
@@ -134,24 +138,20 @@
         Ok(())
     }
 
-    /// Stops the machine with everything on it until `up_again_ms`.
-    pub fn shut_down(&mut self, up_again_ms: u64) {
+    /// Stops the VM and its tasks until `restart_ms`.
+    pub fn shut_down(&mut self, restart_ms: u64) {
         self.is_up = false;
-        self.up_again_ms = Some(up_again_ms);
+        self.restart_ms = Some(restart_ms);
         self.tasks.clear();
-        self.reboots += 1;
+        self.stop_count += 1;
     }
 
-    /// Starts the machine's next life when its time has come; tells whether it did.
-    pub fn come_up(&mut self, now_ms: u64) -> bool {
-        if self.is_up
-            || self
-                .up_again_ms
-                .is_none_or(|up_again_ms| now_ms < up_again_ms)
-        {
+    /// Starts the next incarnation if the restart is due; returns whether it did.
+    pub fn restart_if_due(&mut self, now_ms: u64) -> bool {
+        if self.is_up || self.restart_ms.is_none_or(|restart_ms| now_ms < restart_ms) {
             return false;
         }
-        self.up_again_ms = None;
+        self.restart_ms = None;
         self.incarnation += 1;
         self.is_up = true;
         self.is_draining = false;
@@ -159,25 +159,30 @@
         true
     }
 
-    /// Starts an attempt once; asked again it renews the lease.
+    /// Starts an attempt, or renews its lease if it has already started.
     ///
     /// # Errors
     ///
-    /// Returns the reason of the refusal, after which the attempt did not start.
-    pub fn start(&mut self, start: &TaskStart, now_ms: u64, fails: bool) -> Result<(), String> {
+    /// Returns the reason if the attempt is rejected; it has not started then.
+    pub fn start_task(
+        &mut self,
+        start: &TaskStart,
+        now_ms: u64,
+        fails: bool,
+    ) -> Result<(), String> {
         if !self.is_up {
             return Err("down".into());
         }
-        let known = self
+        let existing = self
             .tasks
             .iter_mut()
             .find(|task| task.start.job == start.job && task.start.attempt == start.attempt);
-        if let Some(task) = known {
+        if let Some(task) = existing {
             task.lease_until_ms = now_ms + start.lease_ms;
             return Ok(());
         }
         if start.vm_incarnation != self.incarnation {
-            return Err("placed on another life".into());
+            return Err("placed on another incarnation".into());
         }
         if now_ms > start.not_after_ms {
             return Err("too late".into());
@@ -185,7 +190,7 @@
         if self.is_draining || self.is_leaving {
             return Err("draining".into());
         }
-        self.started
+        self.started_attempts
             .push((start.job.as_str().into(), start.attempt));
         self.tasks.push(Task {
             start: start.clone(),
@@ -200,18 +205,18 @@
         Ok(())
     }
 
-    /// Stops an attempt, keeping its progress.
-    pub fn stop(&mut self, job: &str, attempt: u32) {
+    /// Stops an attempt and keeps its progress as a checkpoint.
+    pub fn stop_task(&mut self, job: &str, attempt: u32) {
         for task in &mut self.tasks {
-            let is_meant = task.start.job.as_str() == job && task.start.attempt == attempt;
-            if is_meant && task.state == TaskState::Running {
+            let is_selected = task.start.job.as_str() == job && task.start.attempt == attempt;
+            if is_selected && task.state == TaskState::Running {
                 task.state = TaskState::Checkpointed;
             }
         }
     }
 
-    /// Completes the attempts whose time is up and stops those whose lease lapsed.
-    pub fn run_tasks(&mut self, now_ms: u64) {
+    /// Completes the attempts that have run long enough and fails those whose lease has expired.
+    pub fn update_tasks(&mut self, now_ms: u64) {
         for task in &mut self.tasks {
             if task.state != TaskState::Running {
                 continue;
@@ -225,9 +230,9 @@
         }
     }
 
-    /// Reports the attempts.
+    /// Returns the reports of all attempts.
     #[must_use]
-    pub fn reports(&self) -> Vec<TaskReport> {
+    pub fn task_reports(&self) -> Vec<TaskReport> {
         self.tasks
             .iter()
             .map(|task| TaskReport {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,27 +1,27 @@
-//! The platform's state: streams, machines and faults.
+//! State of the platform: streams, VMs and faults.
 
 use {
     crate::{faults::Faults, log_service::LogService, machine::Machine},
     lynxwheel_protocol::{RackName, Resources, VmList, VmName, ZoneName},
 };
 
-/// Description of a VM to make.
+/// Description of a VM to create.
 #[derive(Clone, Debug)]
 pub struct VmTemplate {
-    /// Name.
+    /// Name of the VM.
     pub name: VmName,
-    /// Zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Rack.
+    /// Rack in the zone.
     pub rack: RackName,
-    /// What it offers.
+    /// Resources that it offers.
     pub capacity: Resources,
-    /// Requests that its endpoint serves at once.
+    /// Maximum number of concurrent requests of its endpoint.
     pub slots: u32,
 }
 
 impl VmTemplate {
-    /// Describes VM number `index` of a fleet in three zones with four VMs to a rack.
+    /// Returns the template of VM number `index` in a fleet of three zones with four VMs per rack.
     #[must_use]
     pub fn numbered(index: u32) -> Self {
         let zone = index % 3;
@@ -39,22 +39,22 @@
     }
 }
 
-/// Everything that the platform keeps.
+/// State of the platform.
 #[derive(Debug, Default)]
 pub struct Platform {
-    /// Streams.
+    /// Streams of the log service.
     pub log: LogService,
-    /// Machines by name, sorted.
+    /// VMs, sorted by name.
     pub machines: Vec<Machine>,
-    /// Faults in force.
+    /// Active faults.
     pub faults: Faults,
-    /// How long a reboot takes, in milliseconds.
+    /// Duration of a reboot, in milliseconds.
     pub reboot_ms: u64,
-    list: VmList,
+    last_list: VmList,
 }
 
 impl Platform {
-    /// Creates a platform without machines.
+    /// Creates a platform without VMs.
     #[must_use]
     pub fn new(reboot_ms: u64) -> Self {
         Self {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Adds a machine that is up.
-    pub fn add(&mut self, template: &VmTemplate, address: String) {
+    /// Adds a running VM.
+    pub fn add_machine(&mut self, template: &VmTemplate, address: String) {
         let machine = Machine {
             name: template.name.clone(),
             incarnation: 1,
@@ -77,53 +77,53 @@
             is_draining: false,
             in_progress: 0,
             fence: 0,
-            rebooted_fence: 0,
-            up_again_ms: None,
+            last_reboot_fence: 0,
+            restart_ms: None,
             tasks: Vec::new(),
-            started: Vec::new(),
-            reboots: 0,
+            started_attempts: Vec::new(),
+            stop_count: 0,
         };
-        let row = self
+        let index = self
             .machines
             .partition_point(|other| other.name < machine.name);
-        self.machines.insert(row, machine);
+        self.machines.insert(index, machine);
     }
 
-    /// Returns the machine called `name`.
+    /// Returns the VM called `name`.
     #[must_use]
     pub fn machine(&self, name: &str) -> Option<&Machine> {
-        let row = self.row(name)?;
-        self.machines.get(row)
+        let index = self.machine_index(name)?;
+        self.machines.get(index)
     }
 
-    /// Returns the machine called `name` for a change.
+    /// Returns the VM called `name` for modification.
     pub fn machine_mut(&mut self, name: &str) -> Option<&mut Machine> {
-        let row = self.row(name)?;
-        self.machines.get_mut(row)
+        let index = self.machine_index(name)?;
+        self.machines.get_mut(index)
     }
 
-    /// Returns the VM list, which stays as it was while it is frozen.
+    /// Returns the VM list, or the last one if the list is frozen.
     pub fn vm_list(&mut self, now_ms: u64) -> VmList {
-        if !self.faults.vm_list_frozen || self.list.vms.is_empty() {
-            let vms = self.machines.iter().map(Machine::entry).collect();
-            self.list = VmList {
+        if !self.faults.vm_list_frozen || self.last_list.vms.is_empty() {
+            let vms = self.machines.iter().map(Machine::list_entry).collect();
+            self.last_list = VmList {
                 made_ms: now_ms,
                 vms,
             };
         }
-        self.list.clone()
+        self.last_list.clone()
     }
 
-    /// Tells whether tasks on the VM are to fail.
+    /// Returns whether tasks on the VM have to fail.
     #[must_use]
-    pub fn fails_tasks(&self, name: &str) -> bool {
+    pub fn has_failing_tasks(&self, name: &str) -> bool {
         self.faults
             .failing_workers
             .binary_search_by(|vm| vm.as_str().cmp(name))
             .is_ok()
     }
 
-    /// Lets the machines' time pass.
+    /// Restarts VMs and ends tasks that are due at `now_ms`.
     pub fn tick(&mut self, now_ms: u64) {
         let stuck = &self.faults.stuck_reboots;
         for machine in &mut self.machines {
@@ -131,13 +131,13 @@
                 .binary_search_by(|vm| vm.as_str().cmp(machine.name.as_str()))
                 .is_ok();
             if !is_stuck {
-                machine.come_up(now_ms);
+                machine.restart_if_due(now_ms);
             }
-            machine.run_tasks(now_ms);
+            machine.update_tasks(now_ms);
         }
     }
 
-    fn row(&self, name: &str) -> Option<usize> {
+    fn machine_index(&self, name: &str) -> Option<usize> {
         self.machines
             .binary_search_by(|machine| machine.name.as_str().cmp(name))
             .ok()
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP face of the platform.
+//! HTTP server of the platform.
 
 use {
     crate::{
@@ -22,30 +22,30 @@
     tokio::sync::Notify,
 };
 
-/// Header by which callers name their request.
+/// Request header with the id that a caller gives its request.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Pause between two looks at the machines' time.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which due restarts and task ends take effect.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Bytes of a request to the platform at most.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Entries of one read at most.
-const MAX_READ: usize = 4_096;
+/// Maximum number of entries in the response to one read.
+const MAX_READ_ENTRIES: usize = 4_096;
 
-/// What the platform's tasks share.
+/// State shared by the tasks of the platform and its endpoints.
 #[derive(Debug)]
 pub(crate) struct Shared {
     platform: Mutex<Platform>,
     runs: Mutex<Vec<RunEntry>>,
-    appended: Notify,
-    rate: Mutex<Rate>,
+    entries_appended: Notify,
+    append_count: Mutex<AppendCount>,
 }
 
-/// Appends counted in the second under way.
+/// Number of appends in the current second.
 #[derive(Debug, Default)]
-struct Rate {
+struct AppendCount {
     second: u64,
     appends: u32,
 }
@@ -55,14 +55,14 @@
         self.platform.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn note(&self, run: RunEntry) -> usize {
+    pub(crate) fn record_run(&self, run: RunEntry) -> usize {
         let mut runs = self.runs();
         runs.push(run);
         runs.len() - 1
     }
 
-    pub(crate) fn complete(&self, row: usize) {
-        if let Some(run) = self.runs().get_mut(row) {
+    pub(crate) fn complete(&self, index: usize) {
+        if let Some(run) = self.runs().get_mut(index) {
             run.is_complete = true;
         }
     }
@@ -71,19 +71,22 @@
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts an append, and tells whether it is within the limit.
-    fn is_within_rate(&self, limit: u32) -> bool {
-        let mut rate = self.rate.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Counts an append; returns whether it is within `limit` appends per second.
+    fn try_count_append(&self, limit: u32) -> bool {
+        let mut append_count = self
+            .append_count
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let second = now_ms() / 1_000;
-        if rate.second != second {
-            *rate = Rate { second, appends: 0 };
+        if append_count.second != second {
+            *append_count = AppendCount { second, appends: 0 };
         }
-        rate.appends += 1;
-        limit == 0 || rate.appends <= limit
+        append_count.appends += 1;
+        limit == 0 || append_count.appends <= limit
     }
 }
 
-/// A running platform with its endpoints.
+/// A running platform with the endpoints of its VMs.
 #[derive(Debug)]
 pub struct PlatformServer {
     shared: Arc<Shared>,
@@ -92,11 +95,11 @@
 }
 
 impl PlatformServer {
-    /// Starts a platform on `address` and an endpoint on a free port for each VM.
+    /// Starts a platform on `address`, and an endpoint on a free port for each VM.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub async fn start(
         address: SocketAddr,
         templates: &[VmTemplate],
@@ -107,8 +110,8 @@
         let shared = Arc::new(Shared {
             platform: Mutex::new(Platform::new(reboot_ms)),
             runs: Mutex::new(Vec::new()),
-            appended: Notify::new(),
-            rate: Mutex::new(Rate::default()),
+            entries_appended: Notify::new(),
+            append_count: Mutex::new(AppendCount::default()),
         });
         let shutdown = Shutdown::new();
         for template in templates {
@@ -124,18 +127,18 @@
         })
     }
 
-    /// Returns the platform's address.
+    /// Returns the address of the platform.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives access to the platform's state.
-    pub fn with_platform<T>(&self, look: impl FnOnce(&mut Platform) -> T) -> T {
-        look(&mut self.shared.platform())
+    /// Calls `access` with the locked state of the platform and returns its result.
+    pub fn with_platform<T>(&self, access: impl FnOnce(&mut Platform) -> T) -> T {
+        access(&mut self.shared.platform())
     }
 
-    /// Returns what the endpoints ran.
+    /// Returns the requests that the endpoints ran, in the order of their starts.
     #[must_use]
     pub fn runs(&self) -> Vec<RunEntry> {
         self.shared.runs().clone()
@@ -155,7 +158,7 @@
 ) -> io::Result<()> {
     let server = Server::bind(SocketAddr::new(platform.ip(), 0)).await?;
     let address = server.local_addr()?.to_string();
-    shared.platform().add(template, address);
+    shared.platform().add_machine(template, address);
     let vm = template.name.clone();
     let slots = template.slots;
     tokio::spawn(endpoint::serve(
@@ -170,7 +173,7 @@
 
 async fn tick(shared: Arc<Shared>, shutdown: Shutdown) {
     while !shutdown.has_begun() {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         shared.platform().tick(now_ms());
     }
 }
@@ -188,15 +191,15 @@
             json_answer(StatusCode::OK, &before)
         }
         (&Method::GET, ["vms"]) => message_answer(&shared.platform().vm_list(now_ms())),
-        (&Method::POST, ["vms", name, "actions"]) => act(&shared, name, request).await,
+        (&Method::POST, ["vms", name, "actions"]) => perform_action(&shared, name, request).await,
         (&Method::POST, ["vms", name, "tasks"]) => start_task(&shared, name, request).await,
         (&Method::POST, ["vms", name, "tasks", job, "stop"]) => {
             let attempt = query_number(&query, "attempt").unwrap_or(0);
             stop_task(&shared, name, job, u32::try_from(attempt).unwrap_or(0))
         }
         (&Method::GET, ["vms", name, "tasks"]) => list_tasks(&shared, name),
-        (&Method::POST, ["vms", name, "leave"]) => leave(&shared, name),
-        (&Method::POST, ["vms", name, "fail"]) => fail(&shared, name, &query),
+        (&Method::POST, ["vms", name, "leave"]) => announce_leave(&shared, name),
+        (&Method::POST, ["vms", name, "fail"]) => stop_vm(&shared, name, &query),
         (&Method::GET, ["runs"]) => json_answer(StatusCode::OK, &*shared.runs()),
         (&Method::PUT, ["faults"]) => set_faults(&shared, request).await,
         _ => error_answer(StatusCode::NOT_FOUND, "no such path"),
@@ -205,27 +208,33 @@
 
 async fn read(shared: &Shared, name: &str, query: &str) -> Response<Body> {
     let from = query_number(query, "from").unwrap_or(1);
-    let max = query_number(query, "max").map_or(MAX_READ, |max| {
-        usize::try_from(max).unwrap_or(MAX_READ).min(MAX_READ)
+    let max = query_number(query, "max").map_or(MAX_READ_ENTRIES, |max| {
+        usize::try_from(max)
+            .unwrap_or(MAX_READ_ENTRIES)
+            .min(MAX_READ_ENTRIES)
     });
     let wait = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0).min(30_000));
     let until = tokio::time::Instant::now() + wait;
     loop {
-        let appended = shared.appended.notified();
-        tokio::pin!(appended);
-        appended.as_mut().enable();
-        if let Some(trouble) = trouble(shared).await {
-            return trouble;
+        let entries_appended = shared.entries_appended.notified();
+        tokio::pin!(entries_appended);
+        entries_appended.as_mut().enable();
+        if let Some(response) = injected_fault(shared).await {
+            return response;
         }
         let answer = shared.platform().log.read(name, from, max);
-        let has_news = !answer.entries.is_empty() || from < answer.earliest_offset;
-        if has_news || tokio::time::timeout_at(until, appended).await.is_err() {
+        let has_entries = !answer.entries.is_empty() || from < answer.earliest_offset;
+        if has_entries
+            || tokio::time::timeout_at(until, entries_appended)
+                .await
+                .is_err()
+        {
             return message_answer(&answer);
         }
     }
 }
 
-async fn trouble(shared: &Shared) -> Option<Response<Body>> {
+async fn injected_fault(shared: &Shared) -> Option<Response<Body>> {
     let (is_down, slow_ms) = {
         let platform = shared.platform();
         (platform.faults.log_down, platform.faults.log_slow_ms)
@@ -237,18 +246,18 @@
 }
 
 async fn append(shared: &Arc<Shared>, name: &str, request: Request<Incoming>) -> Response<Body> {
-    if let Some(trouble) = trouble(shared).await {
-        return trouble;
+    if let Some(response) = injected_fault(shared).await {
+        return response;
     }
     let bytes = match collect_body(request.into_body(), MAX_BODY_BYTES).await {
         Ok(bytes) => bytes,
         Err(answer) => return answer,
     };
     let Ok(message) = decode_message::<AppendRequest>(&bytes) else {
-        return error_answer(StatusCode::BAD_REQUEST, "no append request");
+        return error_answer(StatusCode::BAD_REQUEST, "malformed append request");
     };
     let limit = shared.platform().faults.appends_per_s;
-    if !shared.is_within_rate(limit) {
+    if !shared.try_count_append(limit) {
         return error_answer(StatusCode::TOO_MANY_REQUESTS, "too many appends");
     }
     let late_ms = {
@@ -267,7 +276,7 @@
         return error_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
     }
     let first_offset = shared.platform().log.append(name, message.entries);
-    shared.appended.notify_waiters();
+    shared.entries_appended.notify_waiters();
     let is_lost = {
         let faults = &mut shared.platform().faults;
         let is_lost = faults.lose_answers > 0;
@@ -283,11 +292,11 @@
 async fn append_late(shared: Arc<Shared>, name: String, message: AppendRequest, late_ms: u64) {
     tokio::time::sleep(Duration::from_millis(late_ms)).await;
     shared.platform().log.append(&name, message.entries);
-    shared.appended.notify_waiters();
+    shared.entries_appended.notify_waiters();
 }
 
-async fn act(shared: &Shared, name: &str, request: Request<Incoming>) -> Response<Body> {
-    let action: ActionRequest = match body_message(request).await {
+async fn perform_action(shared: &Shared, name: &str, request: Request<Incoming>) -> Response<Body> {
+    let action: ActionRequest = match decode_body(request).await {
         Ok(action) => action,
         Err(answer) => return answer,
     };
@@ -295,7 +304,7 @@
     let reboot_ms = platform.reboot_ms;
     match platform.machine_mut(name) {
         None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
-        Some(machine) => match machine.act(&action, now_ms(), reboot_ms) {
+        Some(machine) => match machine.perform_action(&action, now_ms(), reboot_ms) {
             Ok(()) => message_answer(&true),
             Err(reason) => error_answer(StatusCode::CONFLICT, &reason),
         },
@@ -303,17 +312,17 @@
 }
 
 async fn start_task(shared: &Shared, name: &str, request: Request<Incoming>) -> Response<Body> {
-    let start: TaskStart = match body_message(request).await {
+    let start: TaskStart = match decode_body(request).await {
         Ok(start) => start,
         Err(answer) => return answer,
     };
     let mut platform = shared.platform();
-    let fails = platform.fails_tasks(name);
+    let fails = platform.has_failing_tasks(name);
     match platform.machine_mut(name) {
         None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
-        // Nobody has heard from the worker, so this is no refusal of its own.
+        // The worker is unreachable, which is not a rejection by the worker.
         Some(machine) if !machine.is_up => error_answer(StatusCode::BAD_GATEWAY, "down"),
-        Some(machine) => match machine.start(&start, now_ms(), fails) {
+        Some(machine) => match machine.start_task(&start, now_ms(), fails) {
             Ok(()) => message_answer(&true),
             Err(reason) => error_answer(StatusCode::CONFLICT, &reason),
         },
@@ -324,7 +333,7 @@
     match shared.platform().machine_mut(name) {
         None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
         Some(machine) => {
-            machine.stop(job, attempt);
+            machine.stop_task(job, attempt);
             message_answer(&true)
         }
     }
@@ -332,12 +341,12 @@
 
 fn list_tasks(shared: &Shared, name: &str) -> Response<Body> {
     match shared.platform().machine(name) {
-        Some(machine) if machine.is_up => message_answer(&machine.reports()),
+        Some(machine) if machine.is_up => message_answer(&machine.task_reports()),
         _ => error_answer(StatusCode::BAD_GATEWAY, "down"),
     }
 }
 
-fn leave(shared: &Shared, name: &str) -> Response<Body> {
+fn announce_leave(shared: &Shared, name: &str) -> Response<Body> {
     match shared.platform().machine_mut(name) {
         None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
         Some(machine) => {
@@ -347,7 +356,7 @@
     }
 }
 
-fn fail(shared: &Shared, name: &str, query: &str) -> Response<Body> {
+fn stop_vm(shared: &Shared, name: &str, query: &str) -> Response<Body> {
     let down_ms = query_number(query, "down_ms").unwrap_or(u64::MAX / 4);
     match shared.platform().machine_mut(name) {
         None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
@@ -372,7 +381,7 @@
     }
 }
 
-async fn body_message<T: serde::de::DeserializeOwned>(
+async fn decode_body<T: serde::de::DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<T, Response<Body>> {
     let bytes = match request.into_body().collect().await {
@@ -383,7 +392,7 @@
         .map_err(|error| error_answer(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// Returns the number of a query parameter.
+/// Returns the value of a numeric query parameter.
 pub(crate) fn query_number(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
@@ -392,7 +401,7 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
-/// Returns the time in milliseconds since the epoch.
+/// Returns the current time, in milliseconds since the epoch.
 fn now_ms() -> u64 {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
