--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -1,4 +1,4 @@
-//! What must hold after every record, whatever the story.
+//! Invariants that hold after every record of any script.
 
 use {
     lynxwheel_protocol::{LogEntry, Record, RecordBody, decode_record},
@@ -7,28 +7,28 @@
     std::{error, fmt},
 };
 
-/// Promise that did not hold.
+/// Violated invariant.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Broken {
-    /// Offset after which it was seen.
+pub struct Violation {
+    /// Offset of the record after which the violation was detected.
     pub offset: u64,
-    /// What was seen.
-    pub what: String,
+    /// Description of the violation.
+    pub description: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "promise broken after offset {}: {}",
-            self.offset, self.what
+            "invariant violated after offset {}: {}",
+            self.offset, self.description
         )
     }
 }
 
-impl error::Error for Broken {}
+impl error::Error for Violation {}
 
-/// Folds the log beside the nodes and looks at the state after each record.
+/// Folds the log independently of the nodes and checks the state after each record.
 #[derive(Debug, Default)]
 pub struct Audit {
     state: FleetState,
@@ -36,7 +36,7 @@
 }
 
 impl Audit {
-    /// Starts before the first record.
+    /// Creates an audit that has folded no record yet.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -45,18 +45,18 @@
         }
     }
 
-    /// Returns the offset of the next entry to look at.
+    /// Returns the offset of the next entry to check.
     #[must_use]
     pub fn next_offset(&self) -> u64 {
         self.state.offset() + 1
     }
 
-    /// Looks at an entry.
+    /// Folds an entry and checks the state after it.
     ///
     /// # Errors
     ///
-    /// Fails when the state after it breaks a promise.
-    pub fn look(&mut self, entry: &LogEntry) -> Result<(), Broken> {
+    /// Returns the violation if the state violates an invariant.
+    pub fn check_entry(&mut self, entry: &LogEntry) -> Result<(), Violation> {
         let before = self.state.clone();
         let Ok(record) = decode_record(&entry.bytes) else {
             self.state.skip(entry.offset);
@@ -71,30 +71,30 @@
             self.check_floor(&before, &record)?;
         }
         if verdict != Verdict::Accepted && before.vms() != self.state.vms() {
-            return Err(self.broken("a record that was not accepted changed a VM"));
+            return Err(self.violation("a record that was not accepted changed a VM"));
         }
         Ok(())
     }
 
-    /// Compares a node's digest with the one of the same offset.
+    /// Compares the state of a node with the state of the audit at the same offset.
     ///
     /// # Errors
     ///
-    /// Fails when the node came to another state.
-    pub fn compare(&self, name: &str, state: &FleetState) -> Result<(), Broken> {
-        let row = usize::try_from(state.offset()).unwrap_or(usize::MAX);
-        match self.digests.get(row) {
+    /// Returns a violation if the states differ.
+    pub fn compare(&self, name: &str, state: &FleetState) -> Result<(), Violation> {
+        let index = usize::try_from(state.offset()).unwrap_or(usize::MAX);
+        match self.digests.get(index) {
             Some(digest) if *digest == state.digest() => Ok(()),
-            _ => Err(self.broken(format!("{name} diverged at offset {}", state.offset()))),
+            _ => Err(self.violation(format!("{name} diverged at offset {}", state.offset()))),
         }
     }
 
-    /// Checks that each job runs on at most one worker and each attempt was started once.
+    /// Checks that each job runs on at most one worker and that no attempt was started twice.
     ///
     /// # Errors
     ///
-    /// Fails when a job runs, or an attempt ran, twice.
-    pub fn check_workers(&self, platform: &Platform) -> Result<(), Broken> {
+    /// Returns a violation if a job runs or an attempt ran twice.
+    pub fn check_workers(&self, platform: &Platform) -> Result<(), Violation> {
         let mut starts: Vec<&(String, u32)> = platform
             .machines
             .iter()
@@ -102,18 +102,18 @@
             .collect();
         starts.sort();
         if let Some(pair) = starts.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(self.broken(format!("attempt {} of {} ran twice", pair[0].1, pair[0].0)));
+            return Err(self.violation(format!("attempt {} of {} ran twice", pair[0].1, pair[0].0)));
         }
         let mut running: Vec<&str> = platform.machines.iter().flat_map(running_jobs).collect();
         running.sort_unstable();
         match running.windows(2).find(|pair| pair[0] == pair[1]) {
-            Some(pair) => Err(self.broken(format!("{} runs twice at once", pair[0]))),
+            Some(pair) => Err(self.violation(format!("{} runs twice at the same time", pair[0]))),
             None => Ok(()),
         }
     }
 
-    /// Planned work must leave the pool at its floor; failures may not.
-    fn check_floor(&self, before: &FleetState, record: &Record) -> Result<(), Broken> {
+    /// Checks that planned work leaves every pool at its floor or above; failures may not.
+    fn check_floor(&self, before: &FleetState, record: &Record) -> Result<(), Violation> {
         let is_planned = matches!(
             record.body,
             RecordBody::Claim { .. } | RecordBody::Delete { .. } | RecordBody::HandOver { .. }
@@ -124,9 +124,9 @@
                 .get(pool.spec.name.as_str())
                 .map_or(0, |pool| pool.available);
             let is_low = pool.available < pool.floor();
-            let is_taken = is_planned && pool.available < was_available;
-            if is_low && (is_taken || self.begins_in(record, pool)) {
-                return Err(self.broken(format!(
+            let is_reduced = is_planned && pool.available < was_available;
+            if is_low && (is_reduced || self.begins_action_in(record, pool)) {
+                return Err(self.violation(format!(
                     "planned work left pool {} with {} of {}",
                     pool.spec.name,
                     pool.available,
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    fn begins_in(&self, record: &Record, pool: &PoolState) -> bool {
+    fn begins_action_in(&self, record: &Record, pool: &PoolState) -> bool {
         let vm = match &record.body {
             RecordBody::Begin { vm, .. } => self.state.vms().get(vm.as_str()),
             _ => None,
@@ -145,8 +145,8 @@
         vm.is_some_and(|vm| vm.pool == pool.spec.name)
     }
 
-    /// Each VM is in one pool, and the pools count their VMs right.
-    fn check_counts(&self) -> Result<(), Broken> {
+    /// Checks that each VM is in an existing pool, and that the counts of the pools are correct.
+    fn check_counts(&self) -> Result<(), Violation> {
         for pool in self.state.pools().iter() {
             let members = || {
                 self.state
@@ -155,26 +155,26 @@
                     .filter(|vm| vm.pool == pool.spec.name)
             };
             let available = members().filter(|vm| vm.is_available()).count();
-            let is_right =
+            let are_counts_correct =
                 members().count() == pool.members as usize && available == pool.available as usize;
-            if !is_right {
-                return Err(self.broken(format!("pool {} counts its VMs wrong", pool.spec.name)));
+            if !are_counts_correct {
+                return Err(self.violation(format!("pool {} has wrong VM counts", pool.spec.name)));
             }
         }
-        let is_homeless = |pool: &str| self.state.pools().get(pool).is_none();
+        let is_pool_missing = |pool: &str| self.state.pools().get(pool).is_none();
         match self
             .state
             .vms()
             .iter()
-            .find(|vm| is_homeless(vm.pool.as_str()))
+            .find(|vm| is_pool_missing(vm.pool.as_str()))
         {
-            Some(vm) => Err(self.broken(format!("VM {} is in no pool", vm.name))),
+            Some(vm) => Err(self.violation(format!("VM {} is in an unknown pool", vm.name))),
             None => Ok(()),
         }
     }
 
-    /// Reservations and quotas match the attempts that run.
-    fn check_jobs(&self) -> Result<(), Broken> {
+    /// Checks that the reservations of each VM match the attempts on it.
+    fn check_jobs(&self) -> Result<(), Violation> {
         let reserved_on = |vm: &str| -> u32 {
             self.state
                 .jobs()
@@ -186,16 +186,16 @@
         };
         for vm in self.state.vms().iter() {
             if vm.reserved.cores_milli != reserved_on(vm.name.as_str()) {
-                return Err(self.broken(format!("VM {} counts its reservations wrong", vm.name)));
+                return Err(self.violation(format!("VM {} has a wrong reservation", vm.name)));
             }
         }
         Ok(())
     }
 
-    fn broken(&self, what: impl Into<String>) -> Broken {
-        Broken {
+    fn violation(&self, description: impl Into<String>) -> Violation {
+        Violation {
             offset: self.state.offset(),
-            what: what.into(),
+            description: description.into(),
         }
     }
 }
--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -1,44 +1,44 @@
-//! Commands of the test language.
+//! Commands of the scripts.
 
 use {
     lynxwheel_protocol::{Class, VmAction, WaveGoal},
     std::str::FromStr,
 };
 
-/// One step of a story. Steps of a node carry its name as prefix: `node-1: claim vm-0 wave=os`.
+/// Step of a script. The name of a node is the prefix of its steps: `node-1: claim vm-0 wave=os`.
 #[derive(Clone, Debug, goldenscript::Command)]
 pub enum Command {
-    /// Adds numbered VMs to the platform, four to a rack, in three zones.
+    /// Adds numbered VMs to the platform, four per rack, in three zones.
     Machines {
-        /// How many.
+        /// Number of VMs.
         count: u32,
     },
-    /// Advances the manual clock and the machines' time, in milliseconds.
+    /// Advances the manual clock and the state of the VMs.
     Advance {
-        /// By how much, in milliseconds.
+        /// Duration, in milliseconds.
         by_ms: u64,
     },
     /// Turns a fault of the platform on or off.
     Fault {
-        /// Fault.
+        /// Name of the fault.
         fault: FaultName,
     },
-    /// Lets the appends that were held back take effect.
+    /// Applies the delayed appends.
     DeliverLate,
-    /// Drops the log's entries before an offset.
+    /// Trims the log before an offset.
     Trim {
-        /// Lowest offset that is kept.
+        /// Lowest offset that remains.
         before: u64,
     },
     /// Stops a VM for a time.
     FailVm {
         /// VM.
         vm: String,
-        /// When it is back, in milliseconds.
+        /// Time until its restart, in milliseconds; it never restarts without one.
         #[arg(key)]
         back_in_ms: Option<u64>,
     },
-    /// Cuts a VM off: it works on, but nobody reaches it.
+    /// Makes a VM unreachable while it continues to run.
     CutVm {
         /// VM.
         vm: String,
@@ -48,7 +48,7 @@
         /// Rack.
         rack: String,
     },
-    /// Makes a VM announce that it goes.
+    /// Makes a VM announce that it will leave.
     LeaveVm {
         /// VM.
         vm: String,
@@ -58,68 +58,68 @@
         /// VM.
         vm: String,
     },
-    /// Tells what happened to a VM on the platform.
+    /// Shows the state of a VM in the platform.
     ShowMachine {
         /// VM.
         vm: String,
     },
-    /// Starts a node, from nothing or from a kept snapshot.
+    /// Starts a node from an empty state or from a stored snapshot.
     Start {
-        /// Snapshot.
+        /// Name of the snapshot.
         #[arg(key)]
         from: Option<String>,
-        /// How far the node's clock is ahead, in milliseconds.
+        /// Offset of the clock of the node into the future, in milliseconds.
         #[arg(key, optional)]
         ahead_ms: u64,
-        /// Highest fold version that it knows.
+        /// Highest fold version that the node supports.
         #[arg(key)]
         fold_version: Option<u32>,
     },
-    /// Ends a node with everything it knows.
+    /// Kills a node, which loses its state.
     Kill,
-    /// Stops a node for a while; it neither reads nor speaks but keeps what it believes.
+    /// Pauses a node, which keeps its state but neither reads nor sends anything.
     Freeze,
-    /// Lets a frozen node go on, without reading first.
+    /// Resumes a paused node without reading the log.
     Thaw,
-    /// Cuts a node from the log.
+    /// Disconnects a node from the log.
     CutLog,
-    /// Ends the cut from the log.
+    /// Reconnects a node to the log.
     MendLog,
-    /// Reads and folds the log to its end.
+    /// Folds all new entries of the log.
     Read,
-    /// Takes the entries that it misses from another node.
+    /// Folds the missing entries from another node.
     ReadFrom {
-        /// Other node.
+        /// Name of the other node.
         peer: String,
     },
-    /// Keeps a snapshot of the node's state under a name.
+    /// Stores a snapshot of the state of a node under a name.
     Snapshot {
-        /// Name.
+        /// Name of the snapshot.
         name: String,
     },
-    /// Reads one chunk of a kept snapshot, or all of them.
+    /// Reads one chunk of a stored snapshot, or all chunks.
     ReadChunk {
         /// Name.
         name: String,
         /// Position of the chunk.
         index: Option<usize>,
     },
-    /// Changes a byte of a kept snapshot's chunk.
+    /// Corrupts a chunk of a stored snapshot.
     SpoilChunk {
         /// Name.
         name: String,
         /// Position of the chunk.
         index: usize,
     },
-    /// Replaces the node's state by the latest whole snapshot read, if that is no step back.
+    /// Replaces the state of a node by the latest complete snapshot that it read, if not older.
     Restore,
-    /// Sends the last record again, whose append had no answer.
+    /// Appends again the record whose append had no response.
     Retry,
-    /// Declares a pool with the VMs from vm-0 on, and observes them.
+    /// Declares a pool with VMs numbered from `vm-0`, and observes them.
     Fleet {
         /// Pool.
         pool: String,
-        /// VMs, which are the promised size too.
+        /// Number of VMs, which is also the promised size of the pool.
         #[arg(key)]
         vms: u32,
         /// VMs that must stay available.
@@ -133,7 +133,7 @@
     Pool {
         /// Name.
         name: String,
-        /// Promised VMs.
+        /// Promised number of VMs.
         #[arg(key)]
         size: u32,
         /// VMs that must stay available.
@@ -146,7 +146,7 @@
         #[arg(key)]
         if_revision: Option<u64>,
     },
-    /// Declares a VM's pool.
+    /// Declares the pool of a VM.
     Vm {
         /// VM.
         name: String,
@@ -167,7 +167,7 @@
         /// Goal.
         #[arg(key)]
         goal: Option<GoalName>,
-        /// When it should be complete, in milliseconds.
+        /// Time until its deadline, in milliseconds.
         #[arg(key)]
         deadline_in_ms: Option<u64>,
     },
@@ -175,7 +175,7 @@
     Team {
         /// Name.
         name: String,
-        /// Quota in thousandths of a core.
+        /// Quota, in thousandths of a core.
         #[arg(key)]
         cores_milli: u32,
     },
@@ -189,41 +189,41 @@
         /// Team.
         #[arg(key)]
         team: String,
-        /// Demand in thousandths of a core.
+        /// Demand, in thousandths of a core.
         #[arg(key)]
         cores_milli: u32,
-        /// Importance.
+        /// Priority class.
         #[arg(key)]
         class: Option<ClassName>,
-        /// Starts at most.
+        /// Maximum number of attempts.
         #[arg(key)]
         max_attempts: Option<u32>,
-        /// Whether it is to be cancelled.
+        /// Whether the job is cancelled.
         #[arg(key, optional)]
         cancelled: bool,
     },
-    /// Declares the customer's limits on idempotency keys.
+    /// Declares the limits on idempotency keys.
     Policy {
-        /// How long a key is kept, in milliseconds.
+        /// Retention of a key, in milliseconds.
         #[arg(key)]
         key_keep_ms: u64,
-        /// Keys at most.
+        /// Maximum number of keys.
         #[arg(key)]
         key_limit: u32,
     },
-    /// Looks at the VM list and the endpoints and reports what is new.
+    /// Reads the VM list, probes the endpoints and reports the changes.
     Observe,
-    /// Reports what the VM list shows in lives that the node does not know, without a probe.
+    /// Reports VMs whose incarnation in the VM list is unknown to the node, without probing them.
     ObserveList,
-    /// Asks the real planner for claims and proposes them.
+    /// Plans claims and proposes them.
     ProposeClaims,
-    /// Asks the real planner for starts and proposes them.
+    /// Plans starts of jobs and proposes them.
     ProposeStarts,
-    /// Asks for jobs to give up and VMs to quarantine, and proposes them.
+    /// Plans which jobs to give up and which VMs to quarantine, and proposes it.
     ProposeVerdicts,
-    /// Reviews the claims under way, with the nodes that it takes to be alive, and proposes.
+    /// Reviews the claims in progress, and proposes takeovers and releases.
     Review {
-        /// Nodes.
+        /// Nodes that are assumed to be alive.
         live: Vec<String>,
     },
     /// Claims a VM for a wave or for a move to a pool.
@@ -237,17 +237,17 @@
         #[arg(key)]
         pool: Option<String>,
     },
-    /// Rechecks the budget before the action, under the fencing number the node believes in.
+    /// Rechecks the budget before the action, with the fencing number that the node last knew.
     Begin {
         /// VM.
         vm: String,
     },
-    /// Takes a claim over.
+    /// Takes over a claim.
     TakeOver {
         /// VM.
         vm: String,
     },
-    /// Gives a claim back.
+    /// Releases a claim.
     Release {
         /// VM.
         vm: String,
@@ -265,14 +265,14 @@
         /// VM.
         vm: String,
     },
-    /// Asks the platform for an action, under the fencing number the node believes in.
+    /// Requests an action from the platform, with the fencing number that the node last knew.
     Act {
         /// VM.
         vm: String,
-        /// Action.
+        /// Name of the action.
         action: ActionName,
     },
-    /// Places an attempt of a job by hand.
+    /// Starts an attempt of a job on a given VM.
     StartJob {
         /// Job.
         job: String,
@@ -280,113 +280,113 @@
         #[arg(key)]
         vm: String,
     },
-    /// Asks the worker of a job's attempt to start it.
+    /// Requests the start of the attempt of a job from its worker.
     StartTask {
         /// Job.
         job: String,
     },
-    /// Asks the worker of a job's attempt to stop it with its progress kept.
+    /// Requests a stop with a checkpoint of the attempt of a job from its worker.
     StopTask {
         /// Job.
         job: String,
     },
-    /// Reports how a job's attempt ended: by the worker's word, or that its VM is lost.
+    /// Reports the end of the attempt of a job: as its worker reports it, or as lost.
     EndJob {
         /// Job.
         job: String,
         /// Outcome.
         outcome: OutcomeName,
     },
-    /// Gives a job up.
+    /// Gives up a job.
     GiveUp {
         /// Job.
         job: String,
         /// Reason.
         reason: String,
     },
-    /// Reports what a job's attempt uses.
+    /// Reports the resource usage of the attempt of a job.
     Usage {
         /// Job.
         job: String,
-        /// Use in thousandths of a core.
+        /// Usage, in thousandths of a core.
         #[arg(key)]
         cores_milli: u32,
     },
-    /// Keeps jobs off a VM.
+    /// Excludes a VM from new starts of jobs.
     Quarantine {
         /// VM.
         vm: String,
-        /// For how long, in milliseconds.
+        /// Duration, in milliseconds.
         #[arg(key)]
         for_ms: u64,
     },
-    /// Announces a non-idempotent request.
+    /// Records the intent to run a non-idempotent request.
     Intent {
         /// Key.
         key: u128,
     },
-    /// Tells how a non-idempotent request ended.
+    /// Records the outcome of a non-idempotent request.
     Outcome {
         /// Key.
         key: u128,
-        /// Status; none means that nobody knows.
+        /// HTTP status of the response; none means that the outcome is unknown.
         #[arg(key)]
         status: Option<u16>,
     },
-    /// Chooses an endpoint of a pool by the real routing decision.
+    /// Chooses an endpoint of a pool by the routing decision.
     Route {
         /// Pool.
         pool: String,
-        /// Spreads equal choices.
+        /// Seed that decides between equally loaded endpoints.
         #[arg(key, optional)]
         seed: u64,
     },
-    /// Hands a request to the endpoint chosen last.
+    /// Sends a request to the endpoint chosen last.
     Dispatch,
-    /// Asks the real admission whether a request may wait for a slot.
+    /// Shows whether admission lets a request wait for a slot.
     Admit {
         /// Class.
         class: ClassName,
-        /// Requests that wait.
+        /// Number of waiting requests.
         #[arg(key)]
         waiting: usize,
-        /// Requests that wait and are served before it.
+        /// Number of waiting requests that are served before it.
         #[arg(key)]
         ahead: usize,
-        /// Requests that may wait at most.
+        /// Maximum number of waiting requests.
         #[arg(key)]
         limit: usize,
-        /// Slots that serve the queue.
+        /// Number of slots that serve the queue.
         #[arg(key)]
         slots: u32,
-        /// Mean time of a request, in microseconds.
+        /// Mean service time of a request, in microseconds.
         #[arg(key)]
         mean_us: u64,
         /// Time until the deadline, in milliseconds.
         #[arg(key)]
         remaining_ms: u64,
     },
-    /// Deals the slots of an endpoint out to nodes.
+    /// Shows how the slots of an endpoint are distributed among nodes.
     DealSlots {
         /// VM of the endpoint.
         vm: String,
-        /// Nodes that are taken to be alive.
+        /// Nodes that are assumed to be alive.
         nodes: Vec<String>,
-        /// Slots.
+        /// Number of slots.
         #[arg(key)]
         slots: u32,
     },
-    /// Raises the fold's version.
+    /// Raises the version of the fold.
     RaiseVersion {
         /// Version.
         fold_version: u32,
     },
-    /// Shows a pool as the node sees it.
+    /// Shows the state of a pool on a node.
     ShowPool {
         /// Pool.
         name: String,
     },
-    /// Shows a VM as the node sees it.
+    /// Shows the state of a VM on a node.
     ShowVm {
         /// VM.
         name: String,
@@ -396,17 +396,17 @@
         /// Wave.
         name: String,
     },
-    /// Shows a job as the node sees it.
+    /// Shows the state of a job on a node.
     ShowJob {
         /// Job.
         name: String,
     },
-    /// Shows an idempotency key as the node sees it.
+    /// Shows the state of an idempotency key on a node.
     ShowKey {
         /// Key.
         key: u128,
     },
-    /// Shows each node's offset, and whether those at the same offset agree.
+    /// Shows the offset of each node.
     ShowNodes,
 }
 
@@ -422,14 +422,14 @@
             fn from_str(text: &str) -> Result<Self, String> {
                 match text {
                     $($text => Ok(Self($value)),)+
-                    _ => Err(format!("no such name: {text}")),
+                    _ => Err(format!("unknown name: {text}")),
                 }
             }
         }
     };
 }
 
-/// Fault of the platform.
+/// Change of an injected fault of the platform.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
     LoseAnswer,
@@ -440,7 +440,7 @@
     ListThawed,
 }
 
-/// How an attempt ended.
+/// Reported end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum JobEnd {
     AsReported,
@@ -459,7 +459,7 @@
     }
 }
 names! {
-    /// Name of a wave's goal.
+    /// Name of the goal of a wave.
     GoalName(WaveGoal) {
         "run" => WaveGoal::Run,
         "pause" => WaveGoal::Pause,
@@ -467,7 +467,7 @@
     }
 }
 names! {
-    /// Name of a class.
+    /// Name of a priority class.
     ClassName(Class) {
         "urgent" => Class::Urgent,
         "normal" => Class::Normal,
@@ -475,7 +475,7 @@
     }
 }
 names! {
-    /// Name of an action.
+    /// Name of an action on a VM.
     ActionName(VmAction) {
         "drain" => VmAction::Drain,
         "undrain" => VmAction::Undrain,
@@ -483,7 +483,7 @@
     }
 }
 names! {
-    /// Name of an attempt's end.
+    /// Name of the end of an attempt.
     OutcomeName(JobEnd) {
         "as_reported" => JobEnd::AsReported,
         "lost" => JobEnd::Lost,
--- a/crates/scenario/src/decide.rs
+++ b/crates/scenario/src/decide.rs
@@ -1,9 +1,9 @@
-//! Steps in which a node asks the real decision functions and proposes what they say.
+//! Steps in which a node runs the decision functions and proposes their results.
 
 use {
     crate::{
         command::Command,
-        world::{Chosen, StepResult, World},
+        simulation::{ChosenEndpoint, Simulation, StepResult},
     },
     lynxwheel_decisions::{
         AdmissionView, EndpointView, ReviewStep, RouteRequest, Tuning, admit, forecast,
@@ -14,13 +14,13 @@
     lynxwheel_state::VmState,
 };
 
-/// Starts planned in one round at most.
+/// Maximum number of starts planned by one step.
 const MAX_STARTS: usize = 16;
 
-/// Requests that an endpoint serves at once.
-pub(crate) const SLOTS: u32 = 8;
+/// Maximum number of concurrent requests of an endpoint.
+pub(crate) const SLOTS_PER_ENDPOINT: u32 = 8;
 
-impl World {
+impl Simulation {
     pub(crate) fn propose_claims(&mut self, name: &str) -> StepResult {
         let now_ms = self.now_ms;
         let state = self.node(name)?.state();
@@ -33,10 +33,10 @@
                 holder: name.into(),
             };
             let outcome = self.propose(name, body)?;
-            self.note_belief(name, plan.vm.as_str())?;
+            self.record_claim(name, plan.vm.as_str())?;
             lines.push(format!("{} ({}): {outcome}", plan.vm, plan.reason.as_str()));
         }
-        Ok(lines_or(&lines, "nothing to claim"))
+        Ok(lines_or_default(&lines, "nothing to claim"))
     }
 
     pub(crate) fn propose_starts(&mut self, name: &str) -> StepResult {
@@ -65,7 +65,7 @@
             };
             lines.push(format!("{line}: {}", self.propose(name, body)?));
         }
-        Ok(lines_or(&lines, "nothing to start"))
+        Ok(lines_or_default(&lines, "nothing to start"))
     }
 
     pub(crate) fn propose_verdicts(&mut self, name: &str) -> StepResult {
@@ -90,10 +90,10 @@
             };
             lines.push(format!("{line}: {}", self.propose(name, body)?));
         }
-        Ok(lines_or(&lines, "nothing to decide"))
+        Ok(lines_or_default(&lines, "nothing to decide"))
     }
 
-    /// Reviews the claims as a node that takes the nodes in `live` to be alive.
+    /// Reviews the claims in progress, assuming that only the nodes in `live` are alive.
     pub(crate) fn review(&mut self, name: &str, live: &[String]) -> StepResult {
         let mut live: Vec<NodeName> = live.iter().map(|node| node.as_str().into()).collect();
         live.sort();
@@ -109,10 +109,10 @@
                 }
             };
             let outcome = self.propose(name, body)?;
-            self.note_belief(name, review.vm.as_str())?;
+            self.record_claim(name, review.vm.as_str())?;
             lines.push(format!("{} ({step}): {outcome}", review.vm));
         }
-        Ok(lines_or(&lines, "nothing to review"))
+        Ok(lines_or_default(&lines, "nothing to review"))
     }
 
     pub(crate) fn show_forecast(&mut self, name: &str, wave: &str) -> StepResult {
@@ -137,8 +137,8 @@
                 zone: &vm.zone,
                 in_progress: 0,
                 peers_in_progress: 0,
-                slots: SLOTS,
-                slot_share: SLOTS,
+                slots: SLOTS_PER_ENDPOINT,
+                slot_share: SLOTS_PER_ENDPOINT,
             })
             .collect();
         let request = RouteRequest {
@@ -146,18 +146,18 @@
             seed,
         };
         let choice = least_loaded_in_share(&request, &views);
-        let chosen = choice.endpoint.map(|index| Chosen {
+        let chosen = choice.endpoint.map(|index| ChosenEndpoint {
             vm: candidates[index].name.clone(),
             incarnation: candidates[index].incarnation,
         });
         let vm = chosen.as_ref().map_or("none", |chosen| chosen.vm.as_str());
         let outcome = format!("{vm} ({})", choice.reason.as_str());
-        self.chosen = chosen;
+        self.chosen_endpoint = chosen;
         Ok(outcome)
     }
 }
 
-fn lines_or(lines: &[String], nothing: &str) -> String {
+fn lines_or_default(lines: &[String], nothing: &str) -> String {
     if lines.is_empty() {
         nothing.into()
     } else {
@@ -165,8 +165,8 @@
     }
 }
 
-/// Returns what admission says of a request.
-pub(crate) fn admitted(command: &Command) -> String {
+/// Returns the admission decision for a request.
+pub(crate) fn admission_text(command: &Command) -> String {
     let Command::Admit {
         class,
         waiting,
@@ -191,7 +191,7 @@
     format!("{:?}", admit(&view))
 }
 
-/// Returns the shares of an endpoint's slots.
+/// Returns the share of each node in the slots of an endpoint.
 pub(crate) fn shares(vm: &str, nodes: &[String], slots: u32) -> String {
     let mut names: Vec<NodeName> = nodes.iter().map(|node| node.as_str().into()).collect();
     names.sort();
--- a/crates/scenario/src/declare.rs
+++ b/crates/scenario/src/declare.rs
@@ -1,4 +1,4 @@
-//! Declarations of a story's operators.
+//! Declarations of resources by operators.
 
 use {
     crate::command::Command,
@@ -8,13 +8,13 @@
     },
 };
 
-/// Attempts of a job whose script gives none.
+/// Default for the maximum number of attempts of a job.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Run time of every job, in milliseconds.
+/// Declared run time of every job, in milliseconds.
 const RUN_TIME_MS: u64 = 60_000;
 
-/// Returns the record of a declaration.
+/// Returns the record of a declaration, or `None` for other commands.
 pub(crate) fn declaration(command: &Command, now_ms: u64) -> Option<RecordBody> {
     let if_revision = match command {
         Command::Pool { if_revision, .. } | Command::Vm { if_revision, .. } => *if_revision,
--- a/crates/scenario/src/node.rs
+++ b/crates/scenario/src/node.rs
@@ -1,4 +1,4 @@
-//! A simulated node: a cursor into the log, the folded state and what it believes.
+//! A simulated node: position in the log, folded state and known claims.
 
 use {
     lynxwheel_coordination::{PublishedState, SnapshotAssembler},
@@ -7,24 +7,24 @@
     std::{error, fmt},
 };
 
-/// What a node believes of a claim that it made, right or wrong.
+/// A claim of a node as the node last knew it; it may be outdated.
 #[derive(Clone, Debug)]
-pub(crate) struct Belief {
+pub(crate) struct KnownClaim {
     pub(crate) vm: VmName,
     pub(crate) fence: u64,
     pub(crate) not_after_ms: u64,
     pub(crate) vm_incarnation: u64,
 }
 
-/// Verdict on one record, as the node's fold gave it.
+/// A folded record with its verdict.
 #[derive(Clone, Debug)]
-pub(crate) struct Folded {
+pub(crate) struct FoldedRecord {
     pub(crate) id: WriterId,
     pub(crate) offset: u64,
     pub(crate) verdict: Verdict,
 }
 
-/// Why a node cannot read on.
+/// Error when entries were trimmed before a node read them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Trimmed {
     earliest_offset: u64,
@@ -42,18 +42,18 @@
 
 impl error::Error for Trimmed {}
 
-/// One simulated node.
+/// A simulated node.
 #[derive(Debug)]
 pub(crate) struct SimNode {
     pub(crate) name: NodeName,
     pub(crate) zone: ZoneName,
     pub(crate) incarnation: u64,
     pub(crate) sequence: u64,
-    pub(crate) ahead_ms: u64,
+    pub(crate) clock_ahead_ms: u64,
     pub(crate) is_frozen: bool,
-    pub(crate) is_cut: bool,
-    pub(crate) unanswered: Option<Record>,
-    pub(crate) beliefs: Vec<Belief>,
+    pub(crate) is_cut_from_log: bool,
+    pub(crate) pending_record: Option<Record>,
+    pub(crate) known_claims: Vec<KnownClaim>,
     pub(crate) snapshots: SnapshotAssembler,
     state: FleetState,
     published: PublishedState,
@@ -71,11 +71,11 @@
             zone: format!("zone-{}", number % 3 + 1).into(),
             incarnation,
             sequence: 0,
-            ahead_ms: 0,
+            clock_ahead_ms: 0,
             is_frozen: false,
-            is_cut: false,
-            unanswered: None,
-            beliefs: Vec::new(),
+            is_cut_from_log: false,
+            pending_record: None,
+            known_claims: Vec::new(),
             snapshots: SnapshotAssembler::default(),
             published: PublishedState::new(state.clone()),
             state,
@@ -86,13 +86,13 @@
         &self.state
     }
 
-    /// Tells whether the node folds what is appended at once.
-    pub(crate) fn follows(&self) -> bool {
-        !self.is_frozen && !self.is_cut && self.unanswered.is_none()
+    /// Returns whether the node folds new entries immediately.
+    pub(crate) fn can_follow(&self) -> bool {
+        !self.is_frozen && !self.is_cut_from_log && self.pending_record.is_none()
     }
 
-    /// Folds what follows the last folded entry; a gap is never skipped.
-    pub(crate) fn fold(&mut self, answer: &ReadAnswer) -> Result<Vec<Folded>, Trimmed> {
+    /// Folds the entries after the last folded one; never skips a gap.
+    pub(crate) fn fold(&mut self, answer: &ReadAnswer) -> Result<Vec<FoldedRecord>, Trimmed> {
         if self.state.offset() + 1 < answer.earliest_offset {
             return Err(Trimmed {
                 earliest_offset: answer.earliest_offset,
@@ -108,18 +108,18 @@
                 continue;
             };
             let verdict = self.state.apply(entry.offset, &record);
-            folded.push(Folded {
+            folded.push(FoldedRecord {
                 id: record.id,
                 offset: entry.offset,
                 verdict,
             });
         }
         self.published.store(self.state.clone());
-        self.forget_answered();
+        self.clear_answered_record();
         Ok(folded)
     }
 
-    /// Takes a state over unless it is older than what the node has published.
+    /// Replaces the state unless `state` is older than the published one; returns whether it did.
     pub(crate) fn restore(&mut self, state: FleetState) -> bool {
         let offset = state.offset();
         self.published.store(state);
@@ -127,28 +127,30 @@
         self.state.offset() == offset
     }
 
-    /// Returns what the node believes of its claim on a VM.
-    pub(crate) fn belief(&self, vm: &str) -> Option<&Belief> {
-        self.beliefs.iter().find(|belief| belief.vm.as_str() == vm)
+    /// Returns the claim of the node on a VM as it last knew it.
+    pub(crate) fn known_claim(&self, vm: &str) -> Option<&KnownClaim> {
+        self.known_claims
+            .iter()
+            .find(|claim| claim.vm.as_str() == vm)
     }
 
-    pub(crate) fn believe(&mut self, belief: Belief) {
-        self.beliefs.retain(|known| known.vm != belief.vm);
-        self.beliefs.push(belief);
+    pub(crate) fn remember_claim(&mut self, claim: KnownClaim) {
+        self.known_claims.retain(|known| known.vm != claim.vm);
+        self.known_claims.push(claim);
     }
 
-    fn forget_answered(&mut self) {
+    fn clear_answered_record(&mut self) {
         let last = self
             .state
             .writers()
             .get(self.incarnation)
             .map_or(0, |writer| writer.sequence);
         if self
-            .unanswered
+            .pending_record
             .as_ref()
             .is_some_and(|record| record.id.sequence <= last)
         {
-            self.unanswered = None;
+            self.pending_record = None;
         }
     }
 }
--- a/crates/scenario/src/platform_steps.rs
+++ b/crates/scenario/src/platform_steps.rs
@@ -1,19 +1,19 @@
-//! Steps of the platform and of time.
+//! Steps of the platform and the clock.
 
 use {
     crate::{
         command::{Command, Fault},
-        decide::{admitted, shares},
-        world::{STREAM, StepResult, World},
+        decide::{admission_text, shares},
+        simulation::{STREAM, Simulation, StepResult},
     },
     lynxwheel_standin::{Machine, VmTemplate},
     std::error::Error,
 };
 
-/// Time for which a VM is gone that comes back by no step, in milliseconds.
-const GONE_MS: u64 = 1_000_000_000;
+/// Downtime of a VM that does not restart within the script, in milliseconds.
+const PERMANENT_DOWNTIME_MS: u64 = 1_000_000_000;
 
-impl World {
+impl Simulation {
     pub(crate) fn run_platform(&mut self, command: &Command) -> StepResult {
         match command {
             Command::Machines { count } => self.add_machines(*count),
@@ -22,10 +22,10 @@
             Command::DeliverLate => self.deliver_late(),
             Command::Trim { before } => self.platform.log.trim(STREAM, *before),
             Command::FailVm { vm, back_in_ms } => {
-                let until_ms = self.now_ms + back_in_ms.unwrap_or(GONE_MS);
+                let until_ms = self.now_ms + back_in_ms.unwrap_or(PERMANENT_DOWNTIME_MS);
                 self.machine_mut(vm)?.shut_down(until_ms);
             }
-            Command::CutVm { vm } => self.cut_vms.push(vm.clone()),
+            Command::CutVm { vm } => self.unreachable_vms.push(vm.clone()),
             Command::FailRack { rack } => self.fail_rack(rack),
             Command::LeaveVm { vm } => self.machine_mut(vm)?.is_leaving = true,
             Command::FailTasks { vm } => {
@@ -34,20 +34,23 @@
                 failing.sort();
             }
             Command::ShowMachine { vm } => return self.show_machine(vm),
-            Command::Admit { .. } => return Ok(admitted(command)),
+            Command::Admit { .. } => return Ok(admission_text(command)),
             Command::DealSlots { vm, nodes, slots } => return Ok(shares(vm, nodes, *slots)),
             Command::ShowNodes => return Ok(self.show_nodes()),
-            _ => return Err("this step needs a node's name before it".into()),
+            _ => return Err("this step needs the name of a node as its prefix".into()),
         }
         Ok(String::new())
     }
 
-    /// Returns the VM when it is up and can be reached.
-    pub(crate) fn reach(&self, vm: &str) -> Option<&Machine> {
-        let is_cut = self.cut_vms.iter().any(|cut| cut == vm);
+    /// Returns the VM if it is running and reachable.
+    pub(crate) fn reachable(&self, vm: &str) -> Option<&Machine> {
+        let is_unreachable = self
+            .unreachable_vms
+            .iter()
+            .any(|unreachable| unreachable == vm);
         self.platform
             .machine(vm)
-            .filter(|machine| machine.is_up && !is_cut)
+            .filter(|machine| machine.is_up && !is_unreachable)
     }
 
     pub(crate) fn machine_mut(&mut self, vm: &str) -> Result<&mut Machine, Box<dyn Error>> {
@@ -85,14 +88,14 @@
     }
 
     fn deliver_late(&mut self) {
-        for bytes in std::mem::take(&mut self.late) {
+        for bytes in std::mem::take(&mut self.delayed_appends) {
             self.platform.log.append(STREAM, vec![bytes]);
         }
-        self.follow(None);
+        self.fold_new_entries(None);
     }
 
     fn fail_rack(&mut self, rack: &str) {
-        let until_ms = self.now_ms + GONE_MS;
+        let until_ms = self.now_ms + PERMANENT_DOWNTIME_MS;
         for machine in &mut self.platform.machines {
             if machine.rack.as_str() == rack {
                 machine.shut_down(until_ms);
--- a/crates/scenario/src/records.rs
+++ b/crates/scenario/src/records.rs
@@ -1,4 +1,4 @@
-//! Records that a node's steps propose.
+//! Records that are proposed by the steps of a node.
 
 use {
     crate::{command::Command, node::SimNode},
@@ -6,11 +6,11 @@
     std::error::Error,
 };
 
-/// Time between the recheck and the latest start of an action, in milliseconds.
+/// Maximum time between the recheck and the start of an action, in milliseconds.
 pub(crate) const ACTION_WINDOW_MS: u64 = 10_000;
 
-/// Returns the record of a step, under the fencing number that the node believes in.
-pub(crate) fn record_of(
+/// Returns the record of a step, with the fencing number that the node last knew.
+pub(crate) fn step_record(
     node: &SimNode,
     command: &Command,
     now_ms: u64,
@@ -18,7 +18,7 @@
     let fence = |vm: &str| {
         let claim = node.state().vms().get(vm).and_then(|vm| vm.claim.as_ref());
         let known = claim.map_or(0, |claim| claim.fence);
-        node.belief(vm).map_or(known, |belief| belief.fence)
+        node.known_claim(vm).map_or(known, |claim| claim.fence)
     };
     let body = match command {
         Command::Claim { vm, wave, pool } => RecordBody::Claim {
@@ -29,7 +29,7 @@
         Command::Begin { vm } => RecordBody::Begin {
             vm: vm.as_str().into(),
             fence: fence(vm),
-            not_after_ms: now_ms + node.ahead_ms + ACTION_WINDOW_MS,
+            not_after_ms: now_ms + node.clock_ahead_ms + ACTION_WINDOW_MS,
         },
         Command::TakeOver { vm } => RecordBody::TakeOver {
             vm: vm.as_str().into(),
@@ -76,7 +76,7 @@
         Command::RaiseVersion { fold_version } => RecordBody::RaiseVersion {
             fold_version: *fold_version,
         },
-        _ => return Err("this step takes no node's name before it".into()),
+        _ => return Err("this step takes no node name as its prefix".into()),
     };
     Ok(body)
 }
@@ -85,7 +85,7 @@
     match (wave, pool) {
         (Some(wave), None) => Ok(ClaimPurpose::Maintain(wave.into())),
         (None, Some(pool)) => Ok(ClaimPurpose::Move(pool.into())),
-        _ => Err("give either wave or pool".into()),
+        _ => Err("expected either wave or pool".into()),
     }
 }
 
--- a/crates/scenario/src/show.rs
+++ b/crates/scenario/src/show.rs
@@ -1,20 +1,20 @@
-//! Steps that show what a node or the platform knows.
+//! Steps that print the state of a node or of the platform.
 
 use {
     crate::{
         node::SimNode,
-        world::{StepResult, World},
+        simulation::{Simulation, StepResult},
     },
     lynxwheel_protocol::RequestKey,
     lynxwheel_standin::Machine,
     lynxwheel_state::{Attempt, Claim},
 };
 
-impl World {
+impl Simulation {
     pub(crate) fn show_machine(&mut self, vm: &str) -> StepResult {
         let machine: &Machine = self.machine_mut(vm)?;
-        let life = if machine.is_up { "up" } else { "down" };
-        let drain = if machine.is_draining {
+        let power = if machine.is_up { "up" } else { "down" };
+        let draining = if machine.is_draining {
             ", draining"
         } else {
             ""
@@ -30,7 +30,7 @@
             })
             .collect();
         Ok(format!(
-            "{vm} life {} {life}{drain}, stopped {} times, {} in progress{}",
+            "{vm} life {} {power}{draining}, stopped {} times, {} in progress{}",
             machine.incarnation,
             machine.stop_count,
             machine.in_progress,
@@ -44,7 +44,7 @@
             .iter()
             .map(|node| {
                 let frozen = if node.is_frozen { ", frozen" } else { "" };
-                let cut = if node.is_cut {
+                let cut = if node.is_cut_from_log {
                     ", cut from the log"
                 } else {
                     ""
--- a/crates/scenario/src/snapshot_steps.rs
+++ b/crates/scenario/src/snapshot_steps.rs
@@ -1,20 +1,20 @@
-//! Steps that write and read snapshots by the real cutting and assembly.
+//! Steps that split, read and assemble snapshots.
 
 use {
-    crate::world::{Kept, StepResult, World},
+    crate::simulation::{Simulation, StepResult, StoredSnapshot},
     lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_protocol::SnapshotChunk,
     lynxwheel_state::FleetState,
     std::error::Error,
 };
 
-impl World {
-    pub(crate) fn keep_snapshot(&mut self, node: &str, name: &str) -> StepResult {
+impl Simulation {
+    pub(crate) fn store_snapshot(&mut self, node: &str, name: &str) -> StepResult {
         let node = self.node(node)?;
         let offset = node.state().offset();
         let chunks = split_snapshot(node.state(), node.incarnation).ok_or("too large")?;
         let count = chunks.len();
-        self.kept.push(Kept {
+        self.snapshots.push(StoredSnapshot {
             name: name.into(),
             chunks,
         });
@@ -27,7 +27,7 @@
         name: &str,
         index: Option<usize>,
     ) -> StepResult {
-        let chunks = &self.kept(name)?.chunks;
+        let chunks = &self.snapshot(name)?.chunks;
         let chunks: Vec<SnapshotChunk> = match index {
             Some(index) => vec![chunks.get(index).ok_or("no such chunk")?.clone()],
             None => chunks.clone(),
@@ -39,10 +39,13 @@
         Ok(String::new())
     }
 
-    pub(crate) fn spoil_chunk(&mut self, name: &str, index: usize) -> StepResult {
-        let kept = self.kept.iter_mut().find(|kept| kept.name == name);
-        let chunk = kept
-            .and_then(|kept| kept.chunks.get_mut(index))
+    pub(crate) fn corrupt_chunk(&mut self, name: &str, index: usize) -> StepResult {
+        let snapshot = self
+            .snapshots
+            .iter_mut()
+            .find(|snapshot| snapshot.name == name);
+        let chunk = snapshot
+            .and_then(|snapshot| snapshot.chunks.get_mut(index))
             .ok_or("no such chunk")?;
         let middle = chunk.bytes.len() / 2;
         chunk.bytes[middle] ^= 1;
@@ -54,26 +57,30 @@
         let Some(state) = node.snapshots.latest() else {
             return Ok("no whole snapshot".into());
         };
-        let is_taken = node.restore(state);
-        let outcome = if is_taken { "restored" } else { "kept its own" };
+        let is_restored = node.restore(state);
+        let outcome = if is_restored {
+            "restored"
+        } else {
+            "kept its own"
+        };
         Ok(format!("{outcome}, at {}", node.state().offset()))
     }
 
-    /// Returns the state of a whole snapshot.
-    pub(crate) fn whole(&self, name: &str) -> Result<FleetState, Box<dyn Error>> {
+    /// Returns the state of a stored snapshot.
+    pub(crate) fn assemble_snapshot(&self, name: &str) -> Result<FleetState, Box<dyn Error>> {
         let mut assembler = SnapshotAssembler::default();
-        for chunk in &self.kept(name)?.chunks {
+        for chunk in &self.snapshot(name)?.chunks {
             assembler.add(chunk.clone());
         }
         assembler
             .latest()
-            .ok_or_else(|| "the snapshot is not whole".into())
+            .ok_or_else(|| "the snapshot is incomplete".into())
     }
 
-    fn kept(&self, name: &str) -> Result<&Kept, Box<dyn Error>> {
-        self.kept
+    fn snapshot(&self, name: &str) -> Result<&StoredSnapshot, Box<dyn Error>> {
+        self.snapshots
             .iter()
-            .find(|kept| kept.name == name)
+            .find(|snapshot| snapshot.name == name)
             .ok_or_else(|| format!("no snapshot {name}").into())
     }
 }
--- a/crates/scenario/src/steps.rs
+++ b/crates/scenario/src/steps.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         command::{Command, JobEnd},
-        decide::SLOTS,
+        decide::SLOTS_PER_ENDPOINT,
         declare::declaration,
-        node::{Belief, SimNode},
-        records::{ACTION_WINDOW_MS, record_of},
+        node::{KnownClaim, SimNode},
+        records::{ACTION_WINDOW_MS, step_record},
         show,
-        world::{STREAM, StepResult, World},
+        simulation::{STREAM, Simulation, StepResult},
     },
     lynxwheel_protocol::{
         ActionRequest, FOLD_VERSION, JobOutcome, RecordBody, TaskStart, TaskState, VmAction,
@@ -18,7 +18,7 @@
     std::error::Error,
 };
 
-impl World {
+impl Simulation {
     pub(crate) fn run_node(&mut self, name: &str, command: &Command) -> StepResult {
         match command {
             Command::Start {
@@ -27,13 +27,13 @@
                 fold_version,
             } => self.start_node(name, from.as_deref(), *ahead_ms, *fold_version),
             Command::Kill => self.kill(name),
-            Command::Freeze => self.change(name, |node| node.is_frozen = true),
-            Command::Thaw => self.change(name, |node| node.is_frozen = false),
-            Command::CutLog => self.change(name, |node| node.is_cut = true),
-            Command::MendLog => self.change(name, |node| node.is_cut = false),
+            Command::Freeze => self.update_node(name, |node| node.is_frozen = true),
+            Command::Thaw => self.update_node(name, |node| node.is_frozen = false),
+            Command::CutLog => self.update_node(name, |node| node.is_cut_from_log = true),
+            Command::MendLog => self.update_node(name, |node| node.is_cut_from_log = false),
             Command::Read => self.read(name),
             Command::ReadFrom { peer } => self.read_from(name, peer),
-            Command::Snapshot { name: snapshot } => self.keep_snapshot(name, snapshot),
+            Command::Snapshot { name: snapshot } => self.store_snapshot(name, snapshot),
             Command::ReadChunk {
                 name: snapshot,
                 index,
@@ -41,7 +41,7 @@
             Command::SpoilChunk {
                 name: snapshot,
                 index,
-            } => self.spoil_chunk(snapshot, *index),
+            } => self.corrupt_chunk(snapshot, *index),
             Command::Restore => self.restore_snapshot(name),
             Command::Retry => self.retry(name),
             Command::Fleet {
@@ -75,13 +75,13 @@
         let now_ms = self.now_ms;
         let body = match declaration(command, now_ms) {
             Some(body) => body,
-            None => record_of(self.node(name)?, command, now_ms)?,
+            None => step_record(self.node(name)?, command, now_ms)?,
         };
         let outcome = self.propose(name, body)?;
         if let Command::Claim { vm, .. } | Command::TakeOver { vm } | Command::Begin { vm } =
             command
         {
-            self.note_belief(name, vm)?;
+            self.record_claim(name, vm)?;
         }
         Ok(outcome)
     }
@@ -113,25 +113,25 @@
         show::pool(self.node(name)?, pool)
     }
 
-    /// A holder goes by the claim as it knows it when it made or changed it.
-    pub(crate) fn note_belief(&mut self, name: &str, vm: &str) -> Result<(), Box<dyn Error>> {
+    /// Records the claim of a node on a VM, which it relies on until it makes the next step on it.
+    pub(crate) fn record_claim(&mut self, name: &str, vm: &str) -> Result<(), Box<dyn Error>> {
         let node = self.node_mut(name)?;
         let claim = node.state().vms().get(vm).and_then(|vm| vm.claim.as_ref());
-        let belief = claim
+        let claim = claim
             .filter(|claim| claim.holder == node.name)
-            .map(|claim| Belief {
+            .map(|claim| KnownClaim {
                 vm: vm.into(),
                 fence: claim.fence,
                 not_after_ms: claim.not_after_ms,
                 vm_incarnation: claim.incarnation,
             });
-        if let Some(belief) = belief {
-            node.believe(belief);
+        if let Some(claim) = claim {
+            node.remember_claim(claim);
         }
         Ok(())
     }
 
-    fn change(&mut self, name: &str, change: impl FnOnce(&mut SimNode)) -> StepResult {
+    fn update_node(&mut self, name: &str, change: impl FnOnce(&mut SimNode)) -> StepResult {
         change(self.node_mut(name)?);
         Ok(String::new())
     }
@@ -143,16 +143,16 @@
         ahead_ms: u64,
         fold_version: Option<u32>,
     ) -> StepResult {
-        if self.row(name).is_ok() {
-            return Err("the node runs already".into());
+        if self.node_index(name).is_ok() {
+            return Err("the node is already running".into());
         }
         let state = match from {
-            Some(snapshot) => self.whole(snapshot)?,
+            Some(snapshot) => self.assemble_snapshot(snapshot)?,
             None => FleetState::new(),
         };
-        self.runs += 1;
-        let mut node = SimNode::new(name, self.runs, state);
-        node.ahead_ms = ahead_ms;
+        self.node_starts += 1;
+        let mut node = SimNode::new(name, self.node_starts, state);
+        node.clock_ahead_ms = ahead_ms;
         self.nodes.push(node);
         self.nodes.sort_by(|left, right| left.name.cmp(&right.name));
         self.propose(
@@ -165,8 +165,8 @@
     }
 
     fn kill(&mut self, name: &str) -> StepResult {
-        let row = self.row(name)?;
-        self.nodes.remove(row);
+        let index = self.node_index(name)?;
+        self.nodes.remove(index);
         Ok(String::new())
     }
 
@@ -183,8 +183,8 @@
     }
 
     fn retry(&mut self, name: &str) -> StepResult {
-        let record = self.node_mut(name)?.unanswered.clone();
-        self.append(name, record.ok_or("nothing to send again")?)
+        let record = self.node_mut(name)?.pending_record.clone();
+        self.append(name, record.ok_or("no record to retry")?)
     }
 
     fn observe(&mut self, name: &str) -> StepResult {
@@ -229,10 +229,10 @@
         self.propose(name, RecordBody::Report { reports })
     }
 
-    /// Returns what a probe shows of a VM, if it is news to the node.
+    /// Returns the report of a probe of a VM if it differs from the state of the node.
     fn report(&self, node: &SimNode, entry: &VmEntry) -> Option<VmReport> {
         let known = node.state().vms().get(entry.name.as_str())?;
-        let machine = self.reach(entry.name.as_str());
+        let machine = self.reachable(entry.name.as_str());
         let phase = match machine {
             None => VmPhase::Failed,
             Some(machine) if machine.is_leaving || entry.state == VmListState::Leaving => {
@@ -244,33 +244,35 @@
             vm: entry.name.clone(),
             incarnation: machine.map_or(entry.incarnation, |machine| machine.incarnation),
             phase,
-            evidence_ms: self.now_ms + node.ahead_ms,
+            evidence_ms: self.now_ms + node.clock_ahead_ms,
             zone: entry.zone.clone(),
             rack: entry.rack.clone(),
             address: entry.address.clone(),
             capacity: entry.capacity,
         };
-        let is_news = known.incarnation != report.incarnation || known.phase != phase;
-        is_news.then_some(report)
+        let is_change = known.incarnation != report.incarnation || known.phase != phase;
+        is_change.then_some(report)
     }
 
     fn act(&mut self, name: &str, vm: &str, action: VmAction) -> StepResult {
         let now_ms = self.now_ms;
         let node = self.node(name)?;
         if node.is_frozen {
-            return Err("a frozen node does nothing".into());
+            return Err("the node is frozen".into());
         }
-        let belief = node.belief(vm).ok_or("the node never held a claim on it")?;
+        let claim = node
+            .known_claim(vm)
+            .ok_or("the node has never held a claim on the VM")?;
         let request = ActionRequest {
             action,
-            fence: belief.fence,
+            fence: claim.fence,
             not_after_ms: match action {
-                VmAction::Reboot => belief.not_after_ms,
+                VmAction::Reboot => claim.not_after_ms,
                 _ => now_ms + ACTION_WINDOW_MS,
             },
-            vm_incarnation: belief.vm_incarnation,
+            vm_incarnation: claim.vm_incarnation,
         };
-        if self.reach(vm).is_none() {
+        if self.reachable(vm).is_none() {
             return Ok("the VM does not answer".into());
         }
         let reboot_ms = self.platform.reboot_ms;
@@ -291,7 +293,7 @@
             .jobs()
             .get(job)
             .ok_or("no such job")?;
-        let attempt = job.attempt.as_ref().ok_or("no attempt runs")?;
+        let attempt = job.attempt.as_ref().ok_or("no attempt is running")?;
         let vm = attempt.vm.clone();
         let start = TaskStart {
             job: job.spec.name.clone(),
@@ -302,7 +304,7 @@
             vm_incarnation: attempt.vm_incarnation,
             not_after_ms: attempt.since_ms + TASK_LEASE_MS,
         };
-        if self.reach(vm.as_str()).is_none() {
+        if self.reachable(vm.as_str()).is_none() {
             return Ok("the worker does not answer".into());
         }
         let fails = self.platform.has_failing_tasks(vm.as_str());
@@ -320,7 +322,7 @@
         let state = state.jobs().get(job).ok_or("no such job")?;
         let (vm, attempt) = match &state.attempt {
             Some(attempt) if attempt.stopping => (attempt.vm.clone(), state.attempts),
-            _ => return Err("no attempt is to be stopped".into()),
+            _ => return Err("no attempt is stopping".into()),
         };
         self.machine_mut(vm.as_str())?.stop_task(job, attempt);
         Ok(String::new())
@@ -329,10 +331,10 @@
     fn end_job(&mut self, name: &str, job: &str, end: JobEnd) -> StepResult {
         let state = self.node(name)?.state();
         let job = state.jobs().get(job).ok_or("no such job")?;
-        let attempt = job.attempt.as_ref().ok_or("no attempt runs")?;
+        let attempt = job.attempt.as_ref().ok_or("no attempt is running")?;
         let outcome = match end {
             JobEnd::Lost => Some(JobOutcome::Lost),
-            JobEnd::AsReported => self.reach(attempt.vm.as_str()).and_then(|machine| {
+            JobEnd::AsReported => self.reachable(attempt.vm.as_str()).and_then(|machine| {
                 let reports = machine.task_reports();
                 let report = reports
                     .iter()
@@ -352,9 +354,12 @@
     }
 
     fn dispatch(&mut self) -> StepResult {
-        let chosen = self.chosen.take().ok_or("no endpoint was chosen")?;
+        let chosen = self
+            .chosen_endpoint
+            .take()
+            .ok_or("no endpoint was chosen")?;
         let machine = self.machine_mut(chosen.vm.as_str())?;
-        match machine.admit_request(Some(chosen.incarnation), SLOTS) {
+        match machine.admit_request(Some(chosen.incarnation), SLOTS_PER_ENDPOINT) {
             Ok(()) => Ok(format!("runs on {}", chosen.vm)),
             Err(reason) => Ok(format!("did not start on {}: {reason}", chosen.vm)),
         }
--- a/crates/scenario/tests/stories.rs
+++ b/crates/scenario/tests/stories.rs
@@ -1,12 +1,12 @@
 //! Every story in `scripts`, played against its expected output.
 
-use lynxwheel_scenario::World;
+use lynxwheel_scenario::Simulation;
 
 macro_rules! stories {
     ($($name:ident)*) => {
         $(#[test] fn $name() {
             let path = concat!("tests/scripts/", stringify!($name));
-            goldenscript::run(&mut World::new(), path).expect("the story's end");
+            goldenscript::run(&mut Simulation::new(), path).expect("the story's end");
         })*
 
         /// A script that nobody plays proves nothing.
