--- a/crates/engine/src/fair_share.rs
+++ b/crates/engine/src/fair_share.rs
@@ -8,7 +8,7 @@
 
 /// Demand of an account for a resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Claim {
+pub struct AccountDemand {
     /// Weight of the account.
     pub weight: f64,
     /// Amount in use.
@@ -17,7 +17,7 @@
     pub wanted: f64,
 }
 
-impl Claim {
+impl AccountDemand {
     /// Returns the share of the account at a level.
     #[must_use]
     pub fn share(&self, level: f64) -> f64 {
@@ -31,24 +31,27 @@
     }
 }
 
-/// Returns the amount per unit of weight if all claims and `free` are divided fairly; infinite if
-/// every claim can be met.
+/// Returns the amount per unit of weight if all demands and `free` are divided fairly; infinite if
+/// every demand can be met.
 #[must_use]
-pub fn fair_level(claims: &[Claim], free: f64) -> f64 {
-    let mut claims: Vec<&Claim> = claims.iter().filter(|claim| claim.weight > 0.0).collect();
-    claims.sort_by(|one, other| {
-        let per_weight = |claim: &Claim| claim.wanted / claim.weight;
+pub fn fair_level(demands: &[AccountDemand], free: f64) -> f64 {
+    let mut demands: Vec<&AccountDemand> = demands
+        .iter()
+        .filter(|demand| demand.weight > 0.0)
+        .collect();
+    demands.sort_by(|one, other| {
+        let per_weight = |demand: &AccountDemand| demand.wanted / demand.weight;
         per_weight(one).total_cmp(&per_weight(other))
     });
-    let mut left = free + claims.iter().map(|claim| claim.held).sum::<f64>();
-    let mut weight: f64 = claims.iter().map(|claim| claim.weight).sum();
-    for claim in claims {
+    let mut left = free + demands.iter().map(|demand| demand.held).sum::<f64>();
+    let mut weight: f64 = demands.iter().map(|demand| demand.weight).sum();
+    for demand in demands {
         let level = left / weight;
-        if claim.wanted > level * claim.weight {
+        if demand.wanted > level * demand.weight {
             return level;
         }
-        left -= claim.wanted;
-        weight -= claim.weight;
+        left -= demand.wanted;
+        weight -= demand.weight;
     }
     f64::INFINITY
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -72,7 +72,7 @@
         CallOutcome, CallerAnswer, Effect, EndpointAddress, EndpointKey, Event, Now, Refusal,
         ReplyToken, StartOrder, VmOutcome,
     },
-    fair_share::{Claim, fair_level},
+    fair_share::{AccountDemand, fair_level},
     job::{JobId, JobSpec, JobState, ParseNameError, Resources, StepSpec, TaskRef},
     log_event::{LogEvent, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -7,7 +7,7 @@
     crate::{
         accounts::{ClientAccounts, exceeds_quota},
         event::Now,
-        fair_share::{Claim, fair_level},
+        fair_share::{AccountDemand, fair_level},
         job::Resources,
     },
     compact_str::CompactString,
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Returns the claim of the account, in thousandths of a core.
-    fn claim(&self) -> Claim {
+    /// Returns the demand of the account, in thousandths of a core.
+    fn demand(&self) -> AccountDemand {
         let held = millis(self.running.cpu_millis);
-        Claim {
+        AccountDemand {
             weight: self.weight,
             held,
             wanted: held,
@@ -240,17 +240,17 @@
         waiting: &[(AccountNumber, u64)],
         free_cpu_millis: u64,
     ) -> Vec<(AccountNumber, f64)> {
-        let mut claims: Vec<Claim> = self.rows.iter().map(AccountUse::claim).collect();
+        let mut demands: Vec<AccountDemand> = self.rows.iter().map(AccountUse::demand).collect();
         for &(number, cpu_millis) in waiting {
-            claims[row_index(number)].wanted += millis(cpu_millis);
+            demands[row_index(number)].wanted += millis(cpu_millis);
         }
-        let level = fair_level(&claims, millis(free_cpu_millis));
+        let level = fair_level(&demands, millis(free_cpu_millis));
         (0..)
             .map(AccountNumber)
-            .zip(claims)
+            .zip(demands)
             .skip(1)
-            .filter(|(_, claim)| claim.has_excess_demand(level))
-            .map(|(number, claim)| (number, claim.share(level)))
+            .filter(|(_, demand)| demand.has_excess_demand(level))
+            .map(|(number, demand)| (number, demand.share(level)))
             .collect()
     }
 
--- a/crates/engine/tests/fair_shares.rs
+++ b/crates/engine/tests/fair_shares.rs
@@ -4,14 +4,14 @@
 
 use {
     common::{Fleet, account, job_id, step},
-    lynxwheel_engine::{Claim, ClientAccount, LogEvent, fair_level},
+    lynxwheel_engine::{AccountDemand, ClientAccount, LogEvent, fair_level},
 };
 
 /// Cores of the fleet.
 const CORES: usize = 32;
 
-fn claim(weight: f64, held: f64, wanted: f64) -> Claim {
-    Claim {
+fn demand(weight: f64, held: f64, wanted: f64) -> AccountDemand {
+    AccountDemand {
         weight,
         held,
         wanted,
@@ -46,9 +46,9 @@
 }
 
 macro_rules! levels {
-    ($($name:ident: $claims:expr, $free:expr => $level:expr;)*) => {
+    ($($name:ident: $demands:expr, $free:expr => $level:expr;)*) => {
         $(#[test] fn $name() {
-            let level = fair_level(&$claims, $free);
+            let level = fair_level(&$demands, $free);
             let expected: f64 = $level;
             assert_eq!(level.to_bits(), expected.to_bits(), "{level}");
         })*
@@ -56,21 +56,21 @@
 }
 
 levels! {
-    all_demand_is_met: [claim(1.0, 5.0, 5.0), claim(2.0, 3.0, 3.0)], 0.0 => f64::INFINITY;
-    free_capacity_meets_all_demand: [claim(1.0, 5.0, 7.0), claim(2.0, 3.0, 4.0)], 3.0 => f64::INFINITY;
-    equal_accounts_get_equal_shares: [claim(1.0, 9.0, 20.0), claim(1.0, 1.0, 20.0)], 0.0 => 5.0;
+    all_demand_is_met: [demand(1.0, 5.0, 5.0), demand(2.0, 3.0, 3.0)], 0.0 => f64::INFINITY;
+    free_capacity_meets_all_demand: [demand(1.0, 5.0, 7.0), demand(2.0, 3.0, 4.0)], 3.0 => f64::INFINITY;
+    equal_accounts_get_equal_shares: [demand(1.0, 9.0, 20.0), demand(1.0, 1.0, 20.0)], 0.0 => 5.0;
     unused_share_goes_to_the_others:
-        [claim(1.0, 2.0, 2.0), claim(1.0, 8.0, 30.0), claim(1.0, 2.0, 30.0)], 0.0 => 5.0;
-    shares_follow_weights: [claim(3.0, 6.0, 100.0), claim(1.0, 6.0, 100.0)], 4.0 => 4.0;
-    an_account_without_weight_gets_nothing: [claim(0.0, 4.0, 9.0), claim(1.0, 4.0, 9.0)], 0.0 => 4.0;
+        [demand(1.0, 2.0, 2.0), demand(1.0, 8.0, 30.0), demand(1.0, 2.0, 30.0)], 0.0 => 5.0;
+    shares_follow_weights: [demand(3.0, 6.0, 100.0), demand(1.0, 6.0, 100.0)], 4.0 => 4.0;
+    an_account_without_weight_gets_nothing: [demand(0.0, 4.0, 9.0), demand(1.0, 4.0, 9.0)], 0.0 => 4.0;
 }
 
 /// Guards against usual variation being treated as excess demand.
 #[test]
 fn excess_demand_begins_at_twice_the_share() {
-    assert!(!claim(1.0, 4.0, 7.9).has_excess_demand(4.0));
-    assert!(claim(1.0, 4.0, 8.0).has_excess_demand(4.0));
-    assert!(!claim(1.0, 4.0, 8.0).has_excess_demand(f64::INFINITY));
+    assert!(!demand(1.0, 4.0, 7.9).has_excess_demand(4.0));
+    assert!(demand(1.0, 4.0, 8.0).has_excess_demand(4.0));
+    assert!(!demand(1.0, 4.0, 8.0).has_excess_demand(f64::INFINITY));
 }
 
 /// Guards against the account that submitted first keeping all capacity that becomes free.
