--- a/crates/controller/src/dispatch.rs
+++ b/crates/controller/src/dispatch.rs
@@ -162,17 +162,17 @@
     }
 
     async fn request_advice(&self, step: TaskRef, endpoints: &[CompactString]) {
-        let answer = match &self.advice {
+        let response = match &self.advice {
             Some(client) => client.request_tickets(&step, endpoints).await,
             None => Err("no advice service is configured".into()),
         };
         info!(
             event = "advice", step:% = step, asked = endpoints.len(),
-            outcome:? = answer.as_ref().map(|(tickets, _)| tickets.len());
+            outcome:? = response.as_ref().map(|(tickets, _)| tickets.len());
             "advice requested"
         );
-        let answer = answer.ok();
-        self.send_event(Event::TicketsReceived { step, answer })
+        let tickets = response.ok();
+        self.send_event(Event::TicketsReceived { step, tickets })
             .await;
     }
 
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -25,7 +25,7 @@
         message::{Context, Message},
     },
     log::{info, warn},
-    lynxwheel_engine::{CallerAnswer, Effect, Engine, Event, JobId, Now, ReplyToken},
+    lynxwheel_engine::{CallerResponse, Effect, Engine, Event, JobId, Now, ReplyToken},
     std::{
         net::SocketAddr,
         sync::{
@@ -431,7 +431,7 @@
     fn execute_effects(&mut self, effects: Vec<Effect>, now: Now, context: &Context<Self, ()>) {
         for effect in effects {
             match effect {
-                Effect::Reply { token, answer } => self.reply(token, answer),
+                Effect::Reply { token, response } => self.reply(token, response),
                 Effect::StepDown => {
                     warn!(event = "fenced", epoch = self.epoch; "call fenced by a newer epoch");
                     drop(context.actor_ref().tell(OwnerMessage::Deposed).try_send());
@@ -443,19 +443,19 @@
         }
     }
 
-    fn reply(&mut self, token: ReplyToken, response: CallerAnswer) {
+    fn reply(&mut self, token: ReplyToken, response: CallerResponse) {
         let index = self
             .pending_replies
             .binary_search_by_key(&token, |(other, _)| *other);
         if let Ok(index) = index {
             let (_, reply) = self.pending_replies.remove(index);
             let response = match response {
-                CallerAnswer::Accepted => OwnerResponse::Accepted,
-                CallerAnswer::Cancelled => OwnerResponse::Cancelled,
-                CallerAnswer::Unknown => OwnerResponse::Unknown,
-                CallerAnswer::Refused => OwnerResponse::Refused,
-                CallerAnswer::OverQuota => OwnerResponse::OverQuota,
-                CallerAnswer::OtherAccount => OwnerResponse::OtherAccount,
+                CallerResponse::Accepted => OwnerResponse::Accepted,
+                CallerResponse::Cancelled => OwnerResponse::Cancelled,
+                CallerResponse::Unknown => OwnerResponse::Unknown,
+                CallerResponse::Refused => OwnerResponse::Refused,
+                CallerResponse::OverQuota => OwnerResponse::OverQuota,
+                CallerResponse::OtherAccount => OwnerResponse::OtherAccount,
             };
             send_reply(reply, response);
         }
--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -122,14 +122,14 @@
     pub(crate) fn tickets_received(
         &mut self,
         step: &TaskRef,
-        answer: Option<(Vec<Ticket>, u64)>,
+        response: Option<(Vec<Ticket>, u64)>,
         now: Now,
     ) {
         let index = self.advice_index(step);
         let endpoints = &self.endpoints;
         let advice = &mut self.advice[index];
         let requested = std::mem::take(&mut advice.requested);
-        let Some((tickets, valid_ms)) = answer else {
+        let Some((tickets, valid_ms)) = response else {
             advice.next_request_ms = now.steady_ms + REQUEST_RETRY_MS;
             return;
         };
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     engine::Engine,
-    event::{CallerAnswer, Effect, EndpointKey, Now, StartOrder},
+    event::{CallerResponse, Effect, EndpointKey, Now, StartOrder},
     job::{JobId, JobState},
     log_event::RunEnd,
     state::Phase,
@@ -75,7 +75,7 @@
                 .effects
                 .extend(job.waiting_callers.drain(..).map(|token| Effect::Reply {
                     token,
-                    answer: CallerAnswer::Accepted,
+                    response: CallerResponse::Accepted,
                 }));
         }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -11,7 +11,7 @@
         arrivals::Arrivals,
         config::{FleetConfig, Queue},
         endpoint_table::EndpointTable,
-        event::{CallerAnswer, Effect, EndpointKey, Event, Now, ReplyToken},
+        event::{CallerResponse, Effect, EndpointKey, Event, Now, ReplyToken},
         free_capacity::FreeCapacity,
         job::{JobId, JobState, Resources, TaskRef},
         job_table::JobTable,
@@ -211,7 +211,7 @@
                 outcome,
             } => self.stop_answered(endpoint, &task, run, &outcome, now),
             Event::Renewed { endpoint, outcome } => self.renewal_answered(endpoint, outcome, now),
-            Event::TicketsReceived { step, answer } => self.tickets_received(&step, answer, now),
+            Event::TicketsReceived { step, tickets } => self.tickets_received(&step, tickets, now),
             Event::Paced {
                 endpoint,
                 task,
@@ -255,34 +255,35 @@
 
     fn refuse(&mut self, tokens: &[ReplyToken]) {
         for &token in tokens {
-            self.reply_immediately(token, CallerAnswer::Refused);
+            self.reply_immediately(token, CallerResponse::Refused);
         }
     }
 
-    fn reply_immediately(&mut self, token: ReplyToken, answer: CallerAnswer) {
-        self.immediate_effects.push(Effect::Reply { token, answer });
+    fn reply_immediately(&mut self, token: ReplyToken, response: CallerResponse) {
+        self.immediate_effects
+            .push(Effect::Reply { token, response });
     }
 
     fn submit(&mut self, mut job: Job, token: ReplyToken, now: Now) {
         let id = job.id;
         if !self.can_access(id, &job.account) {
-            return self.reply_immediately(token, CallerAnswer::OtherAccount);
+            return self.reply_immediately(token, CallerResponse::OtherAccount);
         }
         match self.search(id) {
             Ok(index) => {
                 let known = &mut self.jobs[index];
                 if known.visible_state.is_some() {
-                    self.reply_immediately(token, CallerAnswer::Accepted);
+                    self.reply_immediately(token, CallerResponse::Accepted);
                 } else {
                     known.waiting_callers.push(token);
                 }
             }
             Err(_) if self.find_ended_job(id).is_some() => {
-                self.reply_immediately(token, CallerAnswer::Accepted);
+                self.reply_immediately(token, CallerResponse::Accepted);
             }
             Err(_) if self.is_store_unavailable => self.refuse(&[token]),
             Err(_) if !self.fits_quota(&job) => {
-                self.reply_immediately(token, CallerAnswer::OverQuota);
+                self.reply_immediately(token, CallerResponse::OverQuota);
             }
             Err(_) => {
                 let account = self.quotas.number(&job.account);
@@ -332,7 +333,7 @@
 
     fn cancel(&mut self, id: JobId, account: &str, token: ReplyToken, now: Now) {
         if !self.can_access(id, account) {
-            self.reply_immediately(token, CallerAnswer::OtherAccount);
+            self.reply_immediately(token, CallerResponse::OtherAccount);
         } else if let Ok(index) = self.search(id) {
             if !self.jobs[index].state.is_final() {
                 self.end_job(index, JobState::Cancelled, now);
@@ -340,12 +341,12 @@
             // The end may not be stored yet, so the reply waits for the batch.
             self.pending_effects.push(Effect::Reply {
                 token,
-                answer: CallerAnswer::Cancelled,
+                response: CallerResponse::Cancelled,
             });
         } else if self.find_ended_job(id).is_some() {
-            self.reply_immediately(token, CallerAnswer::Cancelled);
+            self.reply_immediately(token, CallerResponse::Cancelled);
         } else {
-            self.reply_immediately(token, CallerAnswer::Unknown);
+            self.reply_immediately(token, CallerResponse::Unknown);
         }
     }
 
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -151,7 +151,7 @@
         /// First task of the step.
         step: TaskRef,
         /// Tickets and their validity in milliseconds; `None` if the call failed.
-        answer: Option<(Vec<Ticket>, u64)>,
+        tickets: Option<(Vec<Ticket>, u64)>,
     },
     /// A change of pace was answered.
     Paced {
@@ -179,7 +179,7 @@
 
 /// Reply to a caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CallerAnswer {
+pub enum CallerResponse {
     /// The job is accepted and stored.
     Accepted,
     /// The job is cancelled or had already ended.
@@ -264,7 +264,7 @@
         /// Request to reply to.
         token: ReplyToken,
         /// Reply.
-        answer: CallerAnswer,
+        response: CallerResponse,
     },
     /// Give up ownership, as a newer owner exists.
     StepDown,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -69,7 +69,7 @@
     endpoints::{Endpoint, PlacedRun},
     engine::{Engine, EngineSettings},
     event::{
-        CallOutcome, CallerAnswer, Effect, EndpointAddress, EndpointKey, Event, Now, Refusal,
+        CallOutcome, CallerResponse, Effect, EndpointAddress, EndpointKey, Event, Now, Refusal,
         ReplyToken, StartOrder, VmOutcome,
     },
     fair_share::{AccountDemand, fair_level},
--- a/crates/engine/tests/advice.rs
+++ b/crates/engine/tests/advice.rs
@@ -37,14 +37,14 @@
     asks.collect()
 }
 
-fn answer(fleet: &mut Fleet, good: &[&str]) {
+fn respond(fleet: &mut Fleet, good: &[&str]) {
     let tickets = good.iter().map(|id| Ticket {
         endpoint: (*id).into(),
         text: format!("ticket-{id}").into(),
     });
     fleet.handle(Event::TicketsReceived {
         step: format!("{}.0.0.0", job_id(1)).parse().expect("a name"),
-        answer: Some((tickets.collect(), 3_000)),
+        tickets: Some((tickets.collect(), 3_000)),
     });
     fleet.settle();
 }
@@ -67,7 +67,7 @@
             .iter()
             .all(|endpoint| endpoint.started.is_empty())
     );
-    answer(&mut fleet, &["i-2"]);
+    respond(&mut fleet, &["i-2"]);
     assert_eq!(fleet.endpoints[1].started.len(), 1);
     let tickets: Vec<&str> = fleet
         .orders
@@ -86,7 +86,7 @@
     let mut fleet = two_endpoints();
     fleet.handle(Event::TicketsReceived {
         step: format!("{}.0.0.0", job_id(1)).parse().expect("a name"),
-        answer: None,
+        tickets: None,
     });
     fleet.advance(600);
     assert_eq!(requested(&fleet).len(), 2);
@@ -96,7 +96,7 @@
 #[test]
 fn refused_endpoints_are_not_requested_again() {
     let mut fleet = two_endpoints();
-    answer(&mut fleet, &[]);
+    respond(&mut fleet, &[]);
     fleet.advance(1_000);
     assert_eq!(requested(&fleet).len(), 1);
 }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use lynxwheel_engine::{
-    Batch, CallOutcome, CallerAnswer, ClientAccount, ClientAccounts, Effect, EndKind, EndedTask,
+    Batch, CallOutcome, CallerResponse, ClientAccount, ClientAccounts, Effect, EndKind, EndedTask,
     EndpointEntry, EndpointReport, Engine, EngineSettings, Event, FleetConfig, JobId, JobSpec,
     JobState, KeyDigest, Now, Pool, Queue, Record, Resources, RunningTask, StartOrder, StepSpec,
     TaskRef, VmEntry, VmState,
@@ -138,7 +138,7 @@
     pub stored: Vec<Record>,
     pub endpoints: Vec<FakeEndpoint>,
     pub entries: Vec<EndpointEntry>,
-    pub replies: Vec<(u64, CallerAnswer)>,
+    pub replies: Vec<(u64, CallerResponse)>,
     pub orders: Vec<Effect>,
     pub now: Now,
     pub is_store_down: bool,
@@ -411,7 +411,7 @@
                 let due_ms = self.now.steady_ms + wait_ms;
                 self.waiting.push((due_ms, endpoint, acknowledged));
             }
-            Effect::Reply { token, answer } => self.replies.push((token, answer)),
+            Effect::Reply { token, response } => self.replies.push((token, response)),
             _ => {}
         }
     }
--- a/crates/engine/tests/histories.rs
+++ b/crates/engine/tests/histories.rs
@@ -9,7 +9,7 @@
 
 use {
     common::{Fleet, account, job_id, listed, queue, step},
-    lynxwheel_engine::{CallerAnswer, EndKind, JobId, JobSpec, StepSpec, TaskRef},
+    lynxwheel_engine::{CallerResponse, EndKind, JobId, JobSpec, StepSpec, TaskRef},
     rand::{Rng, RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
 };
@@ -201,8 +201,8 @@
         for task in &running {
             assert!(!self.done.contains(task), "{task} runs after it was done");
         }
-        for (token, answer) in &fleet.replies {
-            if *token > 0 && *answer == CallerAnswer::Accepted {
+        for (token, response) in &fleet.replies {
+            if *token > 0 && *response == CallerResponse::Accepted {
                 assert!(
                     fleet.job_state(*token).is_some(),
                     "job {token} is forgotten"
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -5,8 +5,8 @@
 use {
     common::{Fleet, account, job_id, step},
     lynxwheel_engine::{
-        CallerAnswer, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest, LogEvent,
-        QuotaTracker, Resources, StepSpec,
+        CallerResponse, ClientAccount, ClientAccounts, EndKind, Event, JobState, KeyDigest,
+        LogEvent, QuotaTracker, Resources, StepSpec,
     },
 };
 
@@ -30,9 +30,9 @@
     fleet.running_cores(|_| true)
 }
 
-fn answer(fleet: &Fleet, token: u64) -> Option<CallerAnswer> {
+fn response(fleet: &Fleet, token: u64) -> Option<CallerResponse> {
     let reply = fleet.replies.iter().find(|(known, _)| *known == token);
-    reply.map(|(_, answer)| *answer)
+    reply.map(|(_, response)| *response)
 }
 
 /// Returns a fleet in which an account with a quota of three cores has submitted eight tasks.
@@ -156,9 +156,9 @@
         let large = Resources { cpu_millis: 3_001, memory_mb: 1, gpus: 0 };
         fleet.submit_as("maps", 3, StepSpec { resources: large, ..step(1) });
         fleet.settle();
-        assert_eq!(answer(&fleet, 1), Some(CallerAnswer::OverQuota));
-        assert_eq!(answer(&fleet, 2), Some(CallerAnswer::Accepted));
-        assert_eq!(answer(&fleet, 3), Some(CallerAnswer::OverQuota));
+        assert_eq!(response(&fleet, 1), Some(CallerResponse::OverQuota));
+        assert_eq!(response(&fleet, 2), Some(CallerResponse::Accepted));
+        assert_eq!(response(&fleet, 3), Some(CallerResponse::OverQuota));
         assert_eq!(fleet.job_state(1), None);
     };
 
@@ -242,12 +242,12 @@
             fleet.handle(cancel("post", 7));
             fleet.submit_as("post", 1, step(1));
             fleet.settle();
-            assert_eq!(answer(&fleet, 7), Some(CallerAnswer::OtherAccount));
-            assert_eq!(answer(&fleet, 1), Some(CallerAnswer::OtherAccount));
+            assert_eq!(response(&fleet, 7), Some(CallerResponse::OtherAccount));
+            assert_eq!(response(&fleet, 1), Some(CallerResponse::OtherAccount));
         }
         fleet.handle(cancel("maps", 8));
         fleet.settle();
-        assert_eq!(answer(&fleet, 8), Some(CallerAnswer::Cancelled));
+        assert_eq!(response(&fleet, 8), Some(CallerResponse::Cancelled));
         // Also if only the final state of the job is kept.
         fleet.end_all(EndKind::Stopped);
         fleet.advance(2_000);
--- a/crates/engine/tests/store_unavailable.rs
+++ b/crates/engine/tests/store_unavailable.rs
@@ -4,12 +4,12 @@
 
 use {
     common::Fleet,
-    lynxwheel_engine::{CallerAnswer, JobState},
+    lynxwheel_engine::{CallerResponse, JobState},
 };
 
-fn answers(fleet: &Fleet, token: u64) -> Vec<CallerAnswer> {
+fn responses(fleet: &Fleet, token: u64) -> Vec<CallerResponse> {
     let replies = fleet.replies.iter().filter(|(known, _)| *known == token);
-    replies.map(|(_, answer)| *answer).collect()
+    replies.map(|(_, response)| *response).collect()
 }
 
 /// Returns a fleet whose store has become unavailable with the batch of job 1 in flight.
@@ -36,10 +36,10 @@
     let mut fleet = fleet_without_store();
     fleet.submit(2, 1);
     set_store_unavailable(&mut fleet, true);
-    assert_eq!(answers(&fleet, 2), [CallerAnswer::Refused]);
+    assert_eq!(responses(&fleet, 2), [CallerResponse::Refused]);
     fleet.submit(3, 1);
     fleet.advance(100);
-    assert_eq!(answers(&fleet, 3), [CallerAnswer::Refused]);
+    assert_eq!(responses(&fleet, 3), [CallerResponse::Refused]);
 }
 
 /// Guards against refusing a job that may be stored and would then run.
@@ -47,10 +47,10 @@
 fn job_that_may_be_stored_is_not_refused() {
     let mut fleet = fleet_without_store();
     set_store_unavailable(&mut fleet, true);
-    assert_eq!(answers(&fleet, 1), []);
+    assert_eq!(responses(&fleet, 1), []);
     fleet.is_store_down = false;
     set_store_unavailable(&mut fleet, false);
-    assert_eq!(answers(&fleet, 1), [CallerAnswer::Accepted]);
+    assert_eq!(responses(&fleet, 1), [CallerResponse::Accepted]);
 }
 
 #[test]
@@ -65,8 +65,8 @@
     fleet.submit(2, 1);
     fleet.advance(100);
     assert_eq!(
-        answers(&fleet, 2),
-        [CallerAnswer::Refused, CallerAnswer::Accepted]
+        responses(&fleet, 2),
+        [CallerResponse::Refused, CallerResponse::Accepted]
     );
     assert_eq!(fleet.job_state(2), Some(JobState::Running));
 }
@@ -80,7 +80,7 @@
     fleet.submit(1, 1);
     fleet.advance(100);
     assert_eq!(
-        answers(&fleet, 1),
-        [CallerAnswer::Accepted, CallerAnswer::Accepted]
+        responses(&fleet, 1),
+        [CallerResponse::Accepted, CallerResponse::Accepted]
     );
 }
