--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -117,7 +117,7 @@
             .unwrap_or_default()
     }
 
-    /// Processes an answer: tickets for the endpoints that may run the step, or `None` if the call
+    /// Processes a response: tickets for the endpoints that may run the step, or `None` if the call
     /// failed.
     pub(crate) fn tickets_received(
         &mut self,
--- a/crates/engine/src/endpoint_table.rs
+++ b/crates/engine/src/endpoint_table.rs
@@ -24,7 +24,7 @@
     locations: EndpointLocations,
     changed: Vec<EndpointKey>,
     next_key: EndpointKey,
-    /// Placeholder for removed incarnations, which late answers may still refer to.
+    /// Placeholder for removed incarnations, which late responses may still refer to.
     forgotten: Endpoint,
 }
 
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -37,7 +37,7 @@
     pub run: u32,
     /// Reserved resources.
     pub resources: Resources,
-    /// Whether the task answers requests under a latency target.
+    /// Whether the task serves requests under a latency target.
     pub is_serving: bool,
     /// Whether the task uses only idle processor time.
     pub is_filler: bool,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -33,7 +33,7 @@
 pub const ORDER_RETRY_MS: u64 = 200;
 
 /// Time for which an ended incarnation is kept, in milliseconds. By then its registry entry is gone
-/// and no late answers are expected.
+/// and no late responses are expected.
 const INCARNATION_RETENTION_MS: u64 = 30_000;
 
 /// Interval between removals of ended incarnations, in milliseconds.
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -31,9 +31,9 @@
 /// Outcome of a call to an endpoint.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CallOutcome<T> {
-    /// The endpoint carried the call out.
+    /// The endpoint executed the call.
     Done(T),
-    /// Another incarnation answered: the addressed one has ended.
+    /// Another incarnation responded: the addressed one has ended.
     OtherLife,
     /// The endpoint has accepted orders from a newer owner.
     Fenced,
@@ -41,7 +41,7 @@
     Refused(Refusal),
     /// Nothing was sent, for lack of a connection.
     Unsent,
-    /// No answer arrived: the call may have been carried out, or may still be.
+    /// No response arrived: the call may have been executed, or may still be.
     Unknown,
 }
 
@@ -65,13 +65,13 @@
 /// Outcome of an order for a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VmOutcome {
-    /// Carried out by this call or an earlier one.
+    /// Executed by this call or an earlier one.
     Done,
     /// The VM is not up or is leaving.
     Busy,
     /// Refused for another reason; nothing was done.
     Refused,
-    /// No answer arrived: the order may have been carried out, or may still be.
+    /// No response arrived: the order may have been executed, or may still be.
     Unknown,
 }
 
@@ -117,7 +117,7 @@
     VmsListed(Vec<VmEntry>),
     /// An operator ordered maintenance.
     WaveOrdered(WaveOrder),
-    /// A start was answered.
+    /// A call with a start has ended.
     Started {
         /// Endpoint.
         endpoint: EndpointKey,
@@ -128,7 +128,7 @@
         /// Outcome, with the endpoint's clock reading.
         outcome: CallOutcome<u64>,
     },
-    /// A stop was answered.
+    /// A call with a stop has ended.
     Stopped {
         /// Endpoint.
         endpoint: EndpointKey,
@@ -139,21 +139,21 @@
         /// Outcome, with the endpoint's clock reading.
         outcome: CallOutcome<u64>,
     },
-    /// A renewal of an endpoint's lease was answered.
+    /// A call that renews an endpoint's lease has ended.
     Renewed {
         /// Endpoint.
         endpoint: EndpointKey,
         /// Outcome, with the endpoint's report.
         outcome: CallOutcome<EndpointReport>,
     },
-    /// A request for tickets of a step was answered.
+    /// A request for tickets of a step has ended.
     TicketsReceived {
         /// First task of the step.
         step: TaskRef,
         /// Tickets and their validity in milliseconds; `None` if the call failed.
         tickets: Option<(Vec<Ticket>, u64)>,
     },
-    /// A change of pace was answered.
+    /// A call that changes the pace has ended.
     Paced {
         /// Endpoint.
         endpoint: EndpointKey,
@@ -166,7 +166,7 @@
         /// Whether the endpoint applied the change.
         is_done: bool,
     },
-    /// A move or maintenance order was answered.
+    /// A call with a move or maintenance order has ended.
     VmOrderAnswered {
         /// VM.
         vm: CompactString,
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -222,7 +222,7 @@
         self.resources
     }
 
-    /// Returns whether tasks answer requests under a latency target.
+    /// Returns whether tasks serve requests under a latency target.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.target_ms > 0
--- a/crates/engine/src/leases.rs
+++ b/crates/engine/src/leases.rs
@@ -18,12 +18,12 @@
 /// are reported without delay or extra calls.
 const RENEW_WAIT_MS: u64 = 1_000;
 
-/// Shorter hold time while finite tasks run, in milliseconds: a lost answer delays their ends by
+/// Shorter hold time while finite tasks run, in milliseconds: a lost response delays their ends by
 /// the whole hold time.
 const BUSY_WAIT_MS: u64 = 300;
 
 /// Shorter hold time while filler tasks run beside serving ones, in milliseconds: tail latencies
-/// arrive only with answers, and a violation must be found well within a second.
+/// arrive only with responses, and a violation must be found well within a second.
 const MIXED_WAIT_MS: u64 = 400;
 
 /// Delay of the next renewal after one that reported an end, in milliseconds. Runs tend to end
@@ -67,9 +67,9 @@
         self.is_schedule_due = true;
     }
 
-    /// Ends other incarnations at the address or on the VM of one that has just answered.
+    /// Ends other incarnations at the address or on the VM of one that has just responded.
     ///
-    /// Only an answer proves which incarnation is current. The order of registry entries does not,
+    /// Only a response proves which incarnation is current. The order of registry entries does not,
     /// as an entry may be written seconds after its incarnation has ended.
     fn end_replaced_incarnations(&mut self, key: EndpointKey, now: Now) {
         for other in self.endpoints.others_at_location(key) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Records a call that got no answer.
+    /// Records a call that got no response.
     pub(crate) fn call_failed(&mut self, key: EndpointKey, now: Now) {
         let endpoint = self.endpoints.get_mut(key);
         endpoint.failed_calls += 1;
@@ -215,7 +215,7 @@
     ) {
         self.endpoints.get_mut(key).is_renewing = false;
         match outcome {
-            // The answer of a replaced incarnation may arrive after that of its successor.
+            // The response of a replaced incarnation may arrive after that of its successor.
             CallOutcome::Done(_) if self.endpoints.get(key).has_ended => return,
             CallOutcome::Done(report) => self.process_report(key, &report, now),
             CallOutcome::OtherLife => self.endpoint_ended(key, now),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! State machine that schedules jobs on a fleet of VMs.
 //!
 //! The crate has no clock and performs no I/O. Its owner passes in events with the current time,
-//! stores the records of each batch and carries out the released effects.
+//! stores the records of each batch and executes the released effects.
 //!
 //! ```
 //! use lynxwheel_engine::{Engine, EngineSettings, Event, FleetConfig, JobSpec, Now, Queue, StepSpec};
--- a/crates/engine/src/reports.rs
+++ b/crates/engine/src/reports.rs
@@ -80,7 +80,7 @@
     pub checkpoint: CompactString,
 }
 
-/// An endpoint's answer to a lease renewal.
+/// An endpoint's response to a lease renewal.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EndpointReport {
     /// Reading of its monotonic clock, in milliseconds.
--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -16,9 +16,9 @@
 pub enum Phase {
     /// Decided; the order is sent once the decision is stored.
     Placed,
-    /// The order was sent and has no answer yet.
+    /// The order was sent and has no response yet.
     Ordered,
-    /// The order got no answer and may still take effect.
+    /// The order got no response and may still take effect.
     Unanswered,
     /// The endpoint has confirmed the run.
     Confirmed,
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -41,7 +41,7 @@
     pub ordered_ms: u64,
     /// Whether a call with the order is in flight.
     is_call_pending: bool,
-    /// Whether a call with the order got no answer and may still take effect.
+    /// Whether a call with the order got no response and may still take effect.
     may_take_effect: bool,
     /// Earliest time of the next order, on the monotonic clock.
     pub cooldown_until_ms: u64,
@@ -127,7 +127,7 @@
         self.endpoints.on_vm(name)
     }
 
-    /// Processes the answer to a VM order.
+    /// Processes the response to a VM order.
     pub(crate) fn vm_answered(&mut self, name: &str, outcome: VmOutcome, now: Now) {
         let Ok(index) = self.vm_index(name) else {
             return;
@@ -137,7 +137,7 @@
             return;
         };
         // Only the incarnation that was on the VM when the order was given ends with it. A retry is
-        // also answered as done after the VM has come back with a new incarnation.
+        // also reported as done after the VM has come back with a new incarnation.
         let endpoint = self.vms[index].ordered_endpoint;
         match outcome {
             VmOutcome::Done => {
@@ -218,7 +218,7 @@
         records
     }
 
-    /// Retries orders whose calls got no answer.
+    /// Retries orders whose calls got no response.
     pub(crate) fn retry_vm_orders(&mut self, now: Now) {
         for index in 0..self.vms.len() {
             let vm = &self.vms[index];
@@ -254,7 +254,7 @@
 
     /// Returns whether the VM may be given an order.
     ///
-    /// While a call is in flight, its answer would be taken for that of the new order.
+    /// While a call is in flight, its response would be taken for that of the new order.
     pub(crate) fn accepts_orders(&self, now: Now) -> bool {
         self.order.is_none()
             && !self.is_call_pending
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Carries out effects and stores batches until nothing changes.
+    /// Executes effects and stores batches until nothing changes.
     pub fn settle(&mut self) {
         while self.turn() {}
     }
--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -1,6 +1,6 @@
-//! Simulations with delayed orders, answers, reports and owners.
+//! Simulations with delayed orders, responses, reports and owners.
 //!
-//! Orders may arrive seconds after their call timed out, answers may overtake each other, and the
+//! Orders may arrive seconds after their call timed out, responses may overtake each other, and the
 //! owner may fall seconds behind its mailbox. In all cases no task has two active runs, no done
 //! task starts again, neither endpoint capacity nor account quotas are exceeded, and every job
 //! ends.
@@ -42,7 +42,7 @@
 enum Scheduled {
     /// A call arrives at an endpoint; with the time at which the caller times out.
     Arrival(Effect, u64),
-    /// An endpoint answers a renewal: endpoint, acknowledged end, time at which the caller times
+    /// An endpoint responds to a renewal: endpoint, acknowledged end, time at which the caller times
     /// out.
     Report(u32, u64, u64),
     /// The owner receives an event.
@@ -336,7 +336,7 @@
                 let delay_ms = self.delay_ms();
                 let timeout_ms = self.now_ms + wait_ms + CALL_MS;
                 if let Some(event) = unanswered(&effect, key) {
-                    // Delivered when the call times out, unless an answer arrives before.
+                    // Delivered when the call times out, unless a response arrives before.
                     self.after(wait_ms + CALL_MS, Scheduled::Event(event));
                 }
                 self.after(delay_ms, Scheduled::Arrival(effect, timeout_ms));
@@ -344,14 +344,14 @@
         }
     }
 
-    /// Delivers an answer, unless the call has timed out by then.
+    /// Delivers a response, unless the call has timed out by then.
     fn answer(&mut self, event: Event, timeout_ms: u64) {
         let delay_ms = self.delay_ms();
         let at_ms = self.now_ms + delay_ms;
         if at_ms >= timeout_ms {
             return;
         }
-        // The answer replaces the timeout.
+        // The response replaces the timeout.
         self.due.retain(|(due_ms, _, due)| {
             !matches!(due, Scheduled::Event(unanswered) if *due_ms == timeout_ms && is_same_call(unanswered, &event))
         });
@@ -534,7 +534,7 @@
     ACCOUNTS[usize::try_from(number).expect("few jobs") % ACCOUNTS.len()]
 }
 
-/// Returns the endpoint that an effect calls, and how long the endpoint may hold the answer.
+/// Returns the endpoint that an effect calls, and how long the endpoint may hold the response.
 fn endpoint_of(effect: &Effect) -> Option<(u32, u64)> {
     match effect {
         Effect::Start(order) => Some((order.endpoint, 0)),
--- a/crates/engine/tests/encodings.rs
+++ b/crates/engine/tests/encodings.rs
@@ -282,7 +282,7 @@
     /// Guards against counting a run as placed after it has ended at its endpoint.
     outcome_refused_old_run: refused(Refusal::OldRun) => "81a752656675736564a64f6c6452756e";
 
-    /// Guards against treating an expired order as carried out.
+    /// Guards against treating an expired order as executed.
     outcome_refused_late: refused(Refusal::Late) => "81a752656675736564a44c617465";
 
     /// Guards against sending more tasks to a full endpoint.
--- a/crates/engine/tests/incarnations.rs
+++ b/crates/engine/tests/incarnations.rs
@@ -35,7 +35,7 @@
     assert_eq!(fleet.engine.endpoints().keys().len(), 1);
 }
 
-/// Guards against late answers that refer to a removed incarnation.
+/// Guards against late responses that refer to a removed incarnation.
 #[test]
 fn late_answer_of_a_removed_incarnation_is_ignored() {
     let mut fleet = Fleet::new();
--- a/crates/engine/tests/renewals.rs
+++ b/crates/engine/tests/renewals.rs
@@ -34,7 +34,7 @@
 }
 
 cases! {
-    /// Guards against a lost answer delaying the end of a finite task by a long hold time.
+    /// Guards against a lost response delaying the end of a finite task by a long hold time.
     finite_task_has_a_short_hold_time: step(1) => 300;
 
     long_running_task_has_a_long_hold_time:
--- a/crates/engine/tests/vm_orders.rs
+++ b/crates/engine/tests/vm_orders.rs
@@ -1,4 +1,4 @@
-//! VM orders with slow, missing or negative answers.
+//! VM orders with slow, missing or negative responses.
 
 mod common;
 
@@ -83,7 +83,7 @@
     assert!(runs_beside_work(&mut fleet, &vm) > 0);
 }
 
-/// Guards against a second call for a VM while one is in flight, whose answer would be taken for
+/// Guards against a second call for a VM while one is in flight, whose response would be taken for
 /// that of a later order.
 #[test]
 fn order_is_not_retried_while_a_call_is_in_flight() {
--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -177,7 +177,7 @@
     assert_ne!(fleet.orders.iter().filter(is_stop).count(), 0);
 }
 
-/// Guards against a late answer to a retried order ending the next incarnation on the VM, whose
+/// Guards against a late response to a retried order ending the next incarnation on the VM, whose
 /// tasks would be started a second time.
 #[test]
 fn late_answer_to_an_order_does_not_end_the_next_incarnation() {
