--- a/crates/decisions/src/action_step.rs
+++ b/crates/decisions/src/action_step.rs
@@ -16,7 +16,7 @@
     Recheck,
     /// The VM is not live; waits for its new incarnation.
     Wait,
-    /// The VM did not come back in time; the action has failed.
+    /// The VM did not restart in time; the action has failed.
     GiveUp,
 }
 
--- a/crates/decisions/src/allocation.rs
+++ b/crates/decisions/src/allocation.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Tells whether a smaller or equal demand of the same or a higher class already fitted no VM.
+    /// Returns whether a smaller or equal demand of the same or a higher class already fitted no VM.
     ///
     /// Remembering such demands keeps a round over many pending jobs from scanning the VMs for
     /// each of them.
@@ -133,7 +133,7 @@
         self.attempts_by_rack[target.rack] += 1;
     }
 
-    /// Tells whether a VM can take a job.
+    /// Returns whether a VM can take a job.
     ///
     /// A job is not retried on a VM on which it failed while the pool has others, even if those
     /// are full: a VM that fails everything always has free capacity and would use up the attempts
@@ -148,7 +148,7 @@
             && target.fits_after_stops(demand)
     }
 
-    /// Tells whether a job has not failed on a VM, or has failed on all of them.
+    /// Returns whether a job has not failed on a VM, or has failed on all of them.
     pub(crate) fn is_eligible(&self, index: usize, job: &JobState) -> bool {
         let has_failed = job
             .failed_on
--- a/crates/decisions/src/drain.rs
+++ b/crates/decisions/src/drain.rs
@@ -32,7 +32,7 @@
         drain
     }
 
-    /// Tells whether the VM can be claimed, since no job on it has to be waited for.
+    /// Returns whether the VM can be claimed, since no job on it has to be waited for.
     ///
     /// A cordoned VM drains as fast as a claimed one, but only a claim charges the budget. A VM is
     /// therefore not claimed while a job on it has to end, whatever its expected run time.
--- a/crates/decisions/src/wave_health.rs
+++ b/crates/decisions/src/wave_health.rs
@@ -100,13 +100,13 @@
         assess_health(view, wave).health
     }
 
-    /// Tells whether the wave may continue, at least on some racks.
+    /// Returns whether the wave may continue, at least on some racks.
     #[must_use]
     pub fn can_continue(self) -> bool {
         matches!(self, Self::Healthy | Self::RacksExcluded)
     }
 
-    /// Returns the name used in logs and answers.
+    /// Returns the name used in logs and responses.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/decisions/src/waves.rs
+++ b/crates/decisions/src/waves.rs
@@ -165,7 +165,7 @@
 }
 
 impl Candidate<'_> {
-    /// Tells whether the candidate's wave excludes its rack.
+    /// Returns whether the candidate's wave excludes its rack.
     fn is_on_excluded_rack(&self, waves: &[RunningWave<'_>]) -> bool {
         self.wave.is_some_and(|wave| {
             let excluded = &waves[wave].excluded_racks;
@@ -324,7 +324,7 @@
     Some((ClaimPurpose::Maintain(name), Some(wave)))
 }
 
-/// Tells whether a wave still has to maintain a VM.
+/// Returns whether a wave still has to maintain a VM.
 #[must_use]
 pub fn is_due(wave: &WaveState, vm: &VmState) -> bool {
     wave.spec.pools.binary_search(&vm.pool).is_ok() && vm.maintained_ms < wave.spec.due_before_ms
--- a/crates/state/src/availability.rs
+++ b/crates/state/src/availability.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tells whether the budget allows a claim in `zone`.
+    /// Returns whether the budget allows a claim in `zone`.
     #[must_use]
     pub fn allows_zone(&self, zone: &ZoneName) -> bool {
         let is_claimed = self
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -148,7 +148,7 @@
         Verdict::Accepted
     }
 
-    /// Tells whether the action was not executed within its window.
+    /// Returns whether the action was not executed within its window.
     fn has_missed_window(&self, name: &VmName, claim: &Claim) -> bool {
         let is_same_incarnation = self
             .vms
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -78,7 +78,7 @@
 }
 
 impl JobState {
-    /// Tells whether the job is in a final phase.
+    /// Returns whether the job is in a final phase.
     #[must_use]
     pub fn is_final(&self) -> bool {
         matches!(
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -25,7 +25,7 @@
     pub key: RequestKey,
     /// Digest of the request.
     pub request_digest: u64,
-    /// Node that executes the request and caches its answer.
+    /// Node that executes the request and stores its response.
     pub holder: NodeName,
     /// Incarnation of that node.
     pub incarnation: u64,
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -156,7 +156,7 @@
         Verdict::Accepted
     }
 
-    /// Tells whether an attempt on an unreachable VM has certainly ended.
+    /// Returns whether an attempt on an unreachable VM has certainly ended.
     ///
     /// An unreachable VM may still run the attempt. The attempt has ended if the VM has a new
     /// incarnation, is no longer declared, or has failed for longer than the attempt's lease.
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -49,7 +49,7 @@
         self.len
     }
 
-    /// Tells whether the table has no rows.
+    /// Returns whether the table has no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
--- a/crates/state/src/verdict.rs
+++ b/crates/state/src/verdict.rs
@@ -18,7 +18,7 @@
 }
 
 impl Verdict {
-    /// Tells whether the proposal was accepted.
+    /// Returns whether the proposal was accepted.
     #[must_use]
     pub fn is_accepted(&self) -> bool {
         matches!(self, Self::Accepted)
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -83,7 +83,7 @@
 }
 
 impl VmState {
-    /// Tells whether the VM counts as available in its pool.
+    /// Returns whether the VM counts as available in its pool.
     #[must_use]
     pub fn is_available(&self) -> bool {
         self.phase == VmPhase::Live && self.claim.is_none()
