--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns whether to fetch a newer configuration before answering a request, and records the
+/// Returns whether to fetch a newer configuration before responding to a request, and records the
 /// attempt.
 ///
 /// An authorized request needs no fetch here unless this node is the owner, since the owner checks
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -52,7 +52,7 @@
     probed_ms: u64,
 }
 
-/// Result of a probe; `health` is `None` if the endpoint did not answer.
+/// Result of a probe; `health` is `None` if the endpoint did not respond.
 #[derive(Debug)]
 struct ProbeResult {
     vm: VmName,
@@ -222,7 +222,7 @@
             let mut health = probe(client.as_ref(), &vm.name).await;
             if health.is_none() {
                 // When a paused node resumes, its probes have timed out although the endpoints
-                // answered. The second probe keeps it from reporting healthy VMs as failed.
+                // responded. The second probe keeps it from reporting healthy VMs as failed.
                 probe_ms = clock.now_ms();
                 health = probe(client.as_ref(), &vm.name).await;
             }
@@ -284,7 +284,7 @@
 /// Returns the report on a probed VM, if it changes anything.
 fn report_from_probe(state: &FleetState, result: &ProbeResult) -> Option<VmReport> {
     let vm = state.vms().get(result.vm.as_str())?;
-    // A leaving VM may still answer as healthy; only its next incarnation is live again.
+    // A leaving VM may still report itself healthy; only its next incarnation is live again.
     let is_leaving = |health: &Health| {
         health.leaving || vm.phase == VmPhase::Leaving && health.incarnation == vm.incarnation
     };
