--- a/crates/gateway/src/keyed_requests.rs
+++ b/crates/gateway/src/keyed_requests.rs
@@ -130,7 +130,7 @@
 
     /// Refuses keys so old that earlier attempts may no longer be recorded.
     fn check_age(&self, request: &CallerRequest) -> Result<(), Refusal> {
-        let retention_ms = self.node.state().key_keep_ms();
+        let retention_ms = self.node.state().key_retention_ms();
         match check_key_age(request.issued_ms, self.node.clock().now_ms(), retention_ms) {
             KeyAge::Valid => Ok(()),
             KeyAge::Expired => Err(Refusal::may_have_run(
--- a/crates/gateway/tests/at_most_once.rs
+++ b/crates/gateway/tests/at_most_once.rs
@@ -145,7 +145,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn expired_key_is_refused() {
     let fleet = Fleet::start(FleetOptions::default()).await;
-    let retention_ms = fleet.nodes[0].node.state().key_keep_ms();
+    let retention_ms = fleet.nodes[0].node.state().key_retention_ms();
     let issued_ms = Clock::system().now_ms() - retention_ms;
     let request = renewal("lotion-7", "").with_header(ISSUED_HEADER, issued_ms.to_string());
     let answer = fleet.nodes[0].call(&request).await.expect("an answer");
--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/fleet.rs
@@ -221,7 +221,7 @@
 
     /// Returns the retention of idempotency keys, in milliseconds.
     #[must_use]
-    pub fn key_keep_ms(&self) -> u64 {
+    pub fn key_retention_ms(&self) -> u64 {
         self.policy()
             .map_or(DEFAULT_KEY_RETENTION_MS, |policy| policy.key_keep_ms)
     }
@@ -353,7 +353,7 @@
     }
 
     fn add_intent(&mut self, entry: KeyEntry) -> Verdict {
-        let retention_ms = self.key_keep_ms();
+        let retention_ms = self.key_retention_ms();
         let limit = self
             .policy()
             .map_or(DEFAULT_KEY_LIMIT, |policy| policy.key_limit as usize);
