--- a/crates/controller/src/access.rs
+++ b/crates/controller/src/access.rs
@@ -60,8 +60,8 @@
         CompactString::default()
     } else {
         let key = credentials.key.map_err(Denial::InvalidKey)?;
-        let holder = config.accounts.holder_of(&key);
-        holder.ok_or(Denial::UnknownKey)?.name.clone()
+        let account = config.accounts.find_by_key(&key);
+        account.ok_or(Denial::UnknownKey)?.name.clone()
     };
     let rest = &credentials.path[queue.path_prefix.len()..];
     let job = match rest {
--- a/crates/engine/src/accounts.rs
+++ b/crates/engine/src/accounts.rs
@@ -144,7 +144,7 @@
         let mut shared = Vec::new();
         for account in &self.accounts {
             for &key in &account.keys {
-                let holder = self.holder_of(&key);
+                let holder = self.find_by_key(&key);
                 if let Some(holder) = holder.filter(|holder| holder.name != account.name) {
                     shared.push(SharedKey {
                         key,
@@ -159,7 +159,7 @@
 
     /// Returns the account that a key identifies.
     #[must_use]
-    pub fn holder_of(&self, key: &KeyDigest) -> Option<&ClientAccount> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&ClientAccount> {
         let index = self.keys.binary_search_by_key(key, |(known, _)| *known);
         let (_, account) = self.keys[index.ok()?];
         self.accounts.get(usize::try_from(account).ok()?)
--- a/crates/engine/tests/quotas.rs
+++ b/crates/engine/tests/quotas.rs
@@ -278,7 +278,7 @@
         let holding = |name| ClientAccount { keys: vec![key], ..account(name, 0) };
         for accounts in [["post", "maps"], ["maps", "post"]] {
             let accounts = ClientAccounts::new(accounts.map(holding).to_vec());
-            assert_eq!(accounts.holder_of(&key).expect("a holder").name, "maps");
+            assert_eq!(accounts.find_by_key(&key).expect("a holder").name, "maps");
             let shared = accounts.shared_keys();
             assert_eq!(shared.len(), 1);
             assert_eq!((shared[0].holder.as_str(), shared[0].ignored_account.as_str()), ("maps", "post"));
