--- a/crates/api/tests/api/common.rs
+++ b/crates/api/tests/api/common.rs
@@ -6,7 +6,7 @@
     lynxwheel_coordination::{BackgroundThreads, Node, NodeIdentity, NodeSettings},
     lynxwheel_protocol::Kind,
     lynxwheel_standin::{Faults, PlatformServer, VmTemplate},
-    lynxwheel_transport::{Answer, Client, ClientRequest, Server, ServerLimits, Shutdown},
+    lynxwheel_transport::{Client, ClientRequest, ClientResponse, Server, ServerLimits, Shutdown},
     serde_json::{Value, json},
     std::{
         net::SocketAddr,
@@ -89,12 +89,12 @@
     }
 }
 
-pub fn json(answer: &Answer) -> Value {
+pub fn json(answer: &ClientResponse) -> Value {
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
 /// Status and problem as one text, for snapshots.
-pub fn shown(answer: &Answer) -> String {
+pub fn shown(answer: &ClientResponse) -> String {
     let body = serde_json::to_string_pretty(&json(answer)).expect("JSON");
     format!("{}\n{body}", answer.status.as_u16())
 }
@@ -109,19 +109,19 @@
 }
 
 impl TestNode {
-    pub async fn call(&self, request: &ClientRequest) -> Answer {
+    pub async fn call(&self, request: &ClientRequest) -> ClientResponse {
         self.client.call(request, LIMIT).await.expect("an answer")
     }
 
-    pub async fn get(&self, path: &str) -> Answer {
+    pub async fn get(&self, path: &str) -> ClientResponse {
         self.call(&ClientRequest::new(Method::GET, path)).await
     }
 
-    pub async fn put(&self, path: &str, document: &Value) -> Answer {
+    pub async fn put(&self, path: &str, document: &Value) -> ClientResponse {
         self.call(&put(path, document)).await
     }
 
-    pub async fn delete(&self, path: &str) -> Answer {
+    pub async fn delete(&self, path: &str) -> ClientResponse {
         self.call(&ClientRequest::new(Method::DELETE, path)).await
     }
 
--- a/crates/gateway/tests/at_most_once.rs
+++ b/crates/gateway/tests/at_most_once.rs
@@ -7,11 +7,11 @@
     http::StatusCode,
     lynxwheel_coordination::Clock,
     lynxwheel_gateway::{DID_NOT_RUN_HEADER, ISSUED_HEADER, KeyAge, key_age, uuid_v7_ms},
-    lynxwheel_transport::Answer,
+    lynxwheel_transport::ClientResponse,
     std::time::Duration,
 };
 
-fn reason(answer: &Answer) -> String {
+fn reason(answer: &ClientResponse) -> String {
     let value: serde_json::Value = serde_json::from_slice(&answer.body).expect("a refusal");
     value["reason"].as_str().unwrap_or_default().to_owned()
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -14,7 +14,9 @@
         Amount, Budget, PoolSpec, RecordBody, Resource, ServiceSpec, VmPhase, VmSpec,
     },
     lynxwheel_standin::{PlatformServer, RunEntry, VmTemplate},
-    lynxwheel_transport::{Answer, Body, Client, ClientRequest, Server, Shutdown, TransportError},
+    lynxwheel_transport::{
+        Body, Client, ClientRequest, ClientResponse, Server, Shutdown, TransportError,
+    },
     std::{
         net::SocketAddr,
         sync::atomic::{AtomicU32, Ordering},
@@ -123,7 +125,7 @@
     }
 
     /// Sends a request.
-    pub async fn call(&self, request: &ClientRequest) -> Result<Answer, TransportError> {
+    pub async fn call(&self, request: &ClientRequest) -> Result<ClientResponse, TransportError> {
         self.callers.call(request, LIMIT).await
     }
 
@@ -340,7 +342,7 @@
 }
 
 /// Checks that an answer is whole and that of the request with this id.
-pub fn assert_own(answer: &Answer, id: &str) {
+pub fn assert_own(answer: &ClientResponse, id: &str) {
     let text = String::from_utf8_lossy(&answer.body);
     assert_eq!(answer.status, StatusCode::OK, "{text}");
     assert!(text.starts_with(&format!("request={id} ")), "{text}");
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -8,7 +8,7 @@
     lynxwheel_decisions::slot_shares,
     lynxwheel_gateway::{CLASS_HEADER, DEADLINE_HEADER, DID_NOT_RUN_HEADER, TEAM_HEADER},
     lynxwheel_protocol::{NodeName, VmName},
-    lynxwheel_transport::{Answer, ClientRequest},
+    lynxwheel_transport::{ClientRequest, ClientResponse},
     std::{sync::Arc, time::Duration},
     tokio::task::JoinSet,
 };
@@ -18,11 +18,11 @@
         .with_header("x-request-id", id)
 }
 
-async fn ask(node: &TestNode, id: &str, query: &str) -> Answer {
+async fn ask(node: &TestNode, id: &str, query: &str) -> ClientResponse {
     node.call(&refresh(id, query)).await.expect("an answer")
 }
 
-fn not_started(answer: &Answer) -> bool {
+fn not_started(answer: &ClientResponse) -> bool {
     answer.header(DID_NOT_RUN_HEADER) == Some("true")
 }
 
--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/exchange.rs
@@ -3,7 +3,7 @@
 use {
     crate::args::LoadArgs,
     http::{Method, StatusCode},
-    lynxwheel_transport::{Answer, Client, ClientRequest, Step, TransportError},
+    lynxwheel_transport::{Client, ClientRequest, ClientResponse, Step, TransportError},
     std::time::Duration,
 };
 
@@ -103,7 +103,7 @@
         }
     }
 
-    fn check(&self, number: u64, answer: &Answer) -> Ending {
+    fn check(&self, number: u64, answer: &ClientResponse) -> Ending {
         if answer.header(DID_NOT_RUN_HEADER) == Some("true") {
             return Ending::Refused;
         }
--- a/crates/lynxctl/src/client.rs
+++ b/crates/lynxctl/src/client.rs
@@ -9,7 +9,9 @@
         OperationView, Problem, ProblemReason, Resource, ResourceList, ResourceRef, ResourceView,
         WatchEvent, WriteAnswer,
     },
-    lynxwheel_transport::{Answer, Body, Client, ClientRequest, TransportError, empty_body},
+    lynxwheel_transport::{
+        Body, Client, ClientRequest, ClientResponse, TransportError, empty_body,
+    },
     serde::de::DeserializeOwned,
     std::{
         net::SocketAddr,
@@ -290,7 +292,10 @@
     ///
     /// A write that may have been sent is not sent to another server: both could apply it, and
     /// the second answer would hide the first.
-    async fn call(&self, request: &ClientRequest) -> Result<(SocketAddr, Answer), CtlError> {
+    async fn call(
+        &self,
+        request: &ClientRequest,
+    ) -> Result<(SocketAddr, ClientResponse), CtlError> {
         let mut last = None;
         for row in self.order() {
             let server = &self.servers[row];
@@ -381,7 +386,7 @@
 fn decode<T: DeserializeOwned>(
     what: &str,
     peer: SocketAddr,
-    answer: &Answer,
+    answer: &ClientResponse,
 ) -> Result<T, CtlError> {
     if answer.status != StatusCode::OK {
         return Err(refusal(what, peer, &answer.body));
--- a/crates/lynxwheel/tests/common/mod.rs
+++ b/crates/lynxwheel/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use {
     http::{Method, StatusCode},
     lynxwheel_protocol::{Amount, Budget, PoolSpec, Resource, ServiceSpec, VmSpec},
-    lynxwheel_transport::{Answer, Client, ClientRequest, TransportError},
+    lynxwheel_transport::{Client, ClientRequest, ClientResponse, TransportError},
     serde_json::Value,
     std::{
         env, fs,
@@ -300,7 +300,7 @@
     }
 
     /// Sends a caller's request.
-    pub async fn call(&self, request: &ClientRequest) -> Result<Answer, TransportError> {
+    pub async fn call(&self, request: &ClientRequest) -> Result<ClientResponse, TransportError> {
         self.callers.call(request, CALL_LIMIT).await
     }
 
--- a/crates/lynxwheel/tests/proof/load.rs
+++ b/crates/lynxwheel/tests/proof/load.rs
@@ -7,7 +7,7 @@
         common::LIMIT,
     },
     http::{Method, StatusCode},
-    lynxwheel_transport::{Answer, Client, ClientRequest},
+    lynxwheel_transport::{Client, ClientRequest, ClientResponse},
     std::{
         sync::{
             Arc,
@@ -145,7 +145,7 @@
     }
 }
 
-fn judge(answer: &Answer, name: &str, request: &ClientRequest) -> Verdict {
+fn judge(answer: &ClientResponse, name: &str, request: &ClientRequest) -> Verdict {
     if answer.header("lynxwheel-did-not-run") == Some("true") {
         return Verdict::DidNotRun;
     }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -11,7 +11,7 @@
         LONG_RUNNING_PAYLOAD, QueueSpec, api_key_header, decode_job_state, encode_job, is_count,
         timeout_header,
     },
-    lynxwheel_transport::{Answer, ClientRequest, Clients},
+    lynxwheel_transport::{ClientRequest, ClientResponse, Clients},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn call(&self, node: usize, request: &ClientRequest) -> Option<Answer> {
+    async fn call(&self, node: usize, request: &ClientRequest) -> Option<ClientResponse> {
         let limit = Duration::from_millis(WAIT_MS + SLACK_MS);
         let client = self.clients.get(self.nodes[node]);
         client.call(request, limit).await.ok()
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -78,7 +78,7 @@
 
 /// Whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ClientResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -87,7 +87,7 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl ClientResponse {
     /// Returns the value of a header as text.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -204,7 +204,7 @@
         &self,
         request: &ClientRequest,
         limit: Duration,
-    ) -> Result<Answer, TransportError> {
+    ) -> Result<ClientResponse, TransportError> {
         let deadline = Instant::now() + limit;
         let peer = self.inner.peer;
         let response = self.send(self.build(request)?, deadline).await?;
@@ -213,7 +213,7 @@
             .await
             .map_err(|_| TransportError::sent(Step::ReadBody, peer, "timeout"))?
             .map_err(|error| TransportError::sent(Step::ReadBody, peer, error.to_string()))?;
-        Ok(Answer {
+        Ok(ClientResponse {
             status: parts.status,
             headers: parts.headers,
             body: collected.to_bytes(),
@@ -225,7 +225,7 @@
     /// # Errors
     ///
     /// Fails as [`Client::call`] does.
-    pub async fn get(&self, path: &str, limit: Duration) -> Result<Answer, TransportError> {
+    pub async fn get(&self, path: &str, limit: Duration) -> Result<ClientResponse, TransportError> {
         self.call(&ClientRequest::new(Method::GET, path), limit)
             .await
     }
@@ -238,7 +238,11 @@
     /// # Errors
     ///
     /// Fails as [`Client::call`] does, when nothing comes for `stall`.
-    pub async fn download(&self, path: &str, stall: Duration) -> Result<Answer, TransportError> {
+    pub async fn download(
+        &self,
+        path: &str,
+        stall: Duration,
+    ) -> Result<ClientResponse, TransportError> {
         let peer = self.inner.peer;
         let request = self.build(&ClientRequest::new(Method::GET, path))?;
         let response = self.send(request, Instant::now() + stall).await?;
@@ -255,7 +259,7 @@
                 bytes.extend_from_slice(&data);
             }
         }
-        Ok(Answer {
+        Ok(ClientResponse {
             status: parts.status,
             headers: parts.headers,
             body: bytes.freeze(),
@@ -396,7 +400,7 @@
 
 fn decode_answer<A: DeserializeOwned>(
     peer: SocketAddr,
-    answer: &Answer,
+    answer: &ClientResponse,
 ) -> Result<A, TransportError> {
     if answer.status != StatusCode::OK {
         let text = String::from_utf8_lossy(&answer.body);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -23,7 +23,7 @@
 mod stream;
 
 pub use body::{Body, BodyError, Gathered, empty_body, full_body, gather_body};
-pub use client::{Answer, Client, ClientRequest, Clients};
+pub use client::{Client, ClientRequest, ClientResponse, Clients};
 pub use error::{Step, TransportError};
 pub use server::{
     Server, ServerLimits, Shutdown, collect_body, error_answer, json_answer, message_answer,
