--- a/crates/api/src/answers.rs
+++ b/crates/api/src/answers.rs
@@ -7,12 +7,12 @@
         CURRENT_HEADER, FieldError, Problem, ProblemReason, REVISION_HEADER, Resource,
     },
     lynxwheel_state::{FleetState, Rejection},
-    lynxwheel_transport::{Body, json_answer},
+    lynxwheel_transport::{Body, json_response},
 };
 
 /// Answers with a problem.
 pub(crate) fn problem_answer(problem: &Problem) -> Response<Body> {
-    let mut answer = json_answer(status_of(problem.reason), problem);
+    let mut answer = json_response(status_of(problem.reason), problem);
     if problem.reason == ProblemReason::Unauthenticated {
         let scheme = HeaderValue::from_static("Bearer");
         answer
--- a/crates/api/src/handler.rs
+++ b/crates/api/src/handler.rs
@@ -21,7 +21,7 @@
         ProblemReason, ResourceRef,
     },
     lynxwheel_state::FleetState,
-    lynxwheel_transport::{Body, Shutdown, json_answer},
+    lynxwheel_transport::{Body, Shutdown, json_response},
     std::sync::Arc,
     tokio::sync::Semaphore,
 };
@@ -105,7 +105,7 @@
                 if query.watch {
                     return self.watch(kind, query);
                 }
-                Ok(json_answer(StatusCode::OK, &self.list(kind, &query)?))
+                Ok(json_response(StatusCode::OK, &self.list(kind, &query)?))
             }
             (Action::Get, Target::Resource(reference)) => {
                 expect_none(query)?;
@@ -122,9 +122,9 @@
                 write::delete(&self.node, &reference, request).await
             }
             (Action::GetOperation, Target::Operation(text)) => self.operation(&text),
-            (Action::ListOperations, _) => Ok(json_answer(StatusCode::OK, &self.operations())),
-            (Action::ListMoves, _) => Ok(json_answer(StatusCode::OK, &self.moves())),
-            (Action::OpenApi, _) => Ok(json_answer(StatusCode::OK, &openapi())),
+            (Action::ListOperations, _) => Ok(json_response(StatusCode::OK, &self.operations())),
+            (Action::ListMoves, _) => Ok(json_response(StatusCode::OK, &self.moves())),
+            (Action::OpenApi, _) => Ok(json_response(StatusCode::OK, &openapi())),
             // The routes pair no other action with these targets.
             _ => Err(Problem::new(ProblemReason::NotFound, "no such path")),
         }
@@ -132,7 +132,7 @@
 
     fn get(&self, reference: &ResourceRef) -> Result<Response<Body>, Problem> {
         let view = view(&self.node.state(), reference).ok_or_else(|| not_declared(reference))?;
-        Ok(json_answer(StatusCode::OK, &view))
+        Ok(json_response(StatusCode::OK, &view))
     }
 
     fn explain(&self, reference: &ResourceRef) -> Result<Response<Body>, Problem> {
@@ -148,7 +148,7 @@
             current,
             explanation: explanation.to_string(),
         };
-        Ok(json_answer(StatusCode::OK, &view))
+        Ok(json_response(StatusCode::OK, &view))
     }
 
     fn operation(&self, text: &str) -> Result<Response<Body>, Problem> {
@@ -164,7 +164,7 @@
             observed_revision: self.node.state().offset(),
             current,
         };
-        Ok(json_answer(StatusCode::OK, &view))
+        Ok(json_response(StatusCode::OK, &view))
     }
 
     fn operations(&self) -> OperationList {
--- a/crates/api/src/write.rs
+++ b/crates/api/src/write.rs
@@ -13,7 +13,7 @@
         parse_resource,
     },
     lynxwheel_state::{FleetState, Verdict},
-    lynxwheel_transport::{Body, collect_body, json_answer},
+    lynxwheel_transport::{Body, collect_body, json_response},
     std::time::Duration,
     tokio::time::timeout,
 };
@@ -148,7 +148,7 @@
 }
 
 fn written(reference: &ResourceRef, decision: &ProposalOutcome) -> Response<Body> {
-    json_answer(
+    json_response(
         StatusCode::OK,
         &WriteAnswer {
             reference: reference.clone(),
@@ -161,7 +161,7 @@
 
 fn trial(reference: &ResourceRef, state: &FleetState) -> Response<Body> {
     let declared = state.declared(reference);
-    json_answer(
+    json_response(
         StatusCode::OK,
         &WriteAnswer {
             reference: reference.clone(),
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -15,7 +15,7 @@
     lynxwheel_platform::{
         caller_key, caller_timeout_ms, decode_job, encode_job_state, encode_pending_count,
     },
-    lynxwheel_transport::{Body, Server, collect_body, error_answer, full_body},
+    lynxwheel_transport::{Body, Server, collect_body, error_response, full_body},
     metrics::{counter, histogram},
     std::{io, sync::Arc, time::Duration},
     tokio::time::{Instant, sleep, timeout},
@@ -132,7 +132,7 @@
             "request denied"
         );
     }
-    error_answer(status, &reason)
+    error_response(status, &reason)
 }
 
 fn request_host(request: &Request<Incoming>) -> String {
@@ -164,7 +164,7 @@
     };
     let spec = match decode_job(&body) {
         Ok(spec) => Box::new(spec),
-        Err(error) => return error_answer(StatusCode::BAD_REQUEST, &error),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error),
     };
     // Cached before the owner is asked, since a delegate may fetch the payload before the owner
     // responds.
@@ -178,16 +178,16 @@
     };
     let response = request_owner(node, "submit", authorized, build_request).await;
     match response {
-        Ok(OwnerResponse::Accepted) => error_answer(StatusCode::OK, ""),
+        Ok(OwnerResponse::Accepted) => error_response(StatusCode::OK, ""),
         Ok(OwnerResponse::Refused | OwnerResponse::NotOwner) => {
             unavailable("not accepted; it never runs")
         }
-        Ok(OwnerResponse::OverQuota) => error_answer(
+        Ok(OwnerResponse::OverQuota) => error_response(
             StatusCode::TOO_MANY_REQUESTS,
             "not accepted; it never runs: a task or gang takes more than the account may have running",
         ),
         Ok(OwnerResponse::OtherAccount) => other_account_response(),
-        Ok(_) => error_answer(
+        Ok(_) => error_response(
             StatusCode::GATEWAY_TIMEOUT,
             "whether it was accepted is not known",
         ),
@@ -202,7 +202,7 @@
     };
     match request_owner(node, "state", authorized, build_request).await {
         Ok(OwnerResponse::State(state)) => json_response(encode_job_state(state)),
-        Ok(OwnerResponse::Unknown) => error_answer(StatusCode::GONE, "no such job"),
+        Ok(OwnerResponse::Unknown) => error_response(StatusCode::GONE, "no such job"),
         Ok(OwnerResponse::OtherAccount) => other_account_response(),
         Ok(_) => unavailable("no owner to ask"),
         Err(denied) => denied,
@@ -215,11 +215,11 @@
         account: access.account.clone(),
     };
     match request_owner(node, "cancel", authorized, build_request).await {
-        Ok(OwnerResponse::Cancelled) => error_answer(StatusCode::OK, ""),
-        Ok(OwnerResponse::Unknown) => error_answer(StatusCode::GONE, "no such job"),
+        Ok(OwnerResponse::Cancelled) => error_response(StatusCode::OK, ""),
+        Ok(OwnerResponse::Unknown) => error_response(StatusCode::GONE, "no such job"),
         Ok(OwnerResponse::OtherAccount) => other_account_response(),
         Ok(OwnerResponse::Refused | OwnerResponse::NotOwner) => unavailable("no owner to ask"),
-        Ok(_) => error_answer(
+        Ok(_) => error_response(
             StatusCode::GATEWAY_TIMEOUT,
             "whether it was cancelled is not known",
         ),
@@ -239,7 +239,7 @@
 }
 
 fn other_account_response() -> Response<Body> {
-    error_answer(
+    error_response(
         StatusCode::FORBIDDEN,
         "the job belongs to another account; nothing was done",
     )
@@ -437,7 +437,7 @@
 }
 
 fn unavailable(reason: &str) -> Response<Body> {
-    let mut response = error_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, reason);
     response
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
@@ -445,7 +445,7 @@
 }
 
 fn method_not_allowed(methods: &'static str) -> Response<Body> {
-    let mut response = error_answer(StatusCode::METHOD_NOT_ALLOWED, "no such method here");
+    let mut response = error_response(StatusCode::METHOD_NOT_ALLOWED, "no such method here");
     response
         .headers_mut()
         .insert(header::ALLOW, HeaderValue::from_static(methods));
--- a/crates/controller/src/peer_server.rs
+++ b/crates/controller/src/peer_server.rs
@@ -19,7 +19,9 @@
     hyper::body::Incoming,
     lynxwheel_engine::FleetConfig,
     lynxwheel_protocol::{MAX_MESSAGE_BYTES, decode_message},
-    lynxwheel_transport::{Body, Server, collect_body, error_answer, full_body, message_answer},
+    lynxwheel_transport::{
+        Body, Server, collect_body, error_response, full_body, message_response,
+    },
     serde::de::DeserializeOwned,
     std::{
         io,
@@ -49,36 +51,36 @@
 
 async fn handle_request(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
-        METRICS_PATH => error_answer(StatusCode::OK, &node.metrics.render()),
+        METRICS_PATH => error_response(StatusCode::OK, &node.metrics.render()),
         OWNER_PATH => match read_message::<OwnerRequest>(request).await {
             Ok(mut request) => {
                 if let Some(sender) = request.sender.take() {
                     fetch_newer_config(node, &request, sender.address).await;
                     node.record_member(sender);
                 }
-                message_answer(&handle_locally(node, request).await)
+                message_response(&handle_locally(node, request).await)
             }
             Err(response) => response,
         },
         CONFIG_PATH => match read_message::<ConfigRequest>(request).await {
-            Ok(request) => message_answer(&config_newer_than(node, request.version)),
+            Ok(request) => message_response(&config_newer_than(node, request.version)),
             Err(response) => response,
         },
         OWNERSHIP_PATH => match read_message(request).await {
-            Ok(request) => message_answer(&handle_ownership_request(node, &request)),
+            Ok(request) => message_response(&handle_ownership_request(node, &request)),
             Err(response) => response,
         },
         DELEGATE_CALLS_PATH => match read_message(request).await {
-            Ok(request) => message_answer(&node.delegate_worker.accept(node, request)),
+            Ok(request) => message_response(&node.delegate_worker.accept(node, request)),
             Err(response) => response,
         },
         DELEGATE_RESULTS_PATH => match read_message(request).await {
-            Ok(request) => message_answer(&accept_delegate_results(node, request).await),
+            Ok(request) => message_response(&accept_delegate_results(node, request).await),
             Err(response) => response,
         },
         path => match path.strip_prefix(PAYLOAD_PATH) {
             Some(job) => payload_response(node, job),
-            None => error_answer(StatusCode::NOT_FOUND, "no such path"),
+            None => error_response(StatusCode::NOT_FOUND, "no such path"),
         },
     }
 }
@@ -89,7 +91,7 @@
 ) -> Result<T, Response<Body>> {
     let bytes = collect_body(request.into_body(), MAX_MESSAGE_BYTES).await?;
     decode_message(&bytes)
-        .map_err(|error| error_answer(StatusCode::BAD_REQUEST, &error.to_string()))
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
 /// Returns the local owner handle, unless the sender knows a later epoch.
@@ -134,7 +136,7 @@
     let payload = job.parse().ok().and_then(|job| node.payloads.get(job));
     match payload {
         Some(payload) => Response::new(full_body(payload.to_string())),
-        None => error_answer(StatusCode::NOT_FOUND, "no such payload"),
+        None => error_response(StatusCode::NOT_FOUND, "no such payload"),
     }
 }
 
--- a/crates/controller/src/ready.rs
+++ b/crates/controller/src/ready.rs
@@ -3,7 +3,7 @@
 use {
     crate::node::Node,
     http::StatusCode,
-    lynxwheel_transport::{Server, error_answer},
+    lynxwheel_transport::{Server, error_response},
     std::{io, sync::Arc},
 };
 
@@ -25,7 +25,7 @@
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        error_answer(status, "")
+        error_response(status, "")
     };
     server.serve_with(shutdown, node, handler).await;
 }
--- a/crates/coordination/src/peer_server.rs
+++ b/crates/coordination/src/peer_server.rs
@@ -7,7 +7,7 @@
     log::warn,
     lynxwheel_protocol::{FOLD_VERSION, PeerEntries, PeerHello, PeerSnapshot, decode_message},
     lynxwheel_state::encode_snapshot,
-    lynxwheel_transport::{Body, collect_body, error_answer, message_answer},
+    lynxwheel_transport::{Body, collect_body, error_response, message_response},
 };
 
 /// Path of the periodic message.
@@ -29,7 +29,7 @@
             (&Method::POST, HELLO_PATH) => self.answer_hello(request).await,
             (&Method::GET, ENTRIES_PATH) => self.answer_entries(&request),
             (&Method::GET, SNAPSHOT_PATH) => self.answer_snapshot(),
-            _ => error_answer(StatusCode::NOT_FOUND, "no such path"),
+            _ => error_response(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
@@ -70,9 +70,9 @@
         match decode_message::<PeerHello>(&bytes) {
             Ok(hello) => {
                 self.note_hello(hello);
-                message_answer(&self.hello())
+                message_response(&self.hello())
             }
-            Err(error) => error_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
@@ -82,27 +82,27 @@
             .strip_prefix("from=")
             .and_then(|from| from.parse().ok());
         match from {
-            Some(from) => message_answer(&PeerEntries {
+            Some(from) => message_response(&PeerEntries {
                 entries: self.recent().from(from),
             }),
-            None => error_answer(StatusCode::BAD_REQUEST, "from is missing"),
+            None => error_response(StatusCode::BAD_REQUEST, "from is missing"),
         }
     }
 
     fn answer_snapshot(&self) -> Response<Body> {
         if self.has_diverged() {
-            return error_answer(StatusCode::SERVICE_UNAVAILABLE, "the state has diverged");
+            return error_response(StatusCode::SERVICE_UNAVAILABLE, "the state has diverged");
         }
         let state = self.state();
         match encode_snapshot(&state) {
-            Ok(bytes) => message_answer(&PeerSnapshot {
+            Ok(bytes) => message_response(&PeerSnapshot {
                 offset: state.offset(),
                 digest: state.digest(),
                 bytes,
             }),
             Err(error) => {
                 warn!(event = "snapshot_failed", offset = state.offset(); "{error}");
-                error_answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
+                error_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
             }
         }
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,7 +8,7 @@
     http::{Request, Response, StatusCode},
     hyper::body::Incoming,
     lynxwheel_protocol::{RequestKey, decode_message},
-    lynxwheel_transport::{Body, collect_body, error_answer, message_answer},
+    lynxwheel_transport::{Body, collect_body, error_response, message_response},
     serde::{Deserialize, Serialize},
     std::time::Duration,
     tokio::time::Instant,
@@ -62,13 +62,13 @@
         Err(answer) => return answer,
     };
     let Ok(question) = decode_message::<PeerAnswerRequest>(&bytes) else {
-        return error_answer(StatusCode::BAD_REQUEST, "no question for an answer");
+        return error_response(StatusCode::BAD_REQUEST, "no question for an answer");
     };
     if question.incarnation != incarnation {
-        return message_answer(&PeerAnswer::OtherRun);
+        return message_response(&PeerAnswer::OtherRun);
     }
     let Some(Attempt::Second { progress, .. }) = answers.find(question.key) else {
-        return message_answer(&PeerAnswer::NotKept);
+        return message_response(&PeerAnswer::NotKept);
     };
     let wait = Duration::from_millis(question.wait_ms.min(MAX_WAIT_MS));
     let answer = match wait_ended(progress, Instant::now() + wait).await {
@@ -78,5 +78,5 @@
         Some(Progress::Running) => PeerAnswer::Running,
         None => PeerAnswer::NotKept,
     };
-    message_answer(&answer)
+    message_response(&answer)
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -2,7 +2,7 @@
 
 use {
     http::{HeaderValue, Response, StatusCode, header},
-    lynxwheel_transport::{Body, json_answer},
+    lynxwheel_transport::{Body, json_response},
     serde::{Deserialize, Serialize},
 };
 
@@ -129,7 +129,7 @@
     /// Builds the answer.
     #[must_use]
     pub fn answer(&self) -> Response<Body> {
-        let mut response = json_answer(self.reason.status(), self);
+        let mut response = json_response(self.reason.status(), self);
         let headers = response.headers_mut();
         if self.reason.spoils_connection() {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -8,7 +8,7 @@
     lynxwheel_api::Api,
     lynxwheel_coordination::{BackgroundThreads, Node},
     lynxwheel_gateway::{Gateway, PEER_ANSWER_PATH, PEER_RUN_PATH},
-    lynxwheel_transport::{Body, Server, Shutdown, error_answer, json_answer},
+    lynxwheel_transport::{Body, Server, Shutdown, error_response, json_response},
     metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle},
     serde_json::json,
     std::{error::Error, fmt, io, net::SocketAddr, time::Duration},
@@ -243,7 +243,7 @@
             StatusCode::SERVICE_UNAVAILABLE
         };
         let offset = self.node.state().offset();
-        json_answer(
+        json_response(
             status,
             &json!({
                 "current": readiness.is_current,
@@ -261,7 +261,7 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let mut response = match (request.method(), request.uri().path()) {
-        (&Method::GET, "/livez") => json_answer(StatusCode::OK, &true),
+        (&Method::GET, "/livez") => json_response(StatusCode::OK, &true),
         (&Method::GET, "/readyz") => health.ready(),
         _ => gateway.handle(request).await,
     };
@@ -289,7 +289,7 @@
 ) -> Response<Body> {
     if request.uri().path() == "/metrics" {
         let text = metrics.map(|handle| handle.render()).unwrap_or_default();
-        return error_answer(StatusCode::OK, &text);
+        return error_response(StatusCode::OK, &text);
     }
     api.handle(request).await
 }
--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -11,7 +11,7 @@
     hyper::body::Incoming,
     lynxwheel_protocol::VmName,
     lynxwheel_transport::{
-        Body, BodyError, Server, ServerLimits, Shutdown, error_answer, full_body, json_answer,
+        Body, BodyError, Server, ServerLimits, Shutdown, error_response, full_body, json_response,
     },
     serde::{Deserialize, Serialize},
     std::{sync::Arc, time::Duration},
@@ -79,7 +79,7 @@
     let query = request.uri().query().unwrap_or_default().to_owned();
     let request_id = text_header(request.headers(), REQUEST_ID_HEADER);
     let Ok(body) = request.into_body().collect().await else {
-        return error_answer(StatusCode::BAD_REQUEST, "the body broke off");
+        return error_response(StatusCode::BAD_REQUEST, "the body broke off");
     };
     let work_ms = number(&query, "ms");
     if work_ms > 0 {
@@ -98,7 +98,7 @@
 fn health(shared: &Shared, vm: &VmName) -> Response<Body> {
     let platform = shared.platform();
     match platform.machine(vm.as_str()) {
-        Some(machine) if machine.is_up => json_answer(
+        Some(machine) if machine.is_up => json_response(
             StatusCode::OK,
             &serde_json::json!({
                 "vm": vm.as_str(),
@@ -108,7 +108,7 @@
                 "in_progress": machine.in_progress,
             }),
         ),
-        _ => error_answer(StatusCode::BAD_GATEWAY, "down"),
+        _ => error_response(StatusCode::BAD_GATEWAY, "down"),
     }
 }
 
@@ -161,7 +161,7 @@
 }
 
 fn refusal(reason: &str) -> Response<Body> {
-    let mut response = error_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, reason);
     response
         .headers_mut()
         .insert(NOT_STARTED_HEADER, not_started_value(reason));
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -11,7 +11,7 @@
     hyper::body::Incoming,
     lynxwheel_protocol::{ActionRequest, AppendAnswer, AppendRequest, TaskStart, decode_message},
     lynxwheel_transport::{
-        Body, Server, Shutdown, collect_body, error_answer, json_answer, message_answer,
+        Body, Server, Shutdown, collect_body, error_response, json_response, message_response,
     },
     std::{
         io,
@@ -185,9 +185,9 @@
         (&Method::POST, ["streams", name, "trim"]) => {
             let before = query_number(&query, "before").unwrap_or(0);
             shared.platform().log.trim(name, before);
-            json_answer(StatusCode::OK, &before)
+            json_response(StatusCode::OK, &before)
         }
-        (&Method::GET, ["vms"]) => message_answer(&shared.platform().vm_list(now_ms())),
+        (&Method::GET, ["vms"]) => message_response(&shared.platform().vm_list(now_ms())),
         (&Method::POST, ["vms", name, "actions"]) => act(&shared, name, request).await,
         (&Method::POST, ["vms", name, "tasks"]) => start_task(&shared, name, request).await,
         (&Method::POST, ["vms", name, "tasks", job, "stop"]) => {
@@ -197,9 +197,9 @@
         (&Method::GET, ["vms", name, "tasks"]) => list_tasks(&shared, name),
         (&Method::POST, ["vms", name, "leave"]) => leave(&shared, name),
         (&Method::POST, ["vms", name, "fail"]) => fail(&shared, name, &query),
-        (&Method::GET, ["runs"]) => json_answer(StatusCode::OK, &*shared.runs()),
+        (&Method::GET, ["runs"]) => json_response(StatusCode::OK, &*shared.runs()),
         (&Method::PUT, ["faults"]) => set_faults(&shared, request).await,
-        _ => error_answer(StatusCode::NOT_FOUND, "no such path"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
@@ -220,7 +220,7 @@
         let answer = shared.platform().log.read(name, from, max);
         let has_news = !answer.entries.is_empty() || from < answer.earliest_offset;
         if has_news || tokio::time::timeout_at(until, appended).await.is_err() {
-            return message_answer(&answer);
+            return message_response(&answer);
         }
     }
 }
@@ -233,7 +233,7 @@
     if slow_ms > 0 {
         tokio::time::sleep(Duration::from_millis(slow_ms)).await;
     }
-    is_down.then(|| error_answer(StatusCode::SERVICE_UNAVAILABLE, "the log service is down"))
+    is_down.then(|| error_response(StatusCode::SERVICE_UNAVAILABLE, "the log service is down"))
 }
 
 async fn append(shared: &Arc<Shared>, name: &str, request: Request<Incoming>) -> Response<Body> {
@@ -245,11 +245,11 @@
         Err(answer) => return answer,
     };
     let Ok(message) = decode_message::<AppendRequest>(&bytes) else {
-        return error_answer(StatusCode::BAD_REQUEST, "no append request");
+        return error_response(StatusCode::BAD_REQUEST, "no append request");
     };
     let limit = shared.platform().faults.appends_per_s;
     if !shared.is_within_rate(limit) {
-        return error_answer(StatusCode::TOO_MANY_REQUESTS, "too many appends");
+        return error_response(StatusCode::TOO_MANY_REQUESTS, "too many appends");
     }
     let late_ms = {
         let faults = &mut shared.platform().faults;
@@ -264,7 +264,7 @@
             message,
             late_ms,
         ));
-        return error_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
+        return error_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
     }
     let first_offset = shared.platform().log.append(name, message.entries);
     shared.appended.notify_waiters();
@@ -275,9 +275,9 @@
         is_lost
     };
     if is_lost {
-        return error_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
+        return error_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
     }
-    message_answer(&AppendAnswer { first_offset })
+    message_response(&AppendAnswer { first_offset })
 }
 
 async fn append_late(shared: Arc<Shared>, name: String, message: AppendRequest, late_ms: u64) {
@@ -294,10 +294,10 @@
     let mut platform = shared.platform();
     let reboot_ms = platform.reboot_ms;
     match platform.machine_mut(name) {
-        None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
+        None => error_response(StatusCode::NOT_FOUND, "no such VM"),
         Some(machine) => match machine.act(&action, now_ms(), reboot_ms) {
-            Ok(()) => message_answer(&true),
-            Err(reason) => error_answer(StatusCode::CONFLICT, &reason),
+            Ok(()) => message_response(&true),
+            Err(reason) => error_response(StatusCode::CONFLICT, &reason),
         },
     }
 }
@@ -310,39 +310,39 @@
     let mut platform = shared.platform();
     let fails = platform.fails_tasks(name);
     match platform.machine_mut(name) {
-        None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
+        None => error_response(StatusCode::NOT_FOUND, "no such VM"),
         // Nobody has heard from the worker, so this is no refusal of its own.
-        Some(machine) if !machine.is_up => error_answer(StatusCode::BAD_GATEWAY, "down"),
+        Some(machine) if !machine.is_up => error_response(StatusCode::BAD_GATEWAY, "down"),
         Some(machine) => match machine.start(&start, now_ms(), fails) {
-            Ok(()) => message_answer(&true),
-            Err(reason) => error_answer(StatusCode::CONFLICT, &reason),
+            Ok(()) => message_response(&true),
+            Err(reason) => error_response(StatusCode::CONFLICT, &reason),
         },
     }
 }
 
 fn stop_task(shared: &Shared, name: &str, job: &str, attempt: u32) -> Response<Body> {
     match shared.platform().machine_mut(name) {
-        None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
+        None => error_response(StatusCode::NOT_FOUND, "no such VM"),
         Some(machine) => {
             machine.stop(job, attempt);
-            message_answer(&true)
+            message_response(&true)
         }
     }
 }
 
 fn list_tasks(shared: &Shared, name: &str) -> Response<Body> {
     match shared.platform().machine(name) {
-        Some(machine) if machine.is_up => message_answer(&machine.reports()),
-        _ => error_answer(StatusCode::BAD_GATEWAY, "down"),
+        Some(machine) if machine.is_up => message_response(&machine.reports()),
+        _ => error_response(StatusCode::BAD_GATEWAY, "down"),
     }
 }
 
 fn leave(shared: &Shared, name: &str) -> Response<Body> {
     match shared.platform().machine_mut(name) {
-        None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
+        None => error_response(StatusCode::NOT_FOUND, "no such VM"),
         Some(machine) => {
             machine.is_leaving = true;
-            json_answer(StatusCode::OK, &true)
+            json_response(StatusCode::OK, &true)
         }
     }
 }
@@ -350,10 +350,10 @@
 fn fail(shared: &Shared, name: &str, query: &str) -> Response<Body> {
     let down_ms = query_number(query, "down_ms").unwrap_or(u64::MAX / 4);
     match shared.platform().machine_mut(name) {
-        None => error_answer(StatusCode::NOT_FOUND, "no such VM"),
+        None => error_response(StatusCode::NOT_FOUND, "no such VM"),
         Some(machine) => {
             machine.go_down(now_ms() + down_ms);
-            json_answer(StatusCode::OK, &true)
+            json_response(StatusCode::OK, &true)
         }
     }
 }
@@ -366,9 +366,9 @@
     match serde_json::from_slice::<Faults>(&bytes) {
         Ok(faults) => {
             shared.platform().faults = faults;
-            json_answer(StatusCode::OK, &true)
+            json_response(StatusCode::OK, &true)
         }
-        Err(error) => error_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
@@ -377,10 +377,15 @@
 ) -> Result<T, Response<Body>> {
     let bytes = match request.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return Err(error_answer(StatusCode::BAD_REQUEST, "the body broke off")),
+        Err(_) => {
+            return Err(error_response(
+                StatusCode::BAD_REQUEST,
+                "the body broke off",
+            ));
+        }
     };
     decode_message(&bytes)
-        .map_err(|error| error_answer(StatusCode::BAD_REQUEST, &error.to_string()))
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
 /// Returns the number of a query parameter.
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -26,6 +26,6 @@
 pub use client::{Client, ClientRequest, ClientResponse, Clients};
 pub use error::{Step, TransportError};
 pub use server::{
-    Server, ServerLimits, Shutdown, collect_body, error_answer, json_answer, message_answer,
+    Server, ServerLimits, Shutdown, collect_body, error_response, json_response, message_response,
 };
 pub use stream::{bounded_body, holding_body};
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -260,35 +260,38 @@
 pub async fn collect_body(body: Incoming, limit_bytes: usize) -> Result<Bytes, Response<Body>> {
     match Limited::new(body, limit_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(error_answer(
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body is too large",
         )),
-        Err(_) => Err(error_answer(StatusCode::BAD_REQUEST, "the body broke off")),
+        Err(_) => Err(error_response(
+            StatusCode::BAD_REQUEST,
+            "the body broke off",
+        )),
     }
 }
 
 /// Answers with JSON.
 #[must_use]
-pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
+pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => answer(status, "application/json", bytes),
-        Err(error) => error_answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+        Err(error) => error_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
 /// Answers with an encoded message.
 #[must_use]
-pub fn message_answer<T: Serialize>(message: &T) -> Response<Body> {
+pub fn message_response<T: Serialize>(message: &T) -> Response<Body> {
     match encode_message(message) {
         Ok(bytes) => answer(StatusCode::OK, "application/msgpack", bytes),
-        Err(error) => error_answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+        Err(error) => error_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
 /// Answers with a reason in plain text.
 #[must_use]
-pub fn error_answer(status: StatusCode, reason: &str) -> Response<Body> {
+pub fn error_response(status: StatusCode, reason: &str) -> Response<Body> {
     answer(status, "text/plain", reason.as_bytes().to_vec())
 }
 
