--- a/crates/api/src/write.rs
+++ b/crates/api/src/write.rs
@@ -9,7 +9,7 @@
     hyper::body::Incoming,
     lynxwheel_coordination::{Node, ProposalOutcome, ProposeError},
     lynxwheel_protocol::{
-        OperationId, Problem, ProblemReason, RecordBody, Resource, ResourceRef, WriteAnswer,
+        OperationId, Problem, ProblemReason, RecordBody, Resource, ResourceRef, WriteResponse,
         parse_resource,
     },
     lynxwheel_state::{FleetState, Verdict},
@@ -150,7 +150,7 @@
 fn written(reference: &ResourceRef, decision: &ProposalOutcome) -> Response<Body> {
     json_response(
         StatusCode::OK,
-        &WriteAnswer {
+        &WriteResponse {
             reference: reference.clone(),
             revision: decision.offset,
             dry_run: false,
@@ -163,7 +163,7 @@
     let declared = state.declared(reference);
     json_response(
         StatusCode::OK,
-        &WriteAnswer {
+        &WriteResponse {
             reference: reference.clone(),
             revision: declared.map_or(0, |declared| declared.revision),
             dry_run: true,
--- a/crates/coordination/src/log_client.rs
+++ b/crates/coordination/src/log_client.rs
@@ -1,7 +1,9 @@
 //! Client of the platform's log service.
 
 use {
-    lynxwheel_protocol::{AppendAnswer, AppendRequest, ReadAnswer, decode_message, encode_message},
+    lynxwheel_protocol::{
+        AppendRequest, AppendResponse, ReadResponse, decode_message, encode_message,
+    },
     lynxwheel_transport::{Client, ClientRequest, TransportError},
     std::{error, fmt, net::SocketAddr, time::Duration},
 };
@@ -99,7 +101,7 @@
                 reason: error.to_string(),
             })?;
         let request = ClientRequest::new(http::Method::POST, &self.path).with_body(bytes);
-        let answer: AppendAnswer = self.call(&request, APPEND_TIMEOUT_MS).await?;
+        let answer: AppendResponse = self.call(&request, APPEND_TIMEOUT_MS).await?;
         Ok(answer.first_offset)
     }
 
@@ -108,7 +110,12 @@
     /// # Errors
     ///
     /// Fails when the service cannot be reached or refuses.
-    pub async fn read(&self, from: u64, max: usize, wait_ms: u64) -> Result<ReadAnswer, LogError> {
+    pub async fn read(
+        &self,
+        from: u64,
+        max: usize,
+        wait_ms: u64,
+    ) -> Result<ReadResponse, LogError> {
         let path = format!("{}?from={from}&max={max}&wait_ms={wait_ms}", self.path);
         let request = ClientRequest::new(http::Method::GET, path);
         self.call(&request, wait_ms + READ_SLACK_MS).await
--- a/crates/coordination/src/reader.rs
+++ b/crates/coordination/src/reader.rs
@@ -9,7 +9,7 @@
     },
     kameo::actor::ActorRef,
     log::{error, warn},
-    lynxwheel_protocol::ReadAnswer,
+    lynxwheel_protocol::ReadResponse,
     std::time::Duration,
 };
 
@@ -70,7 +70,7 @@
 
 /// Hands entries to the fold.
 async fn hand_on(
-    answer: ReadAnswer,
+    answer: ReadResponse,
     next_offset: &mut u64,
     node: &Node,
     fold: &ActorRef<Fold>,
--- a/crates/coordination/src/recovery.rs
+++ b/crates/coordination/src/recovery.rs
@@ -8,7 +8,7 @@
         snapshot_chunks::SnapshotAssembler,
     },
     log::{error, info, warn},
-    lynxwheel_protocol::{PeerHello, PeerSnapshot, ReadAnswer, decode_chunk},
+    lynxwheel_protocol::{PeerHello, PeerSnapshot, ReadResponse, decode_chunk},
     lynxwheel_state::{FleetState, decode_snapshot},
     lynxwheel_transport::Client,
     std::time::Duration,
@@ -58,7 +58,7 @@
     }
 }
 
-async fn find(node: &Node, head: Option<&ReadAnswer>) -> Option<FleetState> {
+async fn find(node: &Node, head: Option<&ReadResponse>) -> Option<FleetState> {
     let served = node.state().offset();
     let earliest = head.map_or(0, |head| head.earliest_offset);
     let is_usable = |state: &FleetState| {
--- a/crates/lynxctl/src/client.rs
+++ b/crates/lynxctl/src/client.rs
@@ -7,7 +7,7 @@
     lynxwheel_protocol::{
         CURRENT_HEADER, ExplanationView, Kind, OperationId, OperationList, OperationOutcome,
         OperationView, Problem, ProblemReason, Resource, ResourceList, ResourceRef, ResourceView,
-        WatchEvent, WriteAnswer,
+        WatchEvent, WriteResponse,
     },
     lynxwheel_transport::{
         Body, Client, ClientRequest, ClientResponse, TransportError, empty_body,
@@ -157,7 +157,7 @@
         resource: &Resource,
         revision: u64,
         dry_run: bool,
-    ) -> Result<WriteAnswer, CtlError> {
+    ) -> Result<WriteResponse, CtlError> {
         let reference = resource.reference();
         let trial = if dry_run { "?dry_run=true" } else { "" };
         let body = serde_json::to_vec(resource).map_err(|error| CtlError::Setup {
@@ -176,7 +176,7 @@
     /// # Errors
     ///
     /// Fails as [`ApiClient::put`] does.
-    pub async fn delete(&self, reference: &ResourceRef) -> Result<WriteAnswer, CtlError> {
+    pub async fn delete(&self, reference: &ResourceRef) -> Result<WriteResponse, CtlError> {
         let request = self.request(Method::DELETE, path(reference));
         self.write(&format!("withdraw {reference}"), reference, &request)
             .await
@@ -247,9 +247,9 @@
         what: &str,
         reference: &ResourceRef,
         request: &ClientRequest,
-    ) -> Result<WriteAnswer, CtlError> {
+    ) -> Result<WriteResponse, CtlError> {
         let (peer, answer) = self.call(request).await?;
-        let refused = match decode::<WriteAnswer>(what, peer, &answer) {
+        let refused = match decode::<WriteResponse>(what, peer, &answer) {
             Err(error) => error,
             written => return written,
         };
@@ -260,7 +260,7 @@
         while Instant::now() < until {
             match self.operation(id).await.map(|view| view.outcome) {
                 Ok(OperationOutcome::Accepted { offset }) => {
-                    return Ok(WriteAnswer {
+                    return Ok(WriteResponse {
                         reference: reference.clone(),
                         revision: offset,
                         dry_run: false,
--- a/crates/lynxwheel/tests/proof/fleet.rs
+++ b/crates/lynxwheel/tests/proof/fleet.rs
@@ -9,7 +9,7 @@
     lynxwheel::audit,
     lynxwheel_coordination::Clock,
     lynxwheel_protocol::{
-        LogEntry, ReadAnswer, Resource, VmList, WaveAction, WaveGoal, WaveSpec, decode_record,
+        LogEntry, ReadResponse, Resource, VmList, WaveAction, WaveGoal, WaveSpec, decode_record,
     },
     lynxwheel_standin::{Faults, Relay, RunEntry},
     lynxwheel_state::FleetState,
@@ -199,7 +199,7 @@
         loop {
             let from = entries.last().map_or(1, |entry| entry.offset + 1);
             let path = format!("/streams/fleet?from={from}&max={MAX_READ}");
-            let answer: ReadAnswer = self
+            let answer: ReadResponse = self
                 .platform
                 .client
                 .fetch(&path, LIMIT)
--- a/crates/protocol/src/api.rs
+++ b/crates/protocol/src/api.rs
@@ -50,7 +50,7 @@
 
 /// Answer to a write.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct WriteAnswer {
+pub struct WriteResponse {
     /// What was written.
     pub reference: ResourceRef,
     /// Its new revision; the present one when nothing was changed.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -27,7 +27,7 @@
 pub use api::{
     CURRENT_HEADER, Condition, EndReason, ExplanationView, FINAL, FieldError, MoveList, MoveView,
     OperationId, OperationList, OperationOutcome, OperationView, Problem, ProblemReason, READY,
-    REVISION_HEADER, ResourceList, ResourceView, WatchEvent, WriteAnswer,
+    REVISION_HEADER, ResourceList, ResourceView, WatchEvent, WriteResponse,
 };
 pub use codec::{
     CodecError, MAX_MESSAGE_BYTES, MAX_RECORD_BYTES, decode_chunk, decode_message, decode_record,
@@ -39,7 +39,7 @@
 };
 pub use peer::{EndpointLoad, PeerEntries, PeerHello, PeerSnapshot};
 pub use platform::{
-    ActionRequest, AppendAnswer, AppendRequest, LogEntry, ReadAnswer, TaskReport, TaskStart,
+    ActionRequest, AppendRequest, AppendResponse, LogEntry, ReadResponse, TaskReport, TaskStart,
     TaskState, VmAction, VmEntry, VmList, VmListState,
 };
 pub use record::{
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -19,7 +19,7 @@
 
 /// Where appended entries stand.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct AppendAnswer {
+pub struct AppendResponse {
     /// Offset of the first entry.
     pub first_offset: u64,
 }
@@ -36,7 +36,7 @@
 
 /// Entries read from a stream.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ReadAnswer {
+pub struct ReadResponse {
     /// Lowest offset that is still kept.
     pub earliest_offset: u64,
     /// Offset that the next append gets.
--- a/crates/protocol/tests/encodings.rs
+++ b/crates/protocol/tests/encodings.rs
@@ -2,13 +2,13 @@
 
 use {
     lynxwheel_protocol::{
-        ActionRequest, Amount, AppendAnswer, AppendRequest, Budget, ClaimPurpose, Class,
+        ActionRequest, Amount, AppendRequest, AppendResponse, Budget, ClaimPurpose, Class,
         CodecError, EndpointLoad, JobOutcome, JobSpec, KeyOutcome, Kind, LogEntry, PeerEntries,
-        PeerHello, PeerSnapshot, PolicySpec, PoolSpec, ReadAnswer, Record, RecordBody, RequestKey,
-        Resource, ResourceRef, Resources, ServiceSpec, SnapshotChunk, SnapshotId, TaskReport,
-        TaskStart, TaskState, TeamSpec, VmAction, VmEntry, VmList, VmListState, VmPhase, VmReport,
-        VmSpec, WaveAction, WaveGoal, WaveSpec, Weights, WriterId, decode_chunk, decode_message,
-        decode_record, encode_chunk, encode_message, encode_record,
+        PeerHello, PeerSnapshot, PolicySpec, PoolSpec, ReadResponse, Record, RecordBody,
+        RequestKey, Resource, ResourceRef, Resources, ServiceSpec, SnapshotChunk, SnapshotId,
+        TaskReport, TaskStart, TaskState, TeamSpec, VmAction, VmEntry, VmList, VmListState,
+        VmPhase, VmReport, VmSpec, WaveAction, WaveGoal, WaveSpec, Weights, WriterId, decode_chunk,
+        decode_message, decode_record, encode_chunk, encode_message, encode_record,
     },
     serde::{Serialize, de::DeserializeOwned},
     std::fmt::Debug,
@@ -611,11 +611,11 @@
         "81a7656e747269657392c404017f80ffc40105";
 
     /// A node does not know where its records stand.
-    append_answer: AppendAnswer { first_offset: 70_000 } =>
+    append_answer: AppendResponse { first_offset: 70_000 } =>
         "81ac66697273745f6f6666736574ce00011170";
 
     /// The log cannot be read.
-    read_answer: ReadAnswer {
+    read_answer: ReadResponse {
         earliest_offset: 60_000,
         next_offset: 70_002,
         entries: entries(),
--- a/crates/scenario/src/node.rs
+++ b/crates/scenario/src/node.rs
@@ -2,7 +2,9 @@
 
 use {
     lynxwheel_coordination::{PublishedState, SnapshotAssembler},
-    lynxwheel_protocol::{NodeName, ReadAnswer, Record, VmName, WriterId, ZoneName, decode_record},
+    lynxwheel_protocol::{
+        NodeName, ReadResponse, Record, VmName, WriterId, ZoneName, decode_record,
+    },
     lynxwheel_state::{FleetState, Verdict},
     std::{error, fmt},
 };
@@ -92,7 +94,7 @@
     }
 
     /// Folds what follows the last folded entry; a gap is never skipped.
-    pub(crate) fn fold(&mut self, answer: &ReadAnswer) -> Result<Vec<Folded>, Trimmed> {
+    pub(crate) fn fold(&mut self, answer: &ReadResponse) -> Result<Vec<Folded>, Trimmed> {
         if self.state.offset() + 1 < answer.earliest_offset {
             return Err(Trimmed {
                 earliest_offset: answer.earliest_offset,
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -5,8 +5,8 @@
     lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_gateway::{PeerAnswer, PeerAnswerRequest},
     lynxwheel_protocol::{
-        ActionRequest, AppendAnswer, AppendRequest, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
-        MAX_REPORTS, PeerEntries, PeerHello, PeerSnapshot, ReadAnswer, Record, RecordBody,
+        ActionRequest, AppendRequest, AppendResponse, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
+        MAX_REPORTS, PeerEntries, PeerHello, PeerSnapshot, ReadResponse, Record, RecordBody,
         TaskReport, TaskStart, VmEntry, VmList, VmListState, VmPhase, VmReport, WriterId,
         decode_chunk, decode_message, decode_record, encode_chunk, encode_message, encode_record,
     },
@@ -84,7 +84,7 @@
         offset: 1,
         bytes: vec![1, 2, 3],
     };
-    let read = ReadAnswer {
+    let read = ReadResponse {
         earliest_offset: 1,
         next_offset: 2,
         entries: vec![entry],
@@ -118,14 +118,14 @@
 
 fn decode_all_messages(bytes: &[u8]) -> bool {
     decode_as::<ActionRequest>(bytes);
-    decode_as::<AppendAnswer>(bytes);
+    decode_as::<AppendResponse>(bytes);
     decode_as::<AppendRequest>(bytes);
     decode_as::<PeerAnswer>(bytes);
     decode_as::<PeerAnswerRequest>(bytes);
     decode_as::<PeerEntries>(bytes);
     decode_as::<PeerHello>(bytes);
     decode_as::<PeerSnapshot>(bytes);
-    decode_as::<ReadAnswer>(bytes);
+    decode_as::<ReadResponse>(bytes);
     decode_as::<Vec<TaskReport>>(bytes);
     decode_as::<TaskStart>(bytes);
     decode_as::<VmList>(bytes);
--- a/crates/standin/src/log_service.rs
+++ b/crates/standin/src/log_service.rs
@@ -1,6 +1,6 @@
 //! Append-only streams with offsets.
 
-use lynxwheel_protocol::{LogEntry, ReadAnswer};
+use lynxwheel_protocol::{LogEntry, ReadResponse};
 
 /// Streams by name.
 #[derive(Clone, Debug, Default)]
@@ -38,15 +38,15 @@
 
     /// Reads up to `max` entries from an offset.
     #[must_use]
-    pub fn read(&self, name: &str, from: u64, max: usize) -> ReadAnswer {
+    pub fn read(&self, name: &str, from: u64, max: usize) -> ReadResponse {
         let Some(stream) = self.stream(name) else {
-            return ReadAnswer {
+            return ReadResponse {
                 earliest_offset: 1,
                 next_offset: 1,
                 entries: Vec::new(),
             };
         };
-        let mut answer = ReadAnswer {
+        let mut answer = ReadResponse {
             earliest_offset: stream.trimmed_to + 1,
             next_offset: stream.next_offset(),
             entries: Vec::new(),
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -9,7 +9,7 @@
     http::{Method, Request, Response, StatusCode},
     http_body_util::BodyExt,
     hyper::body::Incoming,
-    lynxwheel_protocol::{ActionRequest, AppendAnswer, AppendRequest, TaskStart, decode_message},
+    lynxwheel_protocol::{ActionRequest, AppendRequest, AppendResponse, TaskStart, decode_message},
     lynxwheel_transport::{
         Body, Server, Shutdown, collect_body, error_response, json_response, message_response,
     },
@@ -277,7 +277,7 @@
     if is_lost {
         return error_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
     }
-    message_response(&AppendAnswer { first_offset })
+    message_response(&AppendResponse { first_offset })
 }
 
 async fn append_late(shared: Arc<Shared>, name: String, message: AppendRequest, late_ms: u64) {
