--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -15,7 +15,7 @@
     kameo::actor::ActorRef,
     log::{info, warn},
     lynxwheel_engine::{EndpointAddress, EndpointKey, Event},
-    lynxwheel_transport::{Client, Clients},
+    lynxwheel_transport::{Client, ClientPool},
     std::{
         net::SocketAddr,
         sync::{Arc, Mutex, PoisonError},
@@ -66,7 +66,7 @@
     epoch: u64,
     own_address: SocketAddr,
     actor: ActorRef<OwnerActor>,
-    clients: Arc<Clients>,
+    clients: Arc<ClientPool>,
     assignments: EndpointAssignments,
     /// Sorted by address.
     delegates: Vec<Delegate>,
@@ -81,7 +81,7 @@
         epoch: u64,
         own_address: SocketAddr,
         actor: ActorRef<OwnerActor>,
-        clients: Arc<Clients>,
+        clients: Arc<ClientPool>,
         assignments: EndpointAssignments,
     ) -> Self {
         Self {
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -17,7 +17,7 @@
     log::{info, warn},
     lynxwheel_engine::{EngineSettings, FleetConfig, WaveOrder},
     lynxwheel_platform::{PlatformSettings, StoreClient},
-    lynxwheel_transport::{Clients, Shutdown},
+    lynxwheel_transport::{ClientPool, Shutdown},
     std::{
         fmt, io,
         net::{IpAddr, SocketAddr},
@@ -111,7 +111,7 @@
     /// Client of the platform's store.
     pub store: StoreClient,
     /// HTTP clients for peers.
-    pub peers: Arc<Clients>,
+    pub peers: Arc<ClientPool>,
     /// Active configuration.
     pub config: ArcSwap<FleetConfig>,
     /// Monotonic time of the last read of the operator topic, in milliseconds.
@@ -167,7 +167,7 @@
             cpu_speed: Mutex::default(),
             peer_address: SocketAddr::new(ip, settings.peer_ports.0),
             store: StoreClient::new(settings.store_address),
-            peers: Arc::new(Clients::new(MAX_PEER_CONNECTIONS)),
+            peers: Arc::new(ClientPool::new(MAX_PEER_CONNECTIONS)),
             config: ArcSwap::default(),
             config_read_ms: AtomicU64::new(0),
             config_requested_ms: AtomicU64::new(0),
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -30,7 +30,7 @@
     log::{error, info},
     lynxwheel_protocol::{FOLD_VERSION, NodeName, OperationId, OperationOutcome, RecordBody},
     lynxwheel_state::FleetState,
-    lynxwheel_transport::{Clients, Shutdown},
+    lynxwheel_transport::{ClientPool, Shutdown},
     std::{
         future::Future,
         sync::{
@@ -70,9 +70,9 @@
     incarnation: u64,
     outputs: FoldOutputs,
     proposer: Proposer,
-    clients: Arc<Clients>,
+    clients: Arc<ClientPool>,
     peers: Peers,
-    peer_clients: Clients,
+    peer_clients: ClientPool,
     snapshot_log: LogClient,
     has_been_current: AtomicBool,
 }
@@ -99,9 +99,9 @@
         Self {
             incarnation,
             proposer: Proposer::new(appender, limit, Arc::clone(&outputs.divergence)),
-            clients: Arc::new(Clients::new(PROBE_CONNECTIONS)),
+            clients: Arc::new(ClientPool::new(PROBE_CONNECTIONS)),
             peers: Peers::new(&settings),
-            peer_clients: Clients::new(PEER_CONNECTIONS),
+            peer_clients: ClientPool::new(PEER_CONNECTIONS),
             snapshot_log: LogClient::new(settings.platform, &snapshots),
             has_been_current: AtomicBool::new(false),
             outputs,
@@ -186,7 +186,7 @@
 
     /// Returns the clients for probes.
     #[must_use]
-    pub fn endpoint_clients(&self) -> &Arc<Clients> {
+    pub fn endpoint_clients(&self) -> &Arc<ClientPool> {
         &self.inner.clients
     }
 
@@ -196,7 +196,7 @@
         &self.inner.peers
     }
 
-    pub(crate) fn peer_clients(&self) -> &Clients {
+    pub(crate) fn peer_clients(&self) -> &ClientPool {
         &self.inner.peer_clients
     }
 
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -18,7 +18,7 @@
         Admission, AdmissionView, EndpointView, RoutePolicy, RouteReason, RouteRequest, admit,
     },
     lynxwheel_protocol::VmName,
-    lynxwheel_transport::{Body, Clients, TransportError, bounded_body, holding_body},
+    lynxwheel_transport::{Body, ClientPool, TransportError, bounded_body, holding_body},
     std::{net::SocketAddr, sync::Arc},
     tokio::time::Instant,
 };
@@ -42,7 +42,7 @@
     tables: Tables,
     budget: RetryBudget,
     policy: RoutePolicy,
-    peers: Arc<Clients>,
+    peers: Arc<ClientPool>,
 }
 
 /// Outcome of one look for a slot.
@@ -62,7 +62,7 @@
             tables,
             budget: RetryBudget::new(),
             policy,
-            peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
+            peers: Arc::new(ClientPool::new(PEER_CONNECTIONS)),
         }
     }
 
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -21,7 +21,7 @@
     lynxwheel_coordination::Node,
     lynxwheel_protocol::{KeyOutcome, RequestKey},
     lynxwheel_state::{KeyEntry, KeyState},
-    lynxwheel_transport::{Body, Clients, Gathered, gather_body},
+    lynxwheel_transport::{Body, ClientPool, Gathered, gather_body},
     std::{sync::Arc, time::Duration},
     tokio::{
         sync::{oneshot, watch},
@@ -58,7 +58,7 @@
     dispatcher: Dispatcher,
     intents: Intents,
     answers: Answers,
-    peers: Arc<Clients>,
+    peers: Arc<ClientPool>,
     under_way: Arc<watch::Sender<()>>,
 }
 
@@ -67,7 +67,7 @@
         Self {
             intents: Intents::new(node.clone()),
             answers: Answers::default(),
-            peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
+            peers: Arc::new(ClientPool::new(PEER_CONNECTIONS)),
             under_way: Arc::new(watch::Sender::new(())),
             node,
             dispatcher,
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -11,7 +11,7 @@
         LONG_RUNNING_PAYLOAD, QueueSpec, api_key_header, decode_job_state, encode_job, is_count,
         timeout_header,
     },
-    lynxwheel_transport::{ClientRequest, ClientResponse, Clients},
+    lynxwheel_transport::{ClientPool, ClientRequest, ClientResponse},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -48,7 +48,7 @@
     queues: Arc<[QueueSpec]>,
     accounts: Arc<Accounts>,
     ledger: Arc<Ledger>,
-    clients: Arc<Clients>,
+    clients: Arc<ClientPool>,
 }
 
 impl Callers {
@@ -65,7 +65,7 @@
             queues: queues.into(),
             accounts,
             ledger,
-            clients: Arc::new(Clients::new(CONNECTIONS)),
+            clients: Arc::new(ClientPool::new(CONNECTIONS)),
         }
     }
 
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -474,12 +474,12 @@
 
 /// Clients by address, made when first needed.
 #[derive(Debug)]
-pub struct Clients {
+pub struct ClientPool {
     rows: Mutex<Vec<Client>>,
     max_connections: usize,
 }
 
-impl Clients {
+impl ClientPool {
     /// Creates an empty set whose clients open at most `max_connections` each.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -23,7 +23,7 @@
 mod stream;
 
 pub use body::{Body, BodyError, Gathered, empty_body, full_body, gather_body};
-pub use client::{Client, ClientRequest, ClientResponse, Clients};
+pub use client::{Client, ClientPool, ClientRequest, ClientResponse};
 pub use error::{Step, TransportError};
 pub use server::{
     Server, ServerLimits, Shutdown, collect_body, error_response, json_response, message_response,
