--- a/crates/api/src/answers.rs
+++ b/crates/api/src/answers.rs
@@ -119,7 +119,7 @@
     let missing = state.missing_dependencies(resource).into_iter();
     missing
         .map(|need| FieldError {
-            field: resource.need_field(need.kind).into(),
+            field: resource.dependency_field(need.kind).into(),
             reason: format!("{need} does not exist"),
         })
         .collect()
--- a/crates/lynxctl/src/apply.rs
+++ b/crates/lynxctl/src/apply.rs
@@ -119,7 +119,7 @@
         row.is_ok()
     };
     for step in &plan.steps {
-        let needs = step.declaration.resource.needs();
+        let needs = step.declaration.resource.dependencies();
         let missing = needs.iter().filter(|need| {
             let row = declarations.binary_search_by(|own| own.resource.reference().cmp(need));
             row.is_err() && !is_in(need)
@@ -140,7 +140,7 @@
 
 fn missing_error(step: &Step, need: &ResourceRef) -> FieldError {
     FieldError {
-        field: step.declaration.resource.need_field(need.kind).into(),
+        field: step.declaration.resource.dependency_field(need.kind).into(),
         reason: format!("{need} is declared neither in the files nor in the fleet"),
     }
 }
--- a/crates/lynxctl/src/steer.rs
+++ b/crates/lynxctl/src/steer.rs
@@ -100,7 +100,7 @@
     declared(client, &ResourceRef::new(Kind::Pool, pool.as_str())).await?;
     for kind in POOL_USERS {
         for view in client.list(kind).await?.items {
-            let uses = view.resource.needs();
+            let uses = view.resource.dependencies();
             let is_user = uses
                 .iter()
                 .any(|need| need.kind == Kind::Pool && need.name == pool.as_str());
--- a/crates/protocol/src/resource.rs
+++ b/crates/protocol/src/resource.rs
@@ -370,7 +370,7 @@
 
     /// Returns the resources that it refers to.
     #[must_use]
-    pub fn needs(&self) -> Vec<ResourceRef> {
+    pub fn dependencies(&self) -> Vec<ResourceRef> {
         let pool = |name: &PoolName| ResourceRef::new(Kind::Pool, name.as_str());
         match self {
             Self::Policy(_) | Self::Team(_) | Self::Pool(_) => Vec::new(),
@@ -386,7 +386,7 @@
 
     /// Returns the field that refers to resources of `kind`.
     #[must_use]
-    pub fn need_field(&self, kind: Kind) -> &'static str {
+    pub fn dependency_field(&self, kind: Kind) -> &'static str {
         match self {
             Self::Wave(_) => "pools",
             _ => kind.as_str(),
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -161,7 +161,7 @@
     /// Returns the resources that a declaration refers to and that are not declared.
     #[must_use]
     pub fn missing_dependencies(&self, resource: &Resource) -> Vec<ResourceRef> {
-        let mut dependencies = resource.needs();
+        let mut dependencies = resource.dependencies();
         dependencies.retain(|dependency| !self.is_declared(dependency.kind, &dependency.name));
         dependencies
     }
