--- a/crates/protocol/src/resource.rs
+++ b/crates/protocol/src/resource.rs
@@ -100,7 +100,7 @@
 
     /// Returns the higher of both in every dimension.
     #[must_use]
-    pub fn highest(&self, other: &Self) -> Self {
+    pub fn component_max(&self, other: &Self) -> Self {
         Self {
             cores_milli: self.cores_milli.max(other.cores_milli),
             memory_mib: self.memory_mib.max(other.memory_mib),
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -176,12 +176,12 @@
         let Some(job) = self.running_job(name, attempt) else {
             return Verdict::Rejected(Rejection::WrongAttempt { job: name.clone() });
         };
-        job.estimate.used = job.estimate.used.highest(used);
+        job.estimate.used = job.estimate.used.component_max(used);
         let team = job.spec.team.clone();
         let Some(run) = &mut job.attempt else {
             return Verdict::Accepted;
         };
-        let reserved = run.reserved.highest(used);
+        let reserved = run.reserved.component_max(used);
         let added = reserved.minus(&run.reserved);
         run.reserved = reserved;
         let vm = run.vm.clone();
