--- a/crates/experiment/src/bound.rs
+++ b/crates/experiment/src/bound.rs
@@ -43,7 +43,7 @@
 fn pool_bound_ms(profile: &Profile, inputs: &Inputs, pool: usize) -> u64 {
     let members: Vec<&VmInput> = inputs.vms.iter().filter(|vm| vm.pool == pool).collect();
     let size = u32::try_from(members.len()).unwrap_or(u32::MAX);
-    let slots = (size - budget().min_available.rounded_up(size)) as usize;
+    let slots = (size - budget().min_available.vm_count(size)) as usize;
     (0..profile.zones)
         .map(|zone| {
             let times = members
--- a/crates/protocol/src/resource.rs
+++ b/crates/protocol/src/resource.rs
@@ -132,7 +132,7 @@
 impl Amount {
     /// Returns the number of VMs of a pool of `size`, rounded up so that a promise is kept.
     #[must_use]
-    pub fn rounded_up(self, size: u32) -> u32 {
+    pub fn vm_count(self, size: u32) -> u32 {
         match self {
             Self::Count(count) => count,
             Self::Percent(percent) => {
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -122,7 +122,7 @@
     /// Returns the number of VMs that must stay available.
     #[must_use]
     pub fn floor(&self) -> u32 {
-        self.spec.budget.min_available.rounded_up(self.spec.size)
+        self.spec.budget.min_available.vm_count(self.spec.size)
     }
 }
 
