--- a/crates/api/src/watch.rs
+++ b/crates/api/src/watch.rs
@@ -12,7 +12,7 @@
     http_body_util::BodyExt,
     hyper::body::{Body as HttpBody, Frame},
     lynxwheel_coordination::Node,
-    lynxwheel_protocol::{EndReason, Kind, Problem, ProblemReason, ResourceRef, WatchEvent},
+    lynxwheel_protocol::{Kind, Problem, ProblemReason, ResourceRef, WatchEndReason, WatchEvent},
     lynxwheel_transport::{Body, BodyError, Shutdown},
     std::{
         pin::Pin,
@@ -94,7 +94,7 @@
     async fn run(mut self, from: Option<u64>, stop: Shutdown) {
         let ended = tokio::select! {
             ended = self.tell(from) => ended,
-            () = stop.wait() => Ok(EndReason::Stopping),
+            () = stop.wait() => Ok(WatchEndReason::Stopping),
         };
         // A watcher that is gone needs no farewell; one that is stuck must not delay the stop.
         if let Ok(reason) = ended {
@@ -105,7 +105,7 @@
         }
     }
 
-    async fn tell(&mut self, from: Option<u64>) -> Result<EndReason, WatcherGone> {
+    async fn tell(&mut self, from: Option<u64>) -> Result<WatchEndReason, WatcherGone> {
         let mut progress = self.log.progress();
         match from {
             Some(from) => self.told_to = from,
@@ -114,7 +114,7 @@
         let mut marked = None;
         loop {
             let Ok(batch) = self.log.since(self.kind, self.told_to) else {
-                return Ok(EndReason::TooOld);
+                return Ok(WatchEndReason::TooOld);
             };
             let mut has_told = false;
             for change in &batch.changes {
--- a/crates/api/tests/api/watch.rs
+++ b/crates/api/tests/api/watch.rs
@@ -5,7 +5,7 @@
     http::{Method, Request},
     http_body_util::BodyExt,
     lynxwheel_api::Access,
-    lynxwheel_protocol::{EndReason, Kind, RecordBody, Resource, VmSpec, WatchEvent},
+    lynxwheel_protocol::{Kind, RecordBody, Resource, VmSpec, WatchEndReason, WatchEvent},
     lynxwheel_transport::{Body, empty_body},
     serde_json::Value,
     std::time::Duration,
@@ -221,7 +221,7 @@
         matches!(
             end,
             Some(WatchEvent::Ended {
-                reason: EndReason::Stopping,
+                reason: WatchEndReason::Stopping,
                 ..
             })
         ),
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -9,7 +9,8 @@
     log::{debug, info},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
-        MAX_REPORTS, PoolName, RecordBody, VmEntry, VmList, VmListState, VmName, VmPhase, VmReport,
+        MAX_REPORTS_PER_RECORD, PoolName, RecordBody, VmEntry, VmList, VmListState, VmName,
+        VmPhase, VmReport,
     },
     lynxwheel_state::{FleetState, VmState},
     lynxwheel_transport::Client,
@@ -252,7 +253,7 @@
     reports.sort();
     // After a zone's failure the reports of a whole fleet would exceed a record's bound and be
     // refused again and again.
-    for reports in reports.chunks(MAX_REPORTS) {
+    for reports in reports.chunks(MAX_REPORTS_PER_RECORD) {
         info!(event = "vm_reports", count = reports.len(), offset = node.state().offset(); "");
         let reports = reports.to_vec();
         node.proposer()
--- a/crates/protocol/src/api.rs
+++ b/crates/protocol/src/api.rs
@@ -313,7 +313,7 @@
     /// The stream ends; later changes are not told.
     Ended {
         /// Why.
-        reason: EndReason,
+        reason: WatchEndReason,
         /// Offset up to which everything has been told.
         revision: u64,
     },
@@ -322,7 +322,7 @@
 /// Why a watch stream ends.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum EndReason {
+pub enum WatchEndReason {
     /// The node stops; list again at another node.
     Stopping,
     /// Changes that were not told yet are no longer kept; list again.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -25,9 +25,9 @@
 mod validate;
 
 pub use api::{
-    CURRENT_HEADER, Condition, EndReason, ExplanationView, FINAL, FieldError, MoveList, MoveView,
-    OperationId, OperationList, OperationOutcome, OperationView, Problem, ProblemReason, READY,
-    REVISION_HEADER, ResourceList, ResourceView, WatchEvent, WriteResponse,
+    CURRENT_HEADER, Condition, ExplanationView, FINAL, FieldError, MoveList, MoveView, OperationId,
+    OperationList, OperationOutcome, OperationView, Problem, ProblemReason, READY, REVISION_HEADER,
+    ResourceList, ResourceView, WatchEndReason, WatchEvent, WriteResponse,
 };
 pub use codec::{
     CodecError, MAX_MESSAGE_BYTES, MAX_RECORD_BYTES, decode_chunk, decode_message, decode_record,
@@ -43,8 +43,8 @@
     TaskState, VmAction, VmEntry, VmList, VmListState,
 };
 pub use record::{
-    ClaimPurpose, JobOutcome, KeyOutcome, MAX_REPORTS, Record, RecordBody, RequestKey, VmPhase,
-    VmReport, WriterId,
+    ClaimPurpose, JobOutcome, KeyOutcome, MAX_REPORTS_PER_RECORD, Record, RecordBody, RequestKey,
+    VmPhase, VmReport, WriterId,
 };
 pub use resource::{
     Amount, Budget, Class, JobSpec, Kind, PolicySpec, PoolSpec, Resource, ResourceRef, Resources,
@@ -53,7 +53,7 @@
 pub use schema::{Field, FieldDefault, FieldType, fields};
 pub use snapshot::{MAX_SNAPSHOT_CHUNKS, SNAPSHOT_CHUNK_BYTES, SnapshotChunk, SnapshotId};
 pub use validate::{
-    MAX_NAME_CHARS, MAX_WAVE_POOLS, check_name, field_errors, parse_resource, parse_spec,
+    MAX_NAME_CHARS, MAX_WAVE_POOLS, check_name, parse_resource, parse_spec, validate_resource,
 };
 
 /// Version of the fold that this build knows.
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -53,7 +53,7 @@
 }
 
 /// Reports in one record at most, so that it keeps to the bound of a record's size.
-pub const MAX_REPORTS: usize = 256;
+pub const MAX_REPORTS_PER_RECORD: usize = 256;
 
 /// What a node found out about a VM.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
--- a/crates/protocol/src/validate.rs
+++ b/crates/protocol/src/validate.rs
@@ -71,7 +71,7 @@
     }
     let resource: Resource = serde_json::from_value(json!({ "kind": kind, "spec": whole }))
         .map_err(|error| vec![bad("spec", error.to_string())])?;
-    let of_range = field_errors(&resource).into_iter();
+    let of_range = validate_resource(&resource).into_iter();
     let of_range: Vec<FieldError> = of_range
         .filter(|error| errors.iter().all(|known| known.field != error.field))
         .collect();
@@ -113,7 +113,7 @@
 
 /// Returns every field of a declaration that is out of its range.
 #[must_use]
-pub fn field_errors(resource: &Resource) -> Vec<FieldError> {
+pub fn validate_resource(resource: &Resource) -> Vec<FieldError> {
     let mut errors = Vec::new();
     if let Err(reason) = check_name(resource.name()) {
         errors.push(bad("name", reason));
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -6,9 +6,10 @@
     lynxwheel_gateway::{PeerAnswer, PeerAnswerRequest},
     lynxwheel_protocol::{
         ActionRequest, AppendRequest, AppendResponse, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
-        MAX_REPORTS, PeerEntries, PeerHello, PeerSnapshot, ReadResponse, Record, RecordBody,
-        TaskReport, TaskStart, VmEntry, VmList, VmListState, VmPhase, VmReport, WriterId,
-        decode_chunk, decode_message, decode_record, encode_chunk, encode_message, encode_record,
+        MAX_REPORTS_PER_RECORD, PeerEntries, PeerHello, PeerSnapshot, ReadResponse, Record,
+        RecordBody, TaskReport, TaskStart, VmEntry, VmList, VmListState, VmPhase, VmReport,
+        WriterId, decode_chunk, decode_message, decode_record, encode_chunk, encode_message,
+        encode_record,
     },
     lynxwheel_state::{FleetState, decode_snapshot, encode_snapshot},
     serde::de::DeserializeOwned,
@@ -189,7 +190,7 @@
 /// would be refused again and again, and the failed VMs would be taken for live.
 #[test]
 fn fullest_report_fits_a_record() {
-    let reports = (0..MAX_REPORTS).map(report).collect();
+    let reports = (0..MAX_REPORTS_PER_RECORD).map(report).collect();
     let bytes = encode_record(&record(RecordBody::Report { reports })).expect("within the bound");
     assert!(bytes.len() <= MAX_RECORD_BYTES);
 }
--- a/crates/state/src/declarations.rs
+++ b/crates/state/src/declarations.rs
@@ -9,7 +9,7 @@
     },
     lynxwheel_protocol::{
         JobSpec, Kind, PoolSpec, Resource, ResourceRef, Resources, VmPhase, VmSpec, WaveSpec,
-        field_errors,
+        validate_resource,
     },
 };
 
@@ -120,7 +120,7 @@
     ) -> Result<(), Rejection> {
         let reference = resource.reference();
         self.check_revision(&reference, if_revision)?;
-        if let Some(error) = field_errors(resource).into_iter().next() {
+        if let Some(error) = validate_resource(resource).into_iter().next() {
             return Err(Rejection::BadField {
                 reference,
                 field: error.field,
