--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -31,26 +31,26 @@
 mod batch;
 mod config;
 mod demand;
+mod endpoint_locations;
 mod endpoint_table;
 mod endpoints;
 mod engine;
 mod event;
 mod fair_share;
-mod free_room;
+mod free_capacity;
 mod job;
 mod job_table;
 mod leases;
 mod log_event;
 mod order_rate;
 mod pacing;
-mod places;
 mod pools;
 mod quota;
 mod repeats;
 mod reports;
 mod restore;
 mod schedule;
-mod spares;
+mod spare_vms;
 mod state;
 mod stored;
 mod stragglers;
@@ -76,7 +76,7 @@
     job::{JobId, JobSpec, JobState, ParseNameError, Resources, StepSpec, TaskRef},
     log_event::{LogEvent, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
-    quota::{AccountNumber, QuotaLedger, QuotasLeft},
+    quota::{AccountNumber, QuotaTracker, RemainingQuotas},
     reports::{
         EndKind, EndedTask, EndpointEntry, EndpointReport, RunningTask, VmEntry, VmState, WaveOrder,
     },
