--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -45,7 +45,7 @@
     };
     let client = node.peers.get(peer);
     let fetched: Result<Option<FleetConfig>, _> =
-        client.exchange(CONFIG_PATH, &request, limit).await;
+        client.post_message(CONFIG_PATH, &request, limit).await;
     match fetched {
         Ok(Some(config)) => node.activate_config(config),
         Ok(None) => {}
--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -256,7 +256,7 @@
             calls,
         };
         let response = client
-            .exchange_compact(DELEGATE_CALLS_PATH, &request, limit)
+            .post_compact_message(DELEGATE_CALLS_PATH, &request, limit)
             .await;
         let message = match response {
             Ok(DelegateReply::Accepted) => continue,
--- a/crates/controller/src/delegate_worker.rs
+++ b/crates/controller/src/delegate_worker.rs
@@ -252,7 +252,7 @@
     let limit = Duration::from_millis(RESULTS_TIMEOUT_MS);
     for _ in 0..MAX_RESULTS_ATTEMPTS {
         let response = client
-            .exchange_compact(DELEGATE_RESULTS_PATH, request, limit)
+            .post_compact_message(DELEGATE_RESULTS_PATH, request, limit)
             .await;
         match response {
             Ok(DelegateReply::Accepted) => return true,
--- a/crates/controller/src/ingress.rs
+++ b/crates/controller/src/ingress.rs
@@ -382,7 +382,7 @@
     };
     request.sender = Some(node.as_member());
     let client = node.peers.get(owner.address);
-    match client.exchange(OWNER_PATH, &request, limit).await {
+    match client.post_message(OWNER_PATH, &request, limit).await {
         Ok(response) => {
             if response == OwnerResponse::NotOwner {
                 node.owner_suspected.notify_one();
--- a/crates/controller/src/watcher.rs
+++ b/crates/controller/src/watcher.rs
@@ -278,7 +278,7 @@
 ) -> Result<OwnershipResponse, TransportError> {
     let request = OwnershipRequest { epoch, action };
     let limit = Duration::from_millis(timeout_ms);
-    client.exchange(OWNERSHIP_PATH, &request, limit).await
+    client.post_message(OWNERSHIP_PATH, &request, limit).await
 }
 
 /// Returns whether the store responds to this node without delay.
--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -269,7 +269,7 @@
         let path = action_path(&self.vm.name);
         match self
             .platform
-            .exchange::<_, bool>(&path, &request, timeout)
+            .post_message::<_, bool>(&path, &request, timeout)
             .await
         {
             Ok(_) => true,
--- a/crates/coordination/src/catch_up.rs
+++ b/crates/coordination/src/catch_up.rs
@@ -63,7 +63,7 @@
     };
     let path = format!("{ENTRIES_PATH}?from={}", own_offset + 1);
     let timeout = Duration::from_millis(ENTRIES_TIMEOUT_MS);
-    let response: PeerEntries = client.fetch(&path, timeout).await?;
+    let response: PeerEntries = client.get_message(&path, timeout).await?;
     info!(event = "entries_from_peer", peer = peer.as_str(), offset = own_offset,
         count = response.entries.len(); "received entries from a peer");
     if !response.entries.is_empty() {
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -92,7 +92,7 @@
     async fn exchange(&self) -> Result<PeerHello, TransportError> {
         let timeout = Duration::from_millis(HELLO_TIMEOUT_MS);
         self.client
-            .exchange(HELLO_PATH, &self.node.hello(), timeout)
+            .post_message(HELLO_PATH, &self.node.hello(), timeout)
             .await
     }
 
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -90,7 +90,7 @@
     }
     *last_period = period;
     let timeout = Duration::from_millis(LIST_TIMEOUT_MS);
-    match platform.fetch::<VmList>("/vms", timeout).await {
+    match platform.get_message::<VmList>("/vms", timeout).await {
         Ok(list) => Some(list),
         Err(error) => {
             debug!(event = "vm_list_failed"; "{error}");
--- a/crates/coordination/src/recovery.rs
+++ b/crates/coordination/src/recovery.rs
@@ -93,7 +93,7 @@
         let own = node.hello();
         requests.spawn(async move {
             let timeout = Duration::from_millis(HELLO_TIMEOUT_MS);
-            let hello = client.exchange::<_, PeerHello>(HELLO_PATH, &own, timeout);
+            let hello = client.post_message::<_, PeerHello>(HELLO_PATH, &own, timeout);
             hello.await.ok().map(|hello| Candidate { hello, client })
         });
     }
@@ -116,7 +116,7 @@
 /// Fetches a peer's snapshot.
 pub(crate) async fn fetch_state(client: &Client) -> Option<FleetState> {
     let timeout = Duration::from_millis(SNAPSHOT_TIMEOUT_MS);
-    let snapshot: PeerSnapshot = match client.fetch(SNAPSHOT_PATH, timeout).await {
+    let snapshot: PeerSnapshot = match client.get_message(SNAPSHOT_PATH, timeout).await {
         Ok(snapshot) => snapshot,
         Err(error) => {
             warn!(event = "peer_snapshot_failed"; "{error}");
--- a/crates/coordination/src/tasks.rs
+++ b/crates/coordination/src/tasks.rs
@@ -147,7 +147,7 @@
         };
         let path = format!("/vms/{}/tasks", self.attempt.vm);
         self.platform
-            .exchange(&path, &start, Duration::from_millis(CALL_TIMEOUT_MS))
+            .post_message(&path, &start, Duration::from_millis(CALL_TIMEOUT_MS))
             .await
     }
 
@@ -157,7 +157,11 @@
             self.attempt.vm, self.job.spec.name, self.job.attempts
         );
         let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
-        if let Err(error) = self.platform.exchange::<_, bool>(&path, &(), timeout).await {
+        if let Err(error) = self
+            .platform
+            .post_message::<_, bool>(&path, &(), timeout)
+            .await
+        {
             warn!(event = "task_stop_failed", job = self.job.spec.name.as_str(); "{error}");
         }
     }
@@ -165,7 +169,7 @@
     async fn fetch_report(&self) -> Option<TaskReport> {
         let path = format!("/vms/{}/tasks", self.attempt.vm);
         let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
-        let reports: Vec<TaskReport> = self.platform.fetch(&path, timeout).await.ok()?;
+        let reports: Vec<TaskReport> = self.platform.get_message(&path, timeout).await.ok()?;
         reports
             .into_iter()
             .find(|report| report.job == self.job.spec.name && report.attempt == self.job.attempts)
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -94,7 +94,7 @@
     pub async fn send_hello(&self, index: usize, hello: &PeerHello) {
         let client = Client::new(self.addresses[index].address, 1);
         client
-            .exchange::<_, PeerHello>("/peer/hello", hello, TIMEOUT)
+            .post_message::<_, PeerHello>("/peer/hello", hello, TIMEOUT)
             .await
             .expect("the node answers");
     }
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -307,7 +307,9 @@
             wait + PEER_MARGIN
         };
         let client = self.peers.get(peers[row].address);
-        let answered = client.exchange(PEER_ANSWER_PATH, &question, limit).await;
+        let answered = client
+            .post_message(PEER_ANSWER_PATH, &question, limit)
+            .await;
         match answered {
             Ok(answer) => answer,
             Err(_) if is_silent => PeerAnswer::OtherRun,
--- a/crates/lynxwheel/tests/proof/fleet.rs
+++ b/crates/lynxwheel/tests/proof/fleet.rs
@@ -185,7 +185,7 @@
         let list: VmList = self
             .platform
             .client
-            .fetch("/vms", LIMIT)
+            .get_message("/vms", LIMIT)
             .await
             .expect("the VM list");
         for vm in list.vms {
@@ -202,7 +202,7 @@
             let answer: ReadResponse = self
                 .platform
                 .client
-                .fetch(&path, LIMIT)
+                .get_message(&path, LIMIT)
                 .await
                 .expect("the log");
             if answer.entries.is_empty() {
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -272,7 +272,7 @@
     ///
     /// Fails as [`Client::call`] does, when the status is not 200, or when the answer is no
     /// message of the type.
-    pub async fn exchange<Q: Serialize, A: DeserializeOwned>(
+    pub async fn post_message<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         message: &Q,
@@ -285,8 +285,8 @@
     ///
     /// # Errors
     ///
-    /// Fails as [`Client::exchange`] does.
-    pub async fn exchange_compact<Q: Serialize, A: DeserializeOwned>(
+    /// Fails as [`Client::post_message`] does.
+    pub async fn post_compact_message<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         message: &Q,
@@ -314,8 +314,8 @@
     ///
     /// # Errors
     ///
-    /// Fails as [`Client::exchange`] does.
-    pub async fn fetch<A: DeserializeOwned>(
+    /// Fails as [`Client::post_message`] does.
+    pub async fn get_message<A: DeserializeOwned>(
         &self,
         path: &str,
         limit: Duration,
