--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -18,7 +18,7 @@
         Admission, AdmissionView, EndpointView, RoutePolicy, RouteReason, RouteRequest, admit,
     },
     lynxwheel_protocol::VmName,
-    lynxwheel_transport::{Body, ClientPool, TransportError, bounded_body, holding_body},
+    lynxwheel_transport::{Body, ClientPool, TransportError, guarded_body, limited_body},
     std::{net::SocketAddr, sync::Arc},
     tokio::time::Instant,
 };
@@ -328,7 +328,7 @@
 fn incoming(response: Response<Body>, slot: Slot) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
     remove_hop_headers(&mut parts.headers);
-    let body = holding_body(bounded_body(body, STALL, u64::MAX), slot);
+    let body = guarded_body(limited_body(body, STALL, u64::MAX), slot);
     Response::from_parts(parts, body)
 }
 
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -21,7 +21,7 @@
     lynxwheel_coordination::Node,
     lynxwheel_protocol::{KeyOutcome, RequestKey},
     lynxwheel_state::{KeyEntry, KeyState},
-    lynxwheel_transport::{Body, ClientPool, Gathered, gather_body},
+    lynxwheel_transport::{Body, BufferedBody, ClientPool, buffer_body},
     std::{sync::Arc, time::Duration},
     tokio::{
         sync::{oneshot, watch},
@@ -213,13 +213,13 @@
     async fn keep(&self, run: &Run, response: Response<Body>, reply: oneshot::Sender<Outcome>) {
         let (parts, body) = response.into_parts();
         let status = parts.status.as_u16();
-        let (progress, response) = match gather_body(body, MAX_ANSWER_BYTES).await {
-            Ok(Gathered::Whole(body)) => {
+        let (progress, response) = match buffer_body(body, MAX_ANSWER_BYTES).await {
+            Ok(BufferedBody::Complete(body)) => {
                 let kept = StoredResponse::new(parts.status, &parts.headers, &body);
                 let response = kept.to_response();
                 (Progress::Answered(Arc::new(kept)), response)
             }
-            Ok(Gathered::Longer(body)) => (
+            Ok(BufferedBody::Exceeded(body)) => (
                 Progress::TooLarge(status),
                 Response::from_parts(parts, body),
             ),
--- a/crates/gateway/src/payload.rs
+++ b/crates/gateway/src/payload.rs
@@ -5,7 +5,7 @@
     bytes::Bytes,
     http_body_util::BodyExt,
     hyper::body::{Body as HttpBody, Incoming},
-    lynxwheel_transport::{Body, BodyError, Gathered, bounded_body, full_body, gather_body},
+    lynxwheel_transport::{Body, BodyError, BufferedBody, buffer_body, full_body, limited_body},
     std::time::Duration,
     tokio::time::{Instant, timeout_at},
 };
@@ -49,14 +49,14 @@
             return Err(refusal_of(&BodyError::TooLarge));
         }
         let body = incoming.map_err(BodyError::from).boxed_unsync();
-        let body = bounded_body(body, STALL, MAX_BYTES);
-        let gathered = timeout_at(deadline, gather_body(body, kept_bytes))
+        let body = limited_body(body, STALL, MAX_BYTES);
+        let gathered = timeout_at(deadline, buffer_body(body, kept_bytes))
             .await
             .map_err(|_| refusal_of(&BodyError::Stalled))?
             .map_err(|error| refusal_of(&error))?;
         Ok(match gathered {
-            Gathered::Whole(bytes) => Self::Kept(bytes),
-            Gathered::Longer(body) => Self::Streamed(Some(body)),
+            BufferedBody::Complete(bytes) => Self::Kept(bytes),
+            BufferedBody::Exceeded(body) => Self::Streamed(Some(body)),
         })
     }
 
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -67,11 +67,11 @@
 
 /// A body as far as it was read.
 #[derive(Debug)]
-pub enum Gathered {
+pub enum BufferedBody {
     /// The whole body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// More than was to be read: what was read and the rest, as one body.
-    Longer(Body),
+    Exceeded(Body),
 }
 
 /// Reads a body into memory, but not more than about `limit_bytes` of it.
@@ -79,11 +79,11 @@
 /// # Errors
 ///
 /// Fails when the body breaks off before.
-pub async fn gather_body(mut body: Body, limit_bytes: usize) -> Result<Gathered, BodyError> {
+pub async fn buffer_body(mut body: Body, limit_bytes: usize) -> Result<BufferedBody, BodyError> {
     let mut read = BytesMut::new();
     while read.len() <= limit_bytes {
         let Some(frame) = body.frame().await else {
-            return Ok(Gathered::Whole(read.freeze()));
+            return Ok(BufferedBody::Complete(read.freeze()));
         };
         if let Ok(data) = frame?.into_data() {
             read.extend_from_slice(&data);
@@ -93,7 +93,7 @@
         first: Some(read.freeze()),
         rest: body,
     };
-    Ok(Gathered::Longer(joined.boxed_unsync()))
+    Ok(BufferedBody::Exceeded(joined.boxed_unsync()))
 }
 
 /// Bytes that were read ahead, then the rest of their body.
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -22,10 +22,10 @@
 mod stall;
 mod stream;
 
-pub use body::{Body, BodyError, Gathered, empty_body, full_body, gather_body};
+pub use body::{Body, BodyError, BufferedBody, buffer_body, empty_body, full_body};
 pub use client::{Client, ClientPool, ClientRequest, ClientResponse};
 pub use error::{Step, TransportError};
 pub use server::{
     Server, ServerLimits, Shutdown, collect_body, error_response, json_response, message_response,
 };
-pub use stream::{bounded_body, holding_body};
+pub use stream::{guarded_body, limited_body};
--- a/crates/transport/src/stream.rs
+++ b/crates/transport/src/stream.rs
@@ -19,7 +19,7 @@
 ///
 /// A source that stalls would hold a slot, a connection and memory for as long as it likes.
 #[must_use]
-pub fn bounded_body(body: Body, stall: Duration, limit_bytes: u64) -> Body {
+pub fn limited_body(body: Body, stall: Duration, limit_bytes: u64) -> Body {
     let bounded = Bounded {
         inner: body,
         stall,
@@ -31,7 +31,7 @@
 
 /// Keeps `held` until the body has ended, has broken or is given up on.
 #[must_use]
-pub fn holding_body<T: fmt::Debug + Send + Unpin + 'static>(body: Body, held: T) -> Body {
+pub fn guarded_body<T: fmt::Debug + Send + Unpin + 'static>(body: Body, held: T) -> Body {
     let holding = Holding {
         inner: body,
         held: Some(held),
