--- a/crates/api/tests/api/common.rs
+++ b/crates/api/tests/api/common.rs
@@ -60,7 +60,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let server = Server::bind(address).await.expect("bind");
     let server = server.with_limits(ServerLimits {
-        write_stall_ms: WRITE_STALL_MS,
+        write_stall_timeout_ms: WRITE_STALL_MS,
         ..ServerLimits::default()
     });
     let address = server.local_addr().expect("address");
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -45,20 +45,20 @@
     /// Connections open at once; further ones wait in the backlog.
     pub max_connections: usize,
     /// Time within which the head of a request must arrive, in milliseconds.
-    pub header_read_ms: u64,
+    pub header_read_timeout_ms: u64,
     /// Bytes of a request's head at most.
     pub max_header_bytes: usize,
     /// Time for which a caller may take nothing of its answer, in milliseconds.
-    pub write_stall_ms: u64,
+    pub write_stall_timeout_ms: u64,
 }
 
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
             max_connections: 4_096,
-            header_read_ms: 5_000,
+            header_read_timeout_ms: 5_000,
             max_header_bytes: 16 * 1024,
-            write_stall_ms: 10_000,
+            write_stall_timeout_ms: 10_000,
         }
     }
 }
@@ -211,10 +211,10 @@
         Box::pin(async move { Ok::<_, Infallible>(answer.await) })
     });
     let stream = CountedStream::new(stream, "server");
-    let stream = StallGuard::new(stream, Duration::from_millis(limits.write_stall_ms));
+    let stream = StallGuard::new(stream, Duration::from_millis(limits.write_stall_timeout_ms));
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(limits.header_read_ms))
+        .header_read_timeout(Duration::from_millis(limits.header_read_timeout_ms))
         .max_buf_size(limits.max_header_bytes)
         .half_close(false)
         .serve_connection(TokioIo::new(stream), service);
