--- a/crates/api/benches/status.rs
+++ b/crates/api/benches/status.rs
@@ -2,7 +2,7 @@
 
 use {
     divan::Bencher,
-    lynxwheel_api::view,
+    lynxwheel_api::resource_view,
     lynxwheel_protocol::{Kind, Record, RecordBody, Resource, ResourceRef, WriterId, parse_spec},
     lynxwheel_state::FleetState,
     serde_json::{Value, json},
@@ -68,7 +68,8 @@
     bencher.bench(|| {
         let names = state.names(Kind::Job);
         let page = names.iter().take(PAGE);
-        let views = page.filter_map(|name| view(&state, &ResourceRef::new(Kind::Job, name)));
+        let views =
+            page.filter_map(|name| resource_view(&state, &ResourceRef::new(Kind::Job, name)));
         serde_json::to_vec(&views.collect::<Vec<_>>()).map(|bytes| bytes.len())
     });
 }
--- a/crates/api/src/access.rs
+++ b/crates/api/src/access.rs
@@ -40,7 +40,7 @@
 
     /// Returns the role needed to write a kind.
     #[must_use]
-    pub fn to_write(kind: Kind) -> Self {
+    pub fn required_to_write(kind: Kind) -> Self {
         match kind {
             Kind::Policy | Kind::Pool | Kind::Team => Self::Administer,
             Kind::Job | Kind::Service | Kind::Vm | Kind::Wave => Self::Operate,
@@ -85,11 +85,11 @@
 
 /// Tokens that are accepted.
 #[derive(Clone, Debug, Default)]
-pub struct Access {
+pub struct AccessControl {
     tokens: Vec<AccessToken>,
 }
 
-impl Access {
+impl AccessControl {
     /// Accepts these tokens; without any, every request is taken for an administrator's.
     #[must_use]
     pub fn new(tokens: Vec<AccessToken>) -> Self {
--- a/crates/api/src/handler.rs
+++ b/crates/api/src/handler.rs
@@ -2,13 +2,13 @@
 
 use {
     crate::{
-        access::{Access, Operator},
+        access::{AccessControl, Operator},
         answers::{problem_answer, with_node},
         changes::{ChangeLog, follow},
         openapi::openapi,
         query::{ListQuery, expect_none},
         routes::{Action, Matched, Target, match_route, needed_role},
-        status::view,
+        status::resource_view,
         write,
     },
     http::{Request, Response, StatusCode},
@@ -39,7 +39,7 @@
     pub(crate) changes: Arc<ChangeLog>,
     pub(crate) watches: Arc<Semaphore>,
     pub(crate) stop: Shutdown,
-    access: Arc<Access>,
+    access: Arc<AccessControl>,
 }
 
 impl Api {
@@ -47,7 +47,7 @@
     ///
     /// Must be called within a Tokio runtime.
     #[must_use]
-    pub fn start(node: Node, access: Access, stop: Shutdown) -> Self {
+    pub fn start(node: Node, access: AccessControl, stop: Shutdown) -> Self {
         let changes = Arc::new(ChangeLog::new(node.state()));
         tokio::spawn(follow(node.clone(), Arc::clone(&changes), stop.clone()));
         Self {
@@ -131,7 +131,8 @@
     }
 
     fn get(&self, reference: &ResourceRef) -> Result<Response<Body>, Problem> {
-        let view = view(&self.node.state(), reference).ok_or_else(|| not_declared(reference))?;
+        let view =
+            resource_view(&self.node.state(), reference).ok_or_else(|| not_declared(reference))?;
         Ok(json_response(StatusCode::OK, &view))
     }
 
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -29,8 +29,8 @@
 mod watch;
 mod write;
 
-pub use access::{Access, AccessToken, Operator, Role};
+pub use access::{AccessControl, AccessToken, Operator, Role};
 pub use handler::Api;
 pub use openapi::openapi;
 pub use routes::{Action, Route, routes};
-pub use status::view;
+pub use status::resource_view;
--- a/crates/api/src/list.rs
+++ b/crates/api/src/list.rs
@@ -5,7 +5,7 @@
         answers::too_old,
         handler::Api,
         query::{ContinueAt, ListQuery},
-        status::view,
+        status::resource_view,
     },
     lynxwheel_protocol::{Kind, Problem, ProblemReason, ResourceList, ResourceRef},
 };
@@ -44,7 +44,7 @@
         });
         let items = page
             .iter()
-            .filter_map(|name| view(&state, &ResourceRef::new(kind, name)))
+            .filter_map(|name| resource_view(&state, &ResourceRef::new(kind, name)))
             .collect();
         Ok(ResourceList {
             revision,
--- a/crates/api/src/routes.rs
+++ b/crates/api/src/routes.rs
@@ -173,7 +173,7 @@
 pub(crate) fn needed_role(action: Action, target: &Target) -> Role {
     match (action, target) {
         (Action::Delete | Action::Put, Target::Resource(reference)) => {
-            Role::to_write(reference.kind)
+            Role::required_to_write(reference.kind)
         }
         (Action::Delete | Action::Put, _) => Role::Administer,
         _ => Role::Read,
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -19,7 +19,7 @@
 
 /// Returns a resource with its status at the state's offset.
 #[must_use]
-pub fn view(state: &FleetState, reference: &ResourceRef) -> Option<ResourceView> {
+pub fn resource_view(state: &FleetState, reference: &ResourceRef) -> Option<ResourceView> {
     let declared = state.declared(reference)?;
     let name = reference.name.as_str();
     let status = match reference.kind {
--- a/crates/api/src/watch.rs
+++ b/crates/api/src/watch.rs
@@ -5,7 +5,7 @@
         changes::{Change, ChangeLog},
         handler::Api,
         query::ListQuery,
-        status::view,
+        status::resource_view,
     },
     bytes::Bytes,
     http::{HeaderValue, Response, header},
@@ -165,7 +165,7 @@
             return Ok(false);
         }
         let reference = ResourceRef::new(self.kind, &change.name);
-        let view = view(&self.node.state(), &reference);
+        let view = resource_view(&self.node.state(), &reference);
         let event = match view {
             Some(view) => WatchEvent::Changed {
                 view: Box::new(view),
--- a/crates/api/tests/api/access.rs
+++ b/crates/api/tests/api/access.rs
@@ -3,7 +3,7 @@
 use {
     crate::common::{json, platform, pool, put, start_node, vm},
     http::Method,
-    lynxwheel_api::{Access, AccessToken, Role},
+    lynxwheel_api::{AccessControl, AccessToken, Role},
     lynxwheel_transport::ClientRequest,
     serde_json::json as document,
 };
@@ -12,8 +12,8 @@
 const OPERATOR: &str = "Bearer operator-0123456789";
 const ADMINISTRATOR: &str = "bearer administrator-0123456789";
 
-fn access() -> Access {
-    Access::new(vec![
+fn access() -> AccessControl {
+    AccessControl::new(vec![
         AccessToken::new("dashboard", Role::Read, "reader-0123456789"),
         AccessToken::new("desk", Role::Operate, "operator-0123456789"),
         AccessToken::new("owner", Role::Administer, "administrator-0123456789"),
--- a/crates/api/tests/api/common.rs
+++ b/crates/api/tests/api/common.rs
@@ -2,7 +2,7 @@
 
 use {
     http::Method,
-    lynxwheel_api::{Access, Api},
+    lynxwheel_api::{AccessControl, Api},
     lynxwheel_coordination::{BackgroundThreads, Node, NodeIdentity, NodeSettings},
     lynxwheel_protocol::Kind,
     lynxwheel_standin::{Faults, PlatformServer, VmTemplate},
@@ -50,7 +50,7 @@
     platform.with_platform(|platform| platform.faults = faults);
 }
 
-pub async fn start_node(platform: &PlatformServer, name: &str, access: Access) -> TestNode {
+pub async fn start_node(platform: &PlatformServer, name: &str, access: AccessControl) -> TestNode {
     let mut settings = NodeSettings::new(NodeIdentity::new(name, "zone-1"), platform.address());
     settings.propose_timeout_ms = PROPOSE_TIMEOUT_MS;
     settings.poll_interval_ms = 50;
--- a/crates/api/tests/api/operations.rs
+++ b/crates/api/tests/api/operations.rs
@@ -4,7 +4,7 @@
     crate::common::{
         PROPOSE_TIMEOUT_MS, TestNode, json, platform, pool, put, set_faults, start_node, wait_until,
     },
-    lynxwheel_api::Access,
+    lynxwheel_api::AccessControl,
     lynxwheel_protocol::{Kind, OperationId, OperationOutcome},
     lynxwheel_standin::Faults,
     serde_json::{Value, json as document},
@@ -33,8 +33,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn unknown_outcome_is_found_out_on_another_node() {
     let platform = platform(0).await;
-    let one = start_node(&platform, "node-1", Access::default()).await;
-    let two = start_node(&platform, "node-2", Access::default()).await;
+    let one = start_node(&platform, "node-1", AccessControl::default()).await;
+    let two = start_node(&platform, "node-2", AccessControl::default()).await;
     set_faults(&platform, late());
     let answer = one.put("/v1/pool/notices", &pool(3, 2)).await;
     let problem = json(&answer);
@@ -64,8 +64,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn late_write_that_lost_is_told_as_rejected() {
     let platform = platform(0).await;
-    let one = start_node(&platform, "node-1", Access::default()).await;
-    let two = start_node(&platform, "node-2", Access::default()).await;
+    let one = start_node(&platform, "node-1", AccessControl::default()).await;
+    let two = start_node(&platform, "node-2", AccessControl::default()).await;
     two.declare(Kind::Pool, "notices", &pool(9, 2)).await;
     set_faults(&platform, late());
     let request = put("/v1/pool/notices", &pool(3, 2)).with_header("if-none-match", "*");
@@ -93,7 +93,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn write_before_a_nodes_memory_is_too_old_to_know() {
     let platform = platform(0).await;
-    let one = start_node(&platform, "node-1", Access::default()).await;
+    let one = start_node(&platform, "node-1", AccessControl::default()).await;
     let incarnation = one.node.incarnation();
     let first = json(&one.get(&format!("/v1/operations/{incarnation}-1")).await);
     assert_eq!(first["outcome"], "too_old", "{first}");
@@ -104,7 +104,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn latest_operations_come_first() {
     let platform = platform(0).await;
-    let node = start_node(&platform, "node-1", Access::default()).await;
+    let node = start_node(&platform, "node-1", AccessControl::default()).await;
     node.declare(Kind::Pool, "notices", &pool(3, 2)).await;
     node.declare(Kind::Pool, "billing", &pool(3, 2)).await;
     let list = json(&node.get("/v1/operations").await);
--- a/crates/api/tests/api/resources.rs
+++ b/crates/api/tests/api/resources.rs
@@ -6,7 +6,7 @@
     },
     http::Method,
     insta::assert_snapshot,
-    lynxwheel_api::Access,
+    lynxwheel_api::AccessControl,
     lynxwheel_protocol::{CURRENT_HEADER, Kind},
     lynxwheel_transport::ClientRequest,
     serde_json::json as document,
@@ -16,7 +16,7 @@
     ($($(#[$doc:meta])* $name:ident: $request:expr;)*) => {
         $($(#[$doc])* #[tokio::test(flavor = "multi_thread", worker_threads = 2)] async fn $name() {
             let platform = platform(0).await;
-            let node = start_node(&platform, "node-1", Access::default()).await;
+            let node = start_node(&platform, "node-1", AccessControl::default()).await;
             node.declare(Kind::Pool, "notices", &pool(3, 2)).await;
             node.declare(Kind::Vm, "vm-0", &vm("notices")).await;
             let before = node.get("/v1/pool").await;
@@ -56,7 +56,7 @@
 
 async fn one_node() -> (lynxwheel_standin::PlatformServer, TestNode) {
     let platform = platform(0).await;
-    let node = start_node(&platform, "node-1", Access::default()).await;
+    let node = start_node(&platform, "node-1", AccessControl::default()).await;
     (platform, node)
 }
 
@@ -87,8 +87,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn loser_of_a_race_is_told_the_revision_that_won() {
     let platform = platform(0).await;
-    let one = start_node(&platform, "node-1", Access::default()).await;
-    let two = start_node(&platform, "node-2", Access::default()).await;
+    let one = start_node(&platform, "node-1", AccessControl::default()).await;
+    let two = start_node(&platform, "node-2", AccessControl::default()).await;
     let seen = one.declare(Kind::Pool, "notices", &pool(3, 2)).await;
     let change =
         |size| put("/v1/pool/notices", &pool(size, 2)).with_header("if-match", seen.to_string());
--- a/crates/api/tests/api/watch.rs
+++ b/crates/api/tests/api/watch.rs
@@ -4,7 +4,7 @@
     crate::common::{LIMIT, TestNode, json, platform, pool, start_node, vm},
     http::{Method, Request},
     http_body_util::BodyExt,
-    lynxwheel_api::Access,
+    lynxwheel_api::AccessControl,
     lynxwheel_protocol::{Kind, RecordBody, Resource, VmSpec, WatchEndReason, WatchEvent},
     lynxwheel_transport::{Body, empty_body},
     serde_json::Value,
@@ -79,7 +79,7 @@
 
 async fn one_node() -> (lynxwheel_standin::PlatformServer, TestNode) {
     let platform = platform(0).await;
-    let node = start_node(&platform, "node-1", Access::default()).await;
+    let node = start_node(&platform, "node-1", AccessControl::default()).await;
     node.declare(Kind::Pool, "notices", &pool(4, 0)).await;
     (platform, node)
 }
--- a/crates/lynxwheel/src/config.rs
+++ b/crates/lynxwheel/src/config.rs
@@ -2,7 +2,7 @@
 
 use {
     ini::{Ini, ParseOption},
-    lynxwheel_api::{Access, AccessToken, Role},
+    lynxwheel_api::{AccessControl, AccessToken, Role},
     lynxwheel_coordination::{NodeIdentity, NodeSettings, PeerAddress},
     std::{
         error, fmt, fs,
@@ -101,7 +101,7 @@
     /// `[listen] peers`: address for the other nodes.
     pub peers_listen: SocketAddr,
     /// `[tokens]`: operators' access, `name = role:token` or `name = role:@file`.
-    pub access: Access,
+    pub access: AccessControl,
     /// `[platform] address`: address of the platform's services.
     pub platform: SocketAddr,
     /// `[platform] stream`: name of the fleet's stream; `fleet` by default.
@@ -329,9 +329,9 @@
         peers
     }
 
-    fn access(&mut self) -> Access {
+    fn access(&mut self) -> AccessControl {
         let Some(section) = self.ini.section(Some("tokens")) else {
-            return Access::default();
+            return AccessControl::default();
         };
         let mut tokens = Vec::new();
         for (name, text) in section {
@@ -340,7 +340,7 @@
                 Err(reason) => self.bad("tokens", name, reason),
             }
         }
-        Access::new(tokens)
+        AccessControl::new(tokens)
     }
 
     /// Refuses an operators' listener that strangers reach and that asks for no token.
--- a/crates/lynxwheel/src/embedded.rs
+++ b/crates/lynxwheel/src/embedded.rs
@@ -148,7 +148,7 @@
         callers: any_port,
         operators: any_port,
         peers_listen: own.first().map_or(any_port, |own| own.address),
-        access: lynxwheel_api::Access::default(),
+        access: lynxwheel_api::AccessControl::default(),
         platform,
         stream: "fleet".into(),
         peers,
