--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -89,15 +89,15 @@
             }
             jobs += 1;
             match works.binary_search_by_key(&arrival.account, |(account, _)| *account) {
-                Ok(place) => works[place].1.add(&arrival.work),
-                Err(place) => works.insert(place, (arrival.account, arrival.work)),
+                Ok(index) => works[index].1.add(&arrival.work),
+                Err(index) => works.insert(index, (arrival.account, arrival.work)),
             }
         }
         if jobs < 2 {
             return Resources::default();
         }
         let share = |work: u64| work / WINDOW_MS * (jobs - 1) / jobs;
-        let capped = |room: u64, quota: u64| if quota == 0 { room } else { room.min(quota) };
+        let capped = |need: u64, quota: u64| if quota == 0 { need } else { need.min(quota) };
         let mut load = Resources::default();
         for (account, work) in works {
             let quota = quota_of(account);
--- a/crates/engine/tests/placement.rs
+++ b/crates/engine/tests/placement.rs
@@ -160,8 +160,8 @@
 
 fn drawn_step(random: &mut ChaCha8Rng) -> StepSpec {
     let mut spec = step(random.random_range(1..7));
-    spec.room.cpu_millis = random.random_range(1..5) * 500;
-    spec.room.memory_mb = random.random_range(1..20) * 1_000;
+    spec.resources.cpu_millis = random.random_range(1..5) * 500;
+    spec.resources.memory_mb = random.random_range(1..20) * 1_000;
     match random.random_range(0..6) {
         0 => spec.required_label = "even".into(),
         1 => spec.data_rack = format!("rack-i-{}", random.random_range(0..ENDPOINTS)).into(),
@@ -223,8 +223,8 @@
             }
         }
         if random.random_range(0..12) == 0 {
-            let place = random.random_range(0..fleet.endpoints.len());
-            fleet.endpoints[place].is_silent ^= true;
+            let index = random.random_range(0..fleet.endpoints.len());
+            fleet.endpoints[index].is_silent ^= true;
         }
         if jobs > 0 && random.random_range(0..6) == 0 {
             let job = job_id(random.random_range(1..=jobs));
@@ -258,5 +258,5 @@
 }
 
 histories! {
-    indexes_decide_as_a_search_through_everything: 0..24;
+    indexed_placement_matches_an_exhaustive_search: 0..24;
 }
--- a/crates/lynxwheel/src/daemon.rs
+++ b/crates/lynxwheel/src/daemon.rs
@@ -65,8 +65,8 @@
 #[derive(Debug)]
 pub struct Daemon {
     node: Node,
-    callers: SocketAddr,
-    operators: SocketAddr,
+    caller_address: SocketAddr,
+    operator_address: SocketAddr,
     gateway: Gateway,
     stopping: Shutdown,
     closing: Shutdown,
@@ -84,17 +84,17 @@
     ///
     /// Fails when a listener cannot be opened.
     pub async fn start(config: &Config) -> Result<Self, DaemonError> {
-        let callers = bind("callers", config.callers).await?;
-        let operators = bind("operators", config.operators).await?;
-        let peers = bind("peers", config.peers_listen).await?;
+        let callers = bind("callers", config.caller_address).await?;
+        let operators = bind("operators", config.operator_address).await?;
+        let peers = bind("peers", config.peer_listen_address).await?;
         let metrics = metrics_handle();
         let stopping = Shutdown::new();
         let closing = Shutdown::new();
         let ending = Shutdown::new();
         let (node, threads) = Node::start(config.node_settings(), &ending);
         let addresses = (
-            local(&callers, config.callers),
-            local(&operators, config.operators),
+            local(&callers, config.caller_address),
+            local(&operators, config.operator_address),
         );
         let gateway = Gateway::new(node.clone());
         let health = Health {
@@ -118,13 +118,13 @@
         ];
         Ok(Self {
             node,
-            callers: addresses.0,
-            operators: addresses.1,
+            caller_address: addresses.0,
+            operator_address: addresses.1,
             gateway,
             stopping,
             closing,
             ending,
-            drain: Duration::from_millis(config.drain_ms),
+            drain: Duration::from_millis(config.drain_delay_ms),
             servers,
             peer_server,
             threads,
@@ -139,14 +139,14 @@
 
     /// Returns the address for callers.
     #[must_use]
-    pub fn callers(&self) -> SocketAddr {
-        self.callers
+    pub fn caller_address(&self) -> SocketAddr {
+        self.caller_address
     }
 
     /// Returns the address for operators.
     #[must_use]
-    pub fn operators(&self) -> SocketAddr {
-        self.operators
+    pub fn operator_address(&self) -> SocketAddr {
+        self.operator_address
     }
 
     /// Stops gracefully: readiness off, a while for the balancer to notice, then no new
@@ -197,9 +197,9 @@
     let mut terminate = signals(SignalKind::terminate())?;
     let mut interrupt = signals(SignalKind::interrupt())?;
     let daemon = Daemon::start(&config).await?;
-    info!(event = "started", node = config.node.as_str(),
-        callers = daemon.callers().to_string().as_str(),
-        operators = daemon.operators().to_string().as_str(); "");
+    info!(event = "started", node = config.node_name.as_str(),
+        callers = daemon.caller_address().to_string().as_str(),
+        operators = daemon.operator_address().to_string().as_str(); "");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
