--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client with a bounded pool of connections to one address.
+//! HTTP client with a bounded connection pool per address.
 
 use {
     crate::{
@@ -33,24 +33,24 @@
     },
 };
 
-/// Time for which an idle connection is used again; peers commonly close theirs after 5 s.
+/// Maximum idle time of a reused connection; peers commonly close idle connections after 5 s.
 const MAX_IDLE: Duration = Duration::from_secs(2);
 
-/// Request with a body in memory.
+/// Request whose body is in memory.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Method.
     pub method: Method,
-    /// Path with query.
+    /// Path and query.
     pub path: String,
-    /// Headers by name and value.
+    /// Header names and values.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Bytes,
 }
 
 impl ClientRequest {
-    /// Creates a request without body.
+    /// Creates a request without a body.
     #[must_use]
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Whole answer.
+/// Response whose body is in memory.
 #[derive(Clone, Debug)]
 pub struct ClientResponse {
     /// Status.
@@ -88,14 +88,14 @@
 }
 
 impl ClientResponse {
-    /// Returns the value of a header as text.
+    /// Returns the value of a header if it is present and visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// Connections to one address; copies share them.
+/// HTTP client for one address; clones share its connections.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: Arc<Inner>,
@@ -109,26 +109,26 @@
     permits: Arc<Semaphore>,
 }
 
-/// A connection that waits for its next request.
+/// Open connection without a request.
 #[derive(Debug)]
 struct IdleConnection {
     sender: SendRequest<Body>,
-    since: Instant,
+    idle_since: Instant,
 }
 
 impl Client {
-    /// Creates a client that opens at most `max_connections` to `peer`.
+    /// Creates a client that opens at most `max_connections` connections to `peer`.
     #[must_use]
     pub fn new(peer: SocketAddr, max_connections: usize) -> Self {
         Self::with_max_idle(peer, max_connections, MAX_IDLE)
     }
 
-    /// Creates a client that uses no connection again that was idle for `max_idle`.
+    /// Creates a client that does not reuse connections idle for `max_idle` or longer.
     ///
-    /// A peer may close an idle connection at the moment in which a request is sent on it. Nobody
-    /// can tell then whether the request ran, and the caller of one that is not idempotent would
-    /// be told "outcome unknown" for nothing. Peers that close idle connections wait for some
-    /// seconds, so one that was used a moment ago is safe.
+    /// A peer may close an idle connection just as a request is sent on it. Whether the request was
+    /// processed is then unknown, and a request that is not idempotent fails with "outcome unknown"
+    /// without need. Peers close connections only after some idle seconds, so a recently used one
+    /// is safe.
     #[must_use]
     pub fn with_max_idle(peer: SocketAddr, max_connections: usize, max_idle: Duration) -> Self {
         Self {
@@ -141,26 +141,26 @@
         }
     }
 
-    /// Returns the address.
+    /// Returns the address of the peer.
     #[must_use]
     pub fn peer(&self) -> SocketAddr {
         self.inner.peer
     }
 
-    /// Closes the connections that are not in use.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         lock(&self.inner.idle).clear();
     }
 
-    /// Sends a request and returns the answer with its body still to come.
+    /// Sends a request and returns the response with a streaming body.
     ///
-    /// The connection is reused only after the body was read to its end. An answer that is given
-    /// up on takes its connection with it, so that a late rest is never read as another answer.
+    /// The connection returns to the pool when the body has been read to its end. It is closed if
+    /// the body is dropped earlier, so that the rest is never read as another response.
     ///
     /// # Errors
     ///
-    /// Fails when no connection is free or can be opened before `deadline`, or when the exchange
-    /// breaks; `may_have_run` is `false` only when nothing was sent.
+    /// Fails when no connection is available before `deadline` or the request fails; `may_have_run`
+    /// is `false` only when nothing was sent.
     pub async fn send(
         &self,
         request: Request<Body>,
@@ -173,17 +173,17 @@
             .map_err(|_| TransportError::unsent(Step::Acquire, peer, "client closed"))?;
         let mut request = request;
         loop {
-            let (mut sender, is_reused) = match self.take_idle() {
+            let (mut sender, is_reused) = match self.pop_idle() {
                 Some(sender) => (sender, true),
                 None => (self.connect(deadline).await?, false),
             };
             let attempt = timeout_at(deadline, sender.try_send_request(request)).await;
             match attempt {
                 Err(_) => return Err(TransportError::sent(Step::Exchange, peer, "timeout")),
-                Ok(Ok(response)) => return Ok(self.guard(response, sender, permit)),
-                Ok(Err(mut refused)) => {
-                    let reason = refused.error().to_string();
-                    match refused.take_message() {
+                Ok(Ok(response)) => return Ok(self.attach_to_body(response, sender, permit)),
+                Ok(Err(mut failed)) => {
+                    let reason = failed.error().to_string();
+                    match failed.take_message() {
                         Some(unsent) if is_reused => request = unsent,
                         Some(_) => {
                             return Err(TransportError::unsent(Step::Exchange, peer, reason));
@@ -195,19 +195,19 @@
         }
     }
 
-    /// Sends a request and reads the whole answer, at most [`MAX_MESSAGE_BYTES`].
+    /// Sends a request and reads the complete response, at most [`MAX_MESSAGE_BYTES`].
     ///
     /// # Errors
     ///
-    /// Fails as [`Client::send`] does, or when the body breaks off or is too large.
+    /// Fails as [`Client::send`] does, or when the body is incomplete or too large.
     pub async fn call(
         &self,
         request: &ClientRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<ClientResponse, TransportError> {
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let peer = self.inner.peer;
-        let response = self.send(self.build(request)?, deadline).await?;
+        let response = self.send(self.build_request(request)?, deadline).await?;
         let (parts, body) = response.into_parts();
         let collected = timeout_at(deadline, Limited::new(body, MAX_MESSAGE_BYTES).collect())
             .await
@@ -220,41 +220,45 @@
         })
     }
 
-    /// Gets a path.
+    /// Sends a GET request.
     ///
     /// # Errors
     ///
     /// Fails as [`Client::call`] does.
-    pub async fn get(&self, path: &str, limit: Duration) -> Result<ClientResponse, TransportError> {
-        self.call(&ClientRequest::new(Method::GET, path), limit)
+    pub async fn get(
+        &self,
+        path: &str,
+        timeout: Duration,
+    ) -> Result<ClientResponse, TransportError> {
+        self.call(&ClientRequest::new(Method::GET, path), timeout)
             .await
     }
 
-    /// Gets a large answer, which may take as long as it goes on coming.
+    /// Downloads a large response, with a timeout for each read instead of the whole transfer.
     ///
-    /// A limit on the whole time gives up what a narrow link would bring in the end, and what is tried
-    /// again fills that link once more.
+    /// On a slow link a total timeout would abort a transfer that makes progress, and the retry
+    /// would load the link again.
     ///
     /// # Errors
     ///
-    /// Fails as [`Client::call`] does, when nothing comes for `stall`.
+    /// Fails as [`Client::call`] does, or when no data arrives for `stall`.
     pub async fn download(
         &self,
         path: &str,
         stall: Duration,
     ) -> Result<ClientResponse, TransportError> {
         let peer = self.inner.peer;
-        let request = self.build(&ClientRequest::new(Method::GET, path))?;
+        let request = self.build_request(&ClientRequest::new(Method::GET, path))?;
         let response = self.send(request, Instant::now() + stall).await?;
         let (parts, body) = response.into_parts();
         let mut body = Limited::new(body, MAX_MESSAGE_BYTES);
         let mut bytes = BytesMut::new();
-        let broken = |reason: String| TransportError::sent(Step::ReadBody, peer, reason);
+        let read_error = |reason: String| TransportError::sent(Step::ReadBody, peer, reason);
         while let Some(frame) = timeout_at(Instant::now() + stall, body.frame())
             .await
-            .map_err(|_| broken("timeout".into()))?
+            .map_err(|_| read_error("timeout".into()))?
         {
-            let frame = frame.map_err(|error| broken(error.to_string()))?;
+            let frame = frame.map_err(|error| read_error(error.to_string()))?;
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
@@ -266,22 +270,22 @@
         })
     }
 
-    /// Posts a message and decodes the answer.
+    /// Posts a message and decodes the response.
     ///
     /// # Errors
     ///
-    /// Fails as [`Client::call`] does, when the status is not 200, or when the answer is no
-    /// message of the type.
+    /// Fails as [`Client::call`] does, when the status is not 200, or when the response cannot be
+    /// decoded.
     pub async fn post_message<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         message: &Q,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<A, TransportError> {
-        self.post(path, encode_message(message), limit).await
+        self.post(path, encode_message(message), timeout).await
     }
 
-    /// Posts a message without its field names, and decodes the answer.
+    /// Posts a message that is encoded without field names, and decodes the response.
     ///
     /// # Errors
     ///
@@ -290,27 +294,27 @@
         &self,
         path: &str,
         message: &Q,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<A, TransportError> {
         let bytes = encode_compact_message(message);
-        self.post(path, bytes, limit).await
+        self.post(path, bytes, timeout).await
     }
 
     async fn post<A: DeserializeOwned>(
         &self,
         path: &str,
         message: Result<Vec<u8>, CodecError>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<A, TransportError> {
         let peer = self.inner.peer;
         let bytes = message
             .map_err(|error| TransportError::unsent(Step::Decode, peer, error.to_string()))?;
         let request = ClientRequest::new(Method::POST, path).with_body(bytes);
-        let answer = self.call(&request, limit).await?;
-        decode_answer(peer, &answer)
+        let response = self.call(&request, timeout).await?;
+        decode_response(peer, &response)
     }
 
-    /// Gets a path and decodes the answer.
+    /// Sends a GET request and decodes the response.
     ///
     /// # Errors
     ///
@@ -318,13 +322,13 @@
     pub async fn get_message<A: DeserializeOwned>(
         &self,
         path: &str,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<A, TransportError> {
-        let answer = self.get(path, limit).await?;
-        decode_answer(self.inner.peer, &answer)
+        let response = self.get(path, timeout).await?;
+        decode_response(self.inner.peer, &response)
     }
 
-    fn build(&self, request: &ClientRequest) -> Result<Request<Body>, TransportError> {
+    fn build_request(&self, request: &ClientRequest) -> Result<Request<Body>, TransportError> {
         let mut builder = Request::builder()
             .method(request.method.clone())
             .uri(&request.path)
@@ -339,10 +343,10 @@
             })
     }
 
-    fn take_idle(&self) -> Option<SendRequest<Body>> {
+    fn pop_idle(&self) -> Option<SendRequest<Body>> {
         let mut idle = lock(&self.inner.idle);
         while let Some(connection) = idle.pop() {
-            let is_fresh = connection.since.elapsed() < self.inner.max_idle;
+            let is_fresh = connection.idle_since.elapsed() < self.inner.max_idle;
             if is_fresh && connection.sender.is_ready() {
                 return Some(connection.sender);
             }
@@ -368,46 +372,46 @@
                 .await
                 .map_err(|error| unsent(error.to_string()))?;
         tokio::spawn(async move {
-            // The sender's side learns of a broken connection through its own calls.
+            // `sender` reports connection errors to its caller.
             drop(connection.await);
         });
         Ok(sender)
     }
 
-    fn guard(
+    fn attach_to_body(
         &self,
         response: Response<Incoming>,
         sender: SendRequest<Body>,
         permit: OwnedSemaphorePermit,
     ) -> Response<Body> {
         response.map(|incoming| {
-            let lease = Lease {
+            let connection = PooledConnection {
                 inner: Arc::clone(&self.inner),
                 sender,
                 _permit: permit,
             };
-            let mut body = GuardedBody {
+            let mut body = PooledBody {
                 incoming,
-                lease: Some(lease),
+                connection: Some(connection),
             };
             if body.incoming.is_end_stream() {
-                body.give_back();
+                body.release();
             }
             body.boxed_unsync()
         })
     }
 }
 
-fn decode_answer<A: DeserializeOwned>(
+fn decode_response<A: DeserializeOwned>(
     peer: SocketAddr,
-    answer: &ClientResponse,
+    response: &ClientResponse,
 ) -> Result<A, TransportError> {
-    if answer.status != StatusCode::OK {
-        let text = String::from_utf8_lossy(&answer.body);
-        let reason = format!("status {}: {text}", answer.status.as_u16());
+    if response.status != StatusCode::OK {
+        let text = String::from_utf8_lossy(&response.body);
+        let reason = format!("status {}: {text}", response.status.as_u16());
         return Err(TransportError::sent(Step::Exchange, peer, reason));
     }
-    decode_message(&answer.body)
+    decode_message(&response.body)
         .map_err(|error| TransportError::sent(Step::Decode, peer, error.to_string()))
 }
 
@@ -415,37 +419,37 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A connection in use, with its place in the pool's bound.
+/// Connection in use, with its permit of the pool.
 #[derive(Debug)]
-struct Lease {
+struct PooledConnection {
     inner: Arc<Inner>,
     sender: SendRequest<Body>,
     _permit: OwnedSemaphorePermit,
 }
 
-/// Body that gives its connection back at its end and closes it when dropped before.
+/// Body that returns its connection to the pool at its end and closes it if dropped earlier.
 #[derive(Debug)]
-struct GuardedBody {
+struct PooledBody {
     incoming: Incoming,
-    lease: Option<Lease>,
+    connection: Option<PooledConnection>,
 }
 
-impl GuardedBody {
-    fn give_back(&mut self) {
-        if let Some(Lease {
+impl PooledBody {
+    fn release(&mut self) {
+        if let Some(PooledConnection {
             inner,
             sender,
             _permit,
-        }) = self.lease.take()
+        }) = self.connection.take()
             && !sender.is_closed()
         {
-            let since = Instant::now();
-            lock(&inner.idle).push(IdleConnection { sender, since });
+            let idle_since = Instant::now();
+            lock(&inner.idle).push(IdleConnection { sender, idle_since });
         }
     }
 }
 
-impl HttpBody for GuardedBody {
+impl HttpBody for PooledBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -455,9 +459,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let polled = Pin::new(&mut self.incoming).poll_frame(context);
         match &polled {
-            Poll::Ready(None) => self.give_back(),
-            Poll::Ready(Some(Err(_))) => drop(self.lease.take()),
-            Poll::Ready(Some(Ok(_))) if self.incoming.is_end_stream() => self.give_back(),
+            Poll::Ready(None) => self.release(),
+            Poll::Ready(Some(Err(_))) => drop(self.connection.take()),
+            Poll::Ready(Some(Ok(_))) if self.incoming.is_end_stream() => self.release(),
             _ => {}
         }
         polled.map_err(Into::into)
@@ -472,50 +476,50 @@
     }
 }
 
-/// Clients by address, made when first needed.
+/// Clients by address, created on first use.
 #[derive(Debug)]
 pub struct ClientPool {
-    rows: Mutex<Vec<Client>>,
+    clients: Mutex<Vec<Client>>,
     max_connections: usize,
 }
 
 impl ClientPool {
-    /// Creates an empty set whose clients open at most `max_connections` each.
+    /// Creates an empty pool whose clients open at most `max_connections` connections each.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
         Self {
-            rows: Mutex::new(Vec::new()),
+            clients: Mutex::new(Vec::new()),
             max_connections,
         }
     }
 
-    /// Returns the client for an address.
+    /// Returns the client for an address, creating it if needed.
     #[must_use]
     pub fn get(&self, peer: SocketAddr) -> Client {
-        let mut rows = lock(&self.rows);
-        match rows.binary_search_by_key(&peer, Client::peer) {
-            Ok(row) => rows[row].clone(),
-            Err(row) => {
+        let mut clients = lock(&self.clients);
+        match clients.binary_search_by_key(&peer, Client::peer) {
+            Ok(index) => clients[index].clone(),
+            Err(index) => {
                 let client = Client::new(peer, self.max_connections);
-                rows.insert(row, client.clone());
+                clients.insert(index, client.clone());
                 client
             }
         }
     }
 
-    /// Closes connections that were idle for too long to be used again, and forgets the clients that
-    /// are left without any.
+    /// Closes connections that were idle for too long to be reused, and removes clients that are
+    /// left without connections and are not used elsewhere.
     pub fn prune(&self) {
-        lock(&self.rows).retain(|client| {
+        lock(&self.clients).retain(|client| {
             let mut idle = lock(&client.inner.idle);
-            idle.retain(|connection| connection.since.elapsed() < client.inner.max_idle);
+            idle.retain(|connection| connection.idle_since.elapsed() < client.inner.max_idle);
             let is_shared = Arc::strong_count(&client.inner) > 1;
             is_shared || !idle.is_empty()
         });
     }
 
-    /// Forgets the clients of addresses that `keep` does not name.
+    /// Removes the clients of addresses for which `keep` returns `false`.
     pub fn retain(&self, keep: impl Fn(SocketAddr) -> bool) {
-        lock(&self.rows).retain(|client| keep(client.peer()));
+        lock(&self.clients).retain(|client| keep(client.peer()));
     }
 }
