--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -28,27 +28,27 @@
     },
 };
 
-/// Pause after a failed accept, such as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answer to a head that does not come in time.
-const LATE_HEAD_ANSWER: &[u8] =
+/// Response to a request head that does not arrive in time.
+const HEAD_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Answer to a head that can be framed in two ways.
-const AMBIGUOUS_HEAD_ANSWER: &[u8] =
+/// Response to a request head with ambiguous framing.
+const AMBIGUOUS_FRAMING_RESPONSE: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Bounds of a server.
+/// Limits and timeouts of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections open at once; further ones wait in the backlog.
+    /// Maximum number of open connections; others wait in the backlog.
     pub max_connections: usize,
-    /// Time within which the head of a request must arrive, in milliseconds.
+    /// Timeout for reading a request head, in milliseconds.
     pub header_read_timeout_ms: u64,
-    /// Bytes of a request's head at most.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: usize,
-    /// Time for which a caller may take nothing of its answer, in milliseconds.
+    /// Timeout for a write of the response that makes no progress, in milliseconds.
     pub write_stall_timeout_ms: u64,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Signal that stops servers gracefully; copies share it.
+/// Shutdown signal; clones share it.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     sender: Arc<watch::Sender<bool>>,
@@ -76,7 +76,7 @@
 }
 
 impl Shutdown {
-    /// Creates a signal that is not yet given.
+    /// Creates a signal that has not been sent.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Gives the signal.
+    /// Sends the signal.
     pub fn begin(&self) {
         self.sender.send_replace(true);
     }
 
-    /// Tells whether the signal was given.
+    /// Returns whether the signal has been sent.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         *self.sender.borrow()
@@ -98,12 +98,12 @@
     /// Waits for the signal.
     pub async fn wait(&self) {
         let mut receiver = self.sender.subscribe();
-        // The sender lives as long as `self`, so waiting ends only with the signal.
+        // `self` keeps the sender alive, so the wait ends only with the signal.
         drop(receiver.wait_for(|begun| *begun).await);
     }
 }
 
-/// HTTP server on one address.
+/// HTTP server that listens on one address.
 #[derive(Debug)]
 pub struct Server {
     listener: TcpListener,
@@ -111,7 +111,7 @@
 }
 
 impl Server {
-    /// Listens on `address`; port 0 takes a free one.
+    /// Binds to `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
@@ -124,23 +124,23 @@
         })
     }
 
-    /// Sets the bounds.
+    /// Sets limits and timeouts.
     #[must_use]
     pub fn with_limits(mut self, limits: ServerLimits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Returns the address listened on.
+    /// Returns the local address of the listener.
     ///
     /// # Errors
     ///
-    /// Fails when the socket has none.
+    /// Fails when the socket has no local address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves like [`serve`](Self::serve), and gives each request a copy of `state`.
+    /// Serves like [`serve`](Self::serve) and passes a clone of `state` to each handler call.
     pub async fn serve_with<S, H, F>(self, shutdown: Shutdown, state: S, handler: H)
     where
         S: Clone + Send + 'static,
@@ -151,14 +151,14 @@
             .await;
     }
 
-    /// Serves until the signal is given, then until every request in progress is answered.
+    /// Serves until `shutdown` is signalled and all requests in flight are answered.
     pub async fn serve<H, F>(self, shutdown: Shutdown, handler: H)
     where
         H: Clone + Fn(Request<Incoming>) -> F + Send + 'static,
         F: Future<Output = Response<Body>> + Send + 'static,
     {
         let permits = Arc::new(Semaphore::new(self.limits.max_connections));
-        let open = watch::Sender::new(());
+        let open_connections = watch::Sender::new(());
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -166,10 +166,10 @@
                 accepted = accept(&self.listener, &permits) => accepted,
             };
             let Ok((stream, permit)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let guard = open.subscribe();
+            let guard = open_connections.subscribe();
             let connection =
                 serve_connection(stream, self.limits, shutdown.clone(), handler.clone());
             tokio::spawn(async move {
@@ -178,7 +178,7 @@
             });
         }
         drop(self.listener);
-        open.closed().await;
+        open_connections.closed().await;
     }
 }
 
@@ -204,11 +204,11 @@
     H: Clone + Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    // Boxed, so that the connection can be polled without a pin and taken apart at its end.
+    // Boxed so that the connection is `Unpin`: it is polled by reference and split at its end.
     let handler = Box::new(handler);
     let service = service_fn(move |request| {
-        let answer = handler(request);
-        Box::pin(async move { Ok::<_, Infallible>(answer.await) })
+        let response = handler(request);
+        Box::pin(async move { Ok::<_, Infallible>(response.await) })
     });
     let stream = CountedStream::new(stream, "server");
     let stream = StallGuard::new(stream, Duration::from_millis(limits.write_stall_timeout_ms));
@@ -218,45 +218,45 @@
         .max_buf_size(limits.max_header_bytes)
         .half_close(false)
         .serve_connection(TokioIo::new(stream), service);
-    // A broken connection concerns only its own caller, who sees it too.
-    let ended = tokio::select! {
-        ended = poll_fn(|context| connection.poll_without_shutdown(context)) => ended,
+    // Errors are not reported: they affect only the caller of this connection, who sees them too.
+    let result = tokio::select! {
+        result = poll_fn(|context| connection.poll_without_shutdown(context)) => result,
         () = shutdown.wait() => {
             Pin::new(&mut connection).graceful_shutdown();
             poll_fn(|context| connection.poll_without_shutdown(context)).await
         }
     };
-    let is_late = ended.as_ref().is_err_and(hyper::Error::is_timeout);
+    let is_timeout = result.as_ref().is_err_and(hyper::Error::is_timeout);
     let parts = connection.into_parts();
-    // Only a request that has begun is answered: on an idle connection the bytes would be taken
-    // for the answer to the caller's next request.
-    let is_late_head = is_late && !parts.read_buf.is_empty();
+    // Respond only if part of a head was read: on an idle connection the caller would take the
+    // response for the one to its next request.
+    let is_head_timeout = is_timeout && !parts.read_buf.is_empty();
     let stream = parts.io.into_inner();
-    let answer = if stream.is_ambiguous() {
-        Some(AMBIGUOUS_HEAD_ANSWER)
+    let response = if stream.is_ambiguous() {
+        Some(AMBIGUOUS_FRAMING_RESPONSE)
     } else {
-        is_late_head.then_some(LATE_HEAD_ANSWER)
+        is_head_timeout.then_some(HEAD_TIMEOUT_RESPONSE)
     };
-    close(stream, answer).await;
+    close(stream, response).await;
 }
 
-/// Closes a connection, after a last answer if there is one.
-async fn close(mut stream: StallGuard<CountedStream>, answer: Option<&[u8]>) {
+/// Sends `response`, if any, and closes the connection.
+async fn close(mut stream: StallGuard<CountedStream>, response: Option<&[u8]>) {
     let closing = async {
-        if let Some(answer) = answer {
-            stream.write_all(answer).await?;
+        if let Some(response) = response {
+            stream.write_all(response).await?;
         }
         stream.shutdown().await
     };
-    // The caller may be gone already.
+    // The caller may have closed the connection already.
     drop(closing.await);
 }
 
-/// Reads a whole body of at most `limit_bytes`.
+/// Reads a complete body of at most `limit_bytes`.
 ///
 /// # Errors
 ///
-/// Returns the answer to give when the body is too large or breaks off.
+/// Returns the response to send when the body is too large or incomplete.
 pub async fn collect_body(body: Incoming, limit_bytes: usize) -> Result<Bytes, Response<Body>> {
     match Limited::new(body, limit_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -271,31 +271,35 @@
     }
 }
 
-/// Answers with JSON.
+/// Returns a response with a JSON body.
 #[must_use]
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
-        Ok(bytes) => answer(status, "application/json", bytes),
+        Ok(bytes) => response_of_type(status, "application/json", bytes),
         Err(error) => error_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
-/// Answers with an encoded message.
+/// Returns a response with an encoded message.
 #[must_use]
 pub fn message_response<T: Serialize>(message: &T) -> Response<Body> {
     match encode_message(message) {
-        Ok(bytes) => answer(StatusCode::OK, "application/msgpack", bytes),
+        Ok(bytes) => response_of_type(StatusCode::OK, "application/msgpack", bytes),
         Err(error) => error_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
-/// Answers with a reason in plain text.
+/// Returns a response with a reason in plain text.
 #[must_use]
 pub fn error_response(status: StatusCode, reason: &str) -> Response<Body> {
-    answer(status, "text/plain", reason.as_bytes().to_vec())
+    response_of_type(status, "text/plain", reason.as_bytes().to_vec())
 }
 
-fn answer(status: StatusCode, content_type: &'static str, bytes: Vec<u8>) -> Response<Body> {
+fn response_of_type(
+    status: StatusCode,
+    content_type: &'static str,
+    bytes: Vec<u8>,
+) -> Response<Body> {
     let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     response.headers_mut().insert(
--- a/crates/transport/src/stall.rs
+++ b/crates/transport/src/stall.rs
@@ -1,5 +1,4 @@
-//! Stream of a caller's connection, guarded against readers that take nothing and heads that can
-//! be read in two ways.
+//! Server-side stream with a write timeout and detection of ambiguous request heads.
 
 use {
     crate::head_scan::HeadScan,
@@ -16,36 +15,36 @@
     },
 };
 
-/// Stream whose writes fail when they make no progress for a time.
+/// Stream whose writes fail when they make no progress within a timeout.
 ///
-/// A caller that stops reading fills its window, and the answer's body is polled no more: no timer
-/// of the body can fire, and the request would hold its slot for as long as the caller likes. The
-/// write itself waits in that case, so the time is taken here.
+/// When a caller stops reading, its TCP window fills up and the response body is no longer polled.
+/// A timeout of the body then cannot fire, and the request would keep its slot, so the timeout
+/// applies to the pending write.
 #[derive(Debug)]
 pub(crate) struct StallGuard<S> {
     inner: S,
-    limit: Duration,
+    timeout: Duration,
     timer: Option<Pin<Box<Sleep>>>,
     scan: HeadScan,
 }
 
 impl<S> StallGuard<S> {
-    pub(crate) fn new(inner: S, limit: Duration) -> Self {
+    pub(crate) fn new(inner: S, timeout: Duration) -> Self {
         Self {
             inner,
-            limit,
+            timeout,
             timer: None,
             scan: HeadScan::default(),
         }
     }
 
-    /// Tells whether reading failed because the first head can be framed in two ways.
+    /// Returns whether reading failed because the first request head has ambiguous framing.
     pub(crate) fn is_ambiguous(&self) -> bool {
         self.scan.is_ambiguous()
     }
 
-    /// Passes a write's result on, or fails when the write has waited for too long.
-    fn watch<T>(
+    /// Returns the result of a write, or an error once the write has been pending for the timeout.
+    fn check_timeout<T>(
         &mut self,
         written: Poll<io::Result<T>>,
         context: &mut Context<'_>,
@@ -54,10 +53,10 @@
             self.timer = None;
             return written;
         }
-        let limit = self.limit;
+        let timeout = self.timeout;
         let timer = self
             .timer
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep(limit)));
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep(timeout)));
         match timer.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
@@ -73,7 +72,7 @@
     ) -> Poll<io::Result<()>> {
         let start = buffer.filled().len();
         let read = Pin::new(&mut self.inner).poll_read(context, buffer);
-        if read.is_ready() && self.scan.is_open() {
+        if read.is_ready() && self.scan.is_incomplete() {
             self.scan.feed(&buffer.filled()[start..]);
             if self.scan.is_ambiguous() {
                 return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
@@ -90,7 +89,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.watch(written, context)
+        self.check_timeout(written, context)
     }
 
     fn poll_write_vectored(
@@ -99,7 +98,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write_vectored(context, slices);
-        self.watch(written, context)
+        self.check_timeout(written, context)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -108,7 +107,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.inner).poll_flush(context);
-        self.watch(flushed, context)
+        self.check_timeout(flushed, context)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
