--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and responses.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -12,17 +12,17 @@
     },
 };
 
-/// Break of a body before its end.
+/// Error that ends a body before it is complete.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BodyError {
-    /// The source broke off.
+    /// The connection failed.
     Broken {
-        /// What was seen.
+        /// Error of the HTTP library.
         reason: String,
     },
-    /// Nothing came for too long.
+    /// No data arrived within the timeout.
     Stalled,
-    /// More came than is allowed.
+    /// The body exceeds its size limit.
     TooLarge,
 }
 
@@ -46,39 +46,41 @@
     }
 }
 
-/// Body of any source; an error breaks the connection, so that a part is never taken as whole.
+/// Boxed body; an error closes the connection, so that a truncated body never looks complete.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Returns a body without content.
+/// Returns an empty body.
 #[must_use]
 pub fn empty_body() -> Body {
-    Empty::new().map_err(never).boxed_unsync()
+    Empty::new().map_err(match_infallible).boxed_unsync()
 }
 
-/// Returns a body that is in memory as a whole.
+/// Returns a body that holds `bytes`.
 #[must_use]
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
-    Full::new(bytes.into()).map_err(never).boxed_unsync()
+    Full::new(bytes.into())
+        .map_err(match_infallible)
+        .boxed_unsync()
 }
 
-fn never(error: Infallible) -> BodyError {
+fn match_infallible(error: Infallible) -> BodyError {
     match error {}
 }
 
-/// A body as far as it was read.
+/// Result of reading a body into memory up to a limit.
 #[derive(Debug)]
 pub enum BufferedBody {
-    /// The whole body.
+    /// The complete body.
     Complete(Bytes),
-    /// More than was to be read: what was read and the rest, as one body.
+    /// A body beyond the limit: the bytes already read, followed by the rest.
     Exceeded(Body),
 }
 
-/// Reads a body into memory, but not more than about `limit_bytes` of it.
+/// Reads a body into memory until it ends or more than `limit_bytes` were read.
 ///
 /// # Errors
 ///
-/// Fails when the body breaks off before.
+/// Fails when the body ends with an error before that.
 pub async fn buffer_body(mut body: Body, limit_bytes: usize) -> Result<BufferedBody, BodyError> {
     let mut read = BytesMut::new();
     while read.len() <= limit_bytes {
@@ -89,21 +91,21 @@
             read.extend_from_slice(&data);
         }
     }
-    let joined = Joined {
-        first: Some(read.freeze()),
+    let prefixed = PrefixedBody {
+        prefix: Some(read.freeze()),
         rest: body,
     };
-    Ok(BufferedBody::Exceeded(joined.boxed_unsync()))
+    Ok(BufferedBody::Exceeded(prefixed.boxed_unsync()))
 }
 
-/// Bytes that were read ahead, then the rest of their body.
+/// Bytes already read from a body, followed by the rest of it.
 #[derive(Debug)]
-struct Joined {
-    first: Option<Bytes>,
+struct PrefixedBody {
+    prefix: Option<Bytes>,
     rest: Body,
 }
 
-impl HttpBody for Joined {
+impl HttpBody for PrefixedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -111,23 +113,23 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        match self.first.take() {
-            Some(first) => Poll::Ready(Some(Ok(Frame::data(first)))),
+        match self.prefix.take() {
+            Some(prefix) => Poll::Ready(Some(Ok(Frame::data(prefix)))),
             None => Pin::new(&mut self.rest).poll_frame(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_none() && self.rest.is_end_stream()
+        self.prefix.is_none() && self.rest.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let read = self.first.as_ref().map_or(0, Bytes::len) as u64;
+        let prefix_bytes = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
         let rest = self.rest.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(rest.lower() + read);
+        hint.set_lower(rest.lower() + prefix_bytes);
         if let Some(upper) = rest.upper() {
-            hint.set_upper(upper + read);
+            hint.set_upper(upper + prefix_bytes);
         }
         hint
     }
--- a/crates/transport/src/stream.rs
+++ b/crates/transport/src/stream.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way: time limits, size limits and what is held until their end.
+//! Body wrappers: timeout, size limit and resources that live until the end of a body.
 
 use {
     crate::body::{Body, BodyError},
@@ -15,39 +15,39 @@
     tokio::time::{Instant, Sleep},
 };
 
-/// Breaks a body when nothing comes for `stall`, or when more than `limit_bytes` come.
+/// Ends a body with an error when no data arrives for `stall` or it exceeds `limit_bytes`.
 ///
-/// A source that stalls would hold a slot, a connection and memory for as long as it likes.
+/// Otherwise a stalled sender would hold a slot, a connection and memory indefinitely.
 #[must_use]
 pub fn limited_body(body: Body, stall: Duration, limit_bytes: u64) -> Body {
-    let bounded = Bounded {
+    let limited = LimitedBody {
         inner: body,
         stall,
         timer: None,
-        left_bytes: limit_bytes,
+        remaining_bytes: limit_bytes,
     };
-    bounded.boxed_unsync()
+    limited.boxed_unsync()
 }
 
-/// Keeps `held` until the body has ended, has broken or is given up on.
+/// Drops `guard` when the body ends, fails or is dropped.
 #[must_use]
-pub fn guarded_body<T: fmt::Debug + Send + Unpin + 'static>(body: Body, held: T) -> Body {
-    let holding = Holding {
+pub fn guarded_body<T: fmt::Debug + Send + Unpin + 'static>(body: Body, guard: T) -> Body {
+    let guarded = GuardedBody {
         inner: body,
-        held: Some(held),
+        guard: Some(guard),
     };
-    holding.boxed_unsync()
+    guarded.boxed_unsync()
 }
 
-struct Bounded {
+struct LimitedBody {
     inner: Body,
     stall: Duration,
     timer: Option<Pin<Box<Sleep>>>,
-    left_bytes: u64,
+    remaining_bytes: u64,
 }
 
-impl Bounded {
-    fn poll_stall(&mut self, context: &mut Context<'_>) -> Poll<()> {
+impl LimitedBody {
+    fn poll_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let stall = self.stall;
         let timer = self
             .timer
@@ -55,11 +55,11 @@
         timer.as_mut().poll(context)
     }
 
-    fn count(&mut self, frame: &Frame<Bytes>) -> Result<(), BodyError> {
+    fn consume(&mut self, frame: &Frame<Bytes>) -> Result<(), BodyError> {
         let size_bytes = frame.data_ref().map_or(0, Bytes::len) as u64;
-        match self.left_bytes.checked_sub(size_bytes) {
-            Some(left_bytes) => {
-                self.left_bytes = left_bytes;
+        match self.remaining_bytes.checked_sub(size_bytes) {
+            Some(remaining_bytes) => {
+                self.remaining_bytes = remaining_bytes;
                 Ok(())
             }
             None => Err(BodyError::TooLarge),
@@ -67,7 +67,7 @@
     }
 }
 
-impl HttpBody for Bounded {
+impl HttpBody for LimitedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -76,7 +76,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match Pin::new(&mut self.inner).poll_frame(context) {
-            Poll::Pending => match self.poll_stall(context) {
+            Poll::Pending => match self.poll_timeout(context) {
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(()) => Poll::Ready(Some(Err(BodyError::Stalled))),
             },
@@ -85,7 +85,7 @@
                 if let Some(timer) = &mut self.timer {
                     timer.as_mut().reset(deadline);
                 }
-                Poll::Ready(Some(self.count(&frame).map(|()| frame)))
+                Poll::Ready(Some(self.consume(&frame).map(|()| frame)))
             }
             ended @ Poll::Ready(_) => ended,
         }
@@ -100,12 +100,12 @@
     }
 }
 
-struct Holding<T> {
+struct GuardedBody<T> {
     inner: Body,
-    held: Option<T>,
+    guard: Option<T>,
 }
 
-impl<T: Unpin> HttpBody for Holding<T> {
+impl<T: Unpin> HttpBody for GuardedBody<T> {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -114,13 +114,13 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let polled = Pin::new(&mut self.inner).poll_frame(context);
-        let is_over = match &polled {
+        let is_ended = match &polled {
             Poll::Pending => false,
             Poll::Ready(Some(Ok(_))) => self.inner.is_end_stream(),
             Poll::Ready(None | Some(Err(_))) => true,
         };
-        if is_over {
-            drop(self.held.take());
+        if is_ended {
+            drop(self.guard.take());
         }
         polled
     }
