--- a/crates/transport/src/counted.rs
+++ b/crates/transport/src/counted.rs
@@ -1,4 +1,4 @@
-//! Counting of the bytes that cross the network.
+//! Metrics of network traffic.
 
 use {
     metrics::{Counter, counter},
@@ -13,7 +13,7 @@
     },
 };
 
-/// A connection whose bytes are counted in `lynxwheel_bytes_total`.
+/// Connection that counts its bytes in `lynxwheel_bytes_total`.
 pub(crate) struct CountedStream {
     stream: TcpStream,
     received: Counter,
@@ -21,7 +21,7 @@
 }
 
 impl CountedStream {
-    /// Counts the bytes of `stream` for the side of the exchange that this process is on.
+    /// Wraps `stream`; `side` is `client` or `server`, the role of this process.
     pub(crate) fn new(stream: TcpStream, side: &'static str) -> Self {
         Self {
             stream,
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -1,24 +1,24 @@
-//! Failures of an exchange, with the step and the peer at which they arose.
+//! Errors of HTTP requests, with the step that failed and the peer.
 
 use std::{error, fmt, net::SocketAddr};
 
-/// Step of an exchange.
+/// Step of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Waiting for a free connection.
+    /// Waiting for a connection of the pool.
     Acquire,
     /// Opening a connection.
     Connect,
-    /// Sending the request and waiting for the head of the answer.
+    /// Sending the request and waiting for the head of the response.
     Exchange,
-    /// Reading the body of the answer.
+    /// Reading the body of the response.
     ReadBody,
-    /// Encoding or decoding.
+    /// Encoding the request or decoding the response.
     Decode,
 }
 
 impl Step {
-    /// Returns the name used in logs.
+    /// Returns the name of the step in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -31,23 +31,23 @@
     }
 }
 
-/// Failure of an exchange with a peer.
+/// Error of a request to a peer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TransportError {
     /// Step that failed.
     pub step: Step,
-    /// Peer.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// Description of the error.
     pub reason: String,
-    /// Whether the peer may have acted on the request; `false` only when that is proven.
+    /// Whether the peer may have processed the request; `false` only when it certainly has not.
     pub may_have_run: bool,
-    /// Whether the peer's VM answered that nothing listens at the address.
+    /// Whether the connection was refused: the VM is up and nothing listens on the port.
     pub is_refused: bool,
 }
 
 impl TransportError {
-    /// Describes a failure before anything was sent.
+    /// Creates an error for a request that was not sent.
     #[must_use]
     pub fn unsent(step: Step, peer: SocketAddr, reason: impl Into<String>) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Describes a failure after which the peer may have acted.
+    /// Creates an error for a request that was sent and may have been processed.
     #[must_use]
     pub fn sent(step: Step, peer: SocketAddr, reason: impl Into<String>) -> Self {
         Self {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP servers, clients and connection pools of lynxwheel.
+//! HTTP servers, clients and connection pools for lynxwheel.
 //!
 //! ```
 //! use lynxwheel_transport::{Client, Step};
