--- a/crates/transport/tests/downloads.rs
+++ b/crates/transport/tests/downloads.rs
@@ -1,4 +1,4 @@
-//! Large answers over narrow links.
+//! Downloads of large responses over slow links.
 
 use {
     lynxwheel_transport::Client,
@@ -10,50 +10,57 @@
     },
 };
 
-/// Pieces of an answer.
-const PIECES: usize = 10;
+/// Number of chunks in a response.
+const CHUNK_COUNT: usize = 10;
 
-/// Time between two pieces; all of them take longer than the client waits for one.
-const BETWEEN: Duration = Duration::from_millis(250);
+/// Delay before each chunk; the whole response takes longer than [`STALL`].
+const CHUNK_DELAY: Duration = Duration::from_millis(250);
 
+/// Time that the client waits for the next chunk.
 const STALL: Duration = Duration::from_secs(2);
 
-const PIECE: &[u8] = &[b'x'; 100];
+const CHUNK: &[u8] = &[b'x'; 100];
 
-/// Sends one answer in pieces with a time between them, and stops after `sent` of them.
-async fn serve_slowly(between: Duration, sent: usize) -> SocketAddr {
+/// Sends a response in delayed chunks and stalls after `sent` of them.
+async fn serve_slowly(delay: Duration, sent: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut head = [0; 1_024];
         let _read = stream.read(&mut head).await.expect("a head");
-        let length = PIECES * PIECE.len();
-        let begin = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
-        stream.write_all(begin.as_bytes()).await.expect("send");
+        let length = CHUNK_COUNT * CHUNK.len();
+        let response_head = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
+        stream
+            .write_all(response_head.as_bytes())
+            .await
+            .expect("send");
         for _ in 0..sent {
-            sleep(between).await;
-            stream.write_all(PIECE).await.expect("send");
+            sleep(delay).await;
+            stream.write_all(CHUNK).await.expect("send");
         }
         sleep(Duration::from_hours(1)).await;
     });
     address
 }
 
-/// A new owner never begins. What is stored takes longer to come over its link than a call may take, so
-/// it gives up, and the next owner does the same.
+/// Guards against aborting a transfer that makes progress: a new owner could then never load its
+/// state over a slow link.
 #[tokio::test]
-async fn answer_that_goes_on_coming_is_waited_for() {
-    let address = serve_slowly(BETWEEN, PIECES).await;
+async fn slow_download_with_progress_completes() {
+    let address = serve_slowly(CHUNK_DELAY, CHUNK_COUNT).await;
     let client = Client::new(address, 1);
-    let answer = client.download("/", STALL).await;
-    assert_eq!(answer.expect("an answer").body.len(), PIECES * PIECE.len());
+    let response = client.download("/", STALL).await;
+    assert_eq!(
+        response.expect("a response").body.len(),
+        CHUNK_COUNT * CHUNK.len()
+    );
 }
 
 #[tokio::test]
-async fn answer_that_stops_coming_is_given_up() {
-    let address = serve_slowly(BETWEEN, PIECES / 2).await;
+async fn stalled_download_times_out() {
+    let address = serve_slowly(CHUNK_DELAY, CHUNK_COUNT / 2).await;
     let client = Client::new(address, 1);
-    let answer = client.download("/", STALL).await;
-    assert!(answer.expect_err("no answer").may_have_run);
+    let response = client.download("/", STALL).await;
+    assert!(response.expect_err("no response").may_have_run);
 }
