--- a/crates/engine/tests/advice.rs
+++ b/crates/engine/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Queues whose endpoints another service chooses.
+//! Queues whose endpoints are chosen by the advice service.
 
 mod common;
 
@@ -29,7 +29,7 @@
 
 fn requested(fleet: &Fleet) -> Vec<Vec<String>> {
     let asks = fleet.orders.iter().filter_map(|order| match order {
-        Effect::Advise { endpoints, .. } => {
+        Effect::GetTickets { endpoints, .. } => {
             Some(endpoints.iter().map(ToString::to_string).collect())
         }
         _ => None,
@@ -42,7 +42,7 @@
         endpoint: (*id).into(),
         text: format!("ticket-{id}").into(),
     });
-    fleet.handle(Event::Advised {
+    fleet.handle(Event::TicketsReceived {
         step: format!("{}.0.0.0", job_id(1)).parse().expect("a name"),
         answer: Some((tickets.collect(), 3_000)),
     });
@@ -80,11 +80,11 @@
     assert_eq!(tickets, ["ticket-i-2"]);
 }
 
-/// A job never starts. The service that chooses was down when it was asked, and nobody asked again.
+/// Guards against a job that never starts because a failed request is not repeated.
 #[test]
 fn failed_ticket_request_is_repeated() {
     let mut fleet = two_endpoints();
-    fleet.handle(Event::Advised {
+    fleet.handle(Event::TicketsReceived {
         step: format!("{}.0.0.0", job_id(1)).parse().expect("a name"),
         answer: None,
     });
@@ -92,8 +92,7 @@
     assert_eq!(requested(&fleet).len(), 2);
 }
 
-/// The service is asked about the same endpoints over and over, which costs it time for each; what
-/// it refused once it always refuses.
+/// Guards against repeated requests about endpoints that were refused, which is final.
 #[test]
 fn refused_endpoints_are_not_requested_again() {
     let mut fleet = two_endpoints();
