--- a/crates/protocol/src/api.rs
+++ b/crates/protocol/src/api.rs
@@ -1,4 +1,4 @@
-//! Documents of the resource API.
+//! Requests and responses of the resource API.
 
 use {
     crate::{
@@ -9,60 +9,60 @@
     std::{fmt, str::FromStr},
 };
 
-/// Header that tells whether the node knows that it is current.
+/// Response header with whether the node is known to be current: `true` or `false`.
 pub const CURRENT_HEADER: &str = "x-lynxwheel-current";
 
-/// Header that names the offset up to which the node has folded.
+/// Response header with the log offset up to which the node has folded.
 pub const REVISION_HEADER: &str = "x-lynxwheel-revision";
 
-/// Condition that holds when what was declared is so.
+/// Name of the condition that holds when the actual state matches the declaration.
 pub const READY: &str = "Ready";
 
-/// Condition of a job that has its final answer, whether or not it is the one wanted.
+/// Name of the condition that holds when a job has ended, successfully or not.
 pub const FINAL: &str = "Final";
 
-/// One thing that holds or does not hold of a resource.
+/// Condition of a resource.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Condition {
-    /// What is told, such as `Ready`.
+    /// Name, such as `Ready`.
     pub name: String,
     /// Whether it holds.
     pub holds: bool,
-    /// Why, for people.
+    /// Human-readable reason.
     pub reason: String,
 }
 
-/// A resource as operators see it: what is declared beside what is so.
+/// Resource with its declaration and its status.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ResourceView {
-    /// What is declared.
+    /// Declaration.
     #[serde(flatten)]
     pub resource: Resource,
-    /// Offset of its last accepted declaration.
+    /// Log offset of the last accepted declaration.
     pub revision: u64,
-    /// Offset up to which the status was observed.
+    /// Log offset of the state from which the status was computed.
     pub observed_revision: u64,
-    /// What holds.
+    /// Conditions.
     pub conditions: Vec<Condition>,
-    /// Figures of the kind.
+    /// Status values specific to the kind.
     pub status: serde_json::Value,
 }
 
-/// Answer to a write.
+/// Response to a write.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WriteResponse {
-    /// What was written.
+    /// Resource that was written.
     pub reference: ResourceRef,
-    /// Its new revision; the present one when nothing was changed.
+    /// New revision; the current one if nothing was changed.
     pub revision: u64,
-    /// Whether nothing was changed because it was a trial.
+    /// Whether the write was a dry run, which changes nothing.
     pub dry_run: bool,
-    /// Operation by which the write can be looked up; absent for a trial.
+    /// Operation for looking up the outcome of the write; absent for a dry run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operation: Option<OperationId>,
 }
 
-/// Names one write of one node's run, on every node.
+/// Identifier of a write, valid on every node.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct OperationId(pub WriterId);
@@ -103,128 +103,128 @@
     }
 }
 
-/// What a node knows of a write.
+/// Outcome of a write as known to a node.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum OperationOutcome {
     /// Accepted.
     Accepted {
-        /// Offset, the revision of what was written.
+        /// Log offset, which is the new revision of the resource.
         offset: u64,
     },
     /// Rejected; nothing was changed.
     Rejected {
-        /// Offset of its record.
+        /// Log offset of the record.
         offset: u64,
-        /// Why, for people.
+        /// Human-readable reason.
         reason: String,
     },
-    /// Not in the log as far as this node has folded; it may still arrive.
+    /// Not in the log up to the offset that this node has folded; it may still be appended.
     NotSeen,
-    /// So long ago that its outcome is no longer kept; look at the resource itself.
+    /// Too old for its outcome to be kept; read the resource instead.
     TooOld,
 }
 
-/// Answer about an operation.
+/// Response with the outcome of an operation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OperationView {
     /// Operation.
     pub operation: OperationId,
-    /// Resource that it wrote, if it is remembered.
+    /// Resource that was written, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reference: Option<ResourceRef>,
-    /// What became of it.
+    /// Outcome.
     #[serde(flatten)]
     pub outcome: OperationOutcome,
-    /// Offset up to which this node has folded.
+    /// Log offset up to which this node has folded.
     pub observed_revision: u64,
-    /// Whether this node knows that it has seen everything up to a moment ago.
+    /// Whether this node is known to be current.
     pub current: bool,
 }
 
-/// The latest operations.
+/// List of recent operations.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OperationList {
-    /// Operations, the last one first.
+    /// Operations, most recent first.
     pub items: Vec<OperationView>,
 }
 
-/// Page of a list.
+/// Page of a list of resources.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ResourceList {
-    /// Offset at which the page was made; where a watch starts.
+    /// Log offset of the list, from which a watch can start.
     pub revision: u64,
-    /// Whether the node knows that it has seen everything up to a moment ago.
+    /// Whether the node is known to be current.
     pub current: bool,
-    /// Resources by name.
+    /// Resources, sorted by name.
     pub items: Vec<ResourceView>,
-    /// Where the next page starts; absent on the last one.
+    /// Continuation token of the next page; absent on the last page.
     #[serde(default, rename = "continue", skip_serializing_if = "Option::is_none")]
     pub continue_at: Option<String>,
 }
 
-/// A VM's move from one pool to another that is not yet complete.
+/// Incomplete move of a VM from one pool to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MoveView {
-    /// VM.
+    /// VM to move.
     pub vm: crate::names::VmName,
-    /// Pool that it belongs to until the hand-over.
+    /// Pool to which the VM belongs until it is handed over.
     pub from: crate::names::PoolName,
-    /// Pool that it is to belong to.
+    /// Target pool.
     pub to: crate::names::PoolName,
-    /// Whether the VM is charged to the budget for the move already.
+    /// Whether the VM has been claimed for the move and counts against the pool's budget.
     pub claimed: bool,
 }
 
-/// Why a resource stands where it does.
+/// Explanation of the current state of a resource.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ExplanationView {
     /// Resource.
     pub reference: ResourceRef,
-    /// Offset of the state that was explained.
+    /// Log offset of the explained state.
     pub observed_revision: u64,
-    /// Whether the node knows that it has seen everything up to a moment ago.
+    /// Whether the node is known to be current.
     pub current: bool,
-    /// Reason, for people.
+    /// Human-readable explanation.
     pub explanation: String,
 }
 
-/// List of moves.
+/// List of incomplete moves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MoveList {
-    /// Offset at which the list was made.
+    /// Log offset of the list.
     pub revision: u64,
-    /// Whether the node knows that it has seen everything up to a moment ago.
+    /// Whether the node is known to be current.
     pub current: bool,
-    /// Moves by VM.
+    /// Moves, sorted by VM.
     pub items: Vec<MoveView>,
 }
 
-/// Why a request was not carried out.
+/// Reason for which a request failed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProblemReason {
-    /// The request itself is malformed.
+    /// The request is malformed.
     BadRequest,
-    /// No token, or one that is not known.
+    /// The token is missing or unknown.
     Unauthenticated,
-    /// The token's role does not allow it.
+    /// The role of the token does not permit the request.
     Forbidden,
-    /// No such path or resource.
+    /// The path or resource does not exist.
     NotFound,
-    /// The path does not take this method.
+    /// The path does not support this method.
     MethodNotAllowed,
-    /// The declaration has bad fields.
+    /// The declaration has invalid fields.
     Invalid,
-    /// The resource has another revision than expected.
+    /// The resource does not have the expected revision.
     RevisionConflict,
-    /// Other resources need it.
+    /// Other resources depend on it.
     StillNeeded,
-    /// The fleet's state forbids it now.
+    /// The current state of the fleet does not permit it.
     Rejected,
-    /// Not every change since the revision can be told; list again.
+    /// Changes since the revision are no longer kept; list again.
     TooOld,
-    /// This node has not folded as far as the revision asked for; come back or ask another.
+    /// This node has not folded up to the requested revision; retry later or at another node.
     Behind,
     /// Too many watches are open on this node.
     TooManyWatches,
@@ -232,38 +232,38 @@
     TooLarge,
     /// The body did not arrive in time.
     BodyTimeout,
-    /// The log takes no records now; nothing was applied.
+    /// The log is unavailable; nothing was applied.
     LogUnavailable,
-    /// The write may or may not take effect; look the operation up.
+    /// The write may or may not take effect; look up the operation.
     OutcomeUnknown,
 }
 
-/// Answer to a request that was not carried out.
+/// Error response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Problem {
-    /// Why.
+    /// Reason.
     pub reason: ProblemReason,
-    /// Why, for people.
+    /// Human-readable description.
     pub detail: Box<str>,
-    /// Every bad field.
+    /// All invalid fields.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub errors: Vec<FieldError>,
-    /// Resources that still need the one to be withdrawn.
+    /// Resources that depend on the resource to be withdrawn.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub needed_by: Vec<ResourceRef>,
-    /// Revision that the resource has; 0 when it does not exist.
+    /// Current revision of the resource; 0 if it does not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// Operation to look up.
+    /// Operation whose outcome can be looked up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operation: Option<OperationId>,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u32>,
 }
 
 impl Problem {
-    /// Describes a problem.
+    /// Creates a problem with a reason and a description.
     #[must_use]
     pub fn new(reason: ProblemReason, detail: impl Into<Box<str>>) -> Self {
         Self {
@@ -278,53 +278,53 @@
     }
 }
 
-/// One bad field of a declaration.
+/// Invalid field of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FieldError {
     /// Path of the field, such as `budget.min_available`.
     pub field: String,
-    /// What is wrong with it.
+    /// Human-readable reason.
     pub reason: String,
 }
 
-/// One line of a watch stream.
+/// Event of a watch stream, sent as one line.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "event")]
 pub enum WatchEvent {
-    /// Declared, or its status changed.
+    /// The resource was declared or its status changed.
     Changed {
-        /// The resource now.
+        /// Current resource.
         view: Box<ResourceView>,
     },
-    /// Withdrawn.
+    /// The resource was withdrawn.
     Deleted {
-        /// What was withdrawn.
+        /// Resource that was withdrawn.
         reference: ResourceRef,
-        /// Offset of its withdrawal.
+        /// Log offset of the withdrawal.
         revision: u64,
     },
-    /// Everything up to this offset has been told.
+    /// All changes up to this offset have been sent.
     Bookmark {
-        /// Offset.
+        /// Log offset.
         revision: u64,
-        /// Whether the node knows that it has seen everything up to a moment ago.
+        /// Whether the node is known to be current.
         current: bool,
     },
-    /// The stream ends; later changes are not told.
+    /// The stream ends; later changes are not sent.
     Ended {
-        /// Why.
+        /// Reason.
         reason: WatchEndReason,
-        /// Offset up to which everything has been told.
+        /// Log offset up to which all changes have been sent.
         revision: u64,
     },
 }
 
-/// Why a watch stream ends.
+/// Reason for which a watch stream ends.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WatchEndReason {
-    /// The node stops; list again at another node.
+    /// The node is shutting down; list again at another node.
     Stopping,
-    /// Changes that were not told yet are no longer kept; list again.
+    /// Changes that were not sent yet are no longer kept; list again.
     TooOld,
 }
