--- a/crates/protocol/src/binary.rs
+++ b/crates/protocol/src/binary.rs
@@ -1,6 +1,6 @@
-//! Bytes as one binary value instead of a list of numbers.
+//! Serialization of byte vectors as one binary value instead of a sequence of numbers.
 //!
-//! A list writes every byte from 128 on as two and costs a call for each byte.
+//! In a sequence, each byte from 128 on takes two bytes, and each byte costs a serializer call.
 
 use {
     serde::{
@@ -10,15 +10,15 @@
     std::fmt,
 };
 
-/// Room made for a list before its length is believed, in bytes.
-const MAX_RESERVED_BYTES: usize = 4_096;
+/// Maximum preallocation for a sequence, since its announced length is untrusted.
+const MAX_PREALLOCATED_BYTES: usize = 4_096;
 
-/// Writes bytes.
+/// Serializes bytes as a binary value.
 pub(crate) fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
 
-/// Reads bytes, also from the list of numbers that earlier builds wrote.
+/// Deserializes bytes from a binary value, or from the sequence of numbers of earlier versions.
 pub(crate) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
     deserializer.deserialize_byte_buf(BytesVisitor)
 }
@@ -41,7 +41,7 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Self::Value, A::Error> {
-        let size_hint = list.size_hint().unwrap_or(0).min(MAX_RESERVED_BYTES);
+        let size_hint = list.size_hint().unwrap_or(0).min(MAX_PREALLOCATED_BYTES);
         let mut bytes = Vec::with_capacity(size_hint);
         while let Some(byte) = list.next_element()? {
             bytes.push(byte);
@@ -50,24 +50,24 @@
     }
 }
 
-/// The same for several values.
+/// Serialization of a sequence of byte vectors, each as a binary value.
 pub(crate) mod list {
     use serde::{
         Deserialize, Deserializer, Serialize, Serializer,
         de::{SeqAccess, Visitor},
     };
 
-    /// One value of the list.
+    /// Deserialized element.
     #[derive(Deserialize)]
     #[serde(transparent)]
     struct Owned(#[serde(with = "super")] Vec<u8>);
 
-    /// Borrowed value of the list.
+    /// Element to be serialized.
     #[derive(Serialize)]
     #[serde(transparent)]
     struct Borrowed<'a>(#[serde(serialize_with = "super::serialize")] &'a [u8]);
 
-    /// Writes the values.
+    /// Serializes the elements.
     pub(crate) fn serialize<S: Serializer>(
         values: &[Vec<u8>],
         serializer: S,
@@ -75,7 +75,7 @@
         serializer.collect_seq(values.iter().map(|value| Borrowed(value)))
     }
 
-    /// Reads the values.
+    /// Deserializes the elements.
     pub(crate) fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Vec<Vec<u8>>, D::Error> {
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! Binary codec of records and messages, with bounds on their size.
+//! Binary codec for records and messages, with size limits.
 
 use {
     crate::{record::Record, snapshot::SnapshotChunk},
@@ -6,30 +6,30 @@
     std::{error, fmt},
 };
 
-/// Largest encoded record in bytes.
+/// Maximum size of an encoded record in bytes.
 pub const MAX_RECORD_BYTES: usize = 64 * 1024;
 
-/// Largest encoded message between processes in bytes.
+/// Maximum size of an encoded message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Failure to encode or decode.
+/// Encoding or decoding error.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CodecError {
-    /// The value is larger than its bound.
+    /// The encoded value exceeds its size limit.
     TooLarge {
-        /// Size in bytes.
+        /// Encoded size in bytes.
         size_bytes: usize,
-        /// Bound in bytes.
+        /// Size limit in bytes.
         limit_bytes: usize,
     },
-    /// The value could not be written.
+    /// The value cannot be encoded.
     Encode {
-        /// What the codec said.
+        /// Error message of the codec.
         reason: String,
     },
-    /// The bytes are no value of the type.
+    /// The bytes do not encode a value of the type.
     Decode {
-        /// What the codec said.
+        /// Error message of the codec.
         reason: String,
     },
 }
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the bytes are too many or are no record.
+/// Fails when the bytes exceed the size limit or do not encode a record.
 pub fn decode_record(bytes: &[u8]) -> Result<Record, CodecError> {
     decode_bounded(bytes, MAX_RECORD_BYTES)
 }
@@ -85,12 +85,12 @@
 ///
 /// # Errors
 ///
-/// Fails when the bytes are too many or are no chunk.
+/// Fails when the bytes exceed the size limit or do not encode a chunk.
 pub fn decode_chunk(bytes: &[u8]) -> Result<SnapshotChunk, CodecError> {
     decode_bounded(bytes, MAX_RECORD_BYTES)
 }
 
-/// Encodes a message with its field names, so that versions can add fields.
+/// Encodes a message with field names, so that later versions can add fields.
 ///
 /// # Errors
 ///
@@ -103,8 +103,9 @@
     Ok(bytes)
 }
 
-/// Encodes a message without its field names, for those that are many and whose sender and receiver
-/// fall back on something else where their versions differ.
+/// Encodes a message without field names.
+///
+/// For frequent messages whose sender and receiver have a fallback if their versions differ.
 ///
 /// # Errors
 ///
@@ -117,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the bytes are too many or are no message of the type.
+/// Fails when the bytes exceed the size limit or do not encode a message of the type.
 pub fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     decode_bounded(bytes, MAX_MESSAGE_BYTES)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed resources, log records and messages of lynxwheel, with their codecs.
+//! Resources, log records and messages of lynxwheel, with their codecs.
 //!
 //! ```
 //! use lynxwheel_protocol::{Record, RecordBody, WriterId, decode_record, encode_record};
@@ -56,5 +56,5 @@
     MAX_NAME_CHARS, MAX_WAVE_POOLS, check_name, parse_resource, parse_spec, validate_resource,
 };
 
-/// Version of the fold that this build knows.
+/// Latest fold version that this build supports.
 pub const FOLD_VERSION: u32 = 1;
