--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's own nodes.
+//! Messages between lynxwheel nodes.
 
 use {
     crate::{
@@ -8,11 +8,11 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Requests that a node has in progress on an endpoint.
+/// Number of requests that a node has in progress on an endpoint.
 ///
-/// Written without its field names, since a message holds many of them.
+/// Serialized without field names, since a message holds many of them.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-#[serde(from = "CompactLoad", into = "CompactLoad")]
+#[serde(from = "EndpointLoadTuple", into = "EndpointLoadTuple")]
 pub struct EndpointLoad {
     /// VM of the endpoint.
     pub vm: VmName,
@@ -22,18 +22,18 @@
     pub in_progress: u32,
 }
 
-/// An [`EndpointLoad`] as it is written.
+/// Serialized form of [`EndpointLoad`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct CompactLoad(VmName, u64, u32);
+struct EndpointLoadTuple(VmName, u64, u32);
 
-impl From<EndpointLoad> for CompactLoad {
+impl From<EndpointLoad> for EndpointLoadTuple {
     fn from(load: EndpointLoad) -> Self {
         Self(load.vm, load.incarnation, load.in_progress)
     }
 }
 
-impl From<CompactLoad> for EndpointLoad {
-    fn from(CompactLoad(vm, incarnation, in_progress): CompactLoad) -> Self {
+impl From<EndpointLoadTuple> for EndpointLoad {
+    fn from(EndpointLoadTuple(vm, incarnation, in_progress): EndpointLoadTuple) -> Self {
         Self {
             vm,
             incarnation,
@@ -42,51 +42,51 @@
     }
 }
 
-/// Periodic message of a node to its peers, and the answer to it.
+/// Message that nodes exchange periodically, as request and as response.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct PeerHello {
-    /// Sender.
+    /// Name of the sender.
     pub node: NodeName,
-    /// Sender's run.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Sender's zone.
+    /// Zone of the sender.
     pub zone: ZoneName,
-    /// Whether the sender is stopping and takes no new work.
+    /// Whether the sender is shutting down and accepts no new work.
     pub stopping: bool,
-    /// Whether the sender has read the log lately itself and folded it to its end.
+    /// Whether the sender has recently read the log itself and folded it to its end.
     pub reads_log: bool,
-    /// Whether the sender has found its state to differ from its peers' and decides nothing.
+    /// Whether the sender's state diverges from that of its peers, so that it takes no decisions.
     pub diverged: bool,
-    /// Highest fold version that the sender knows.
+    /// Latest fold version that the sender supports.
     pub fold_version: u32,
-    /// Offset up to which the sender has folded.
+    /// Log offset up to which the sender has folded.
     pub offset: u64,
-    /// Offset at which `digest` was taken.
+    /// Log offset at which `digest` was computed.
     pub digest_offset: u64,
     /// Digest of the records and verdicts up to `digest_offset`.
     pub digest: u64,
-    /// Offset at which `content_digest` was taken; 0 means never.
+    /// Log offset at which `content_digest` was computed; 0 means never.
     pub content_offset: u64,
-    /// Digest of the whole state at `content_offset`.
+    /// Digest of the complete state at `content_offset`.
     pub content_digest: u64,
-    /// Load that the sender puts on endpoints; sorted.
+    /// Sender's requests in progress by endpoint; sorted.
     pub loads: Vec<EndpointLoad>,
-    /// Endpoints that the sender saw leaving or failing, by VM and incarnation; sorted.
+    /// Endpoints that the sender observed leaving or failing, by VM and incarnation; sorted.
     pub leaving: Vec<EndpointLoad>,
 }
 
-/// Records for a peer that is cut from the log.
+/// Log entries for a peer that cannot reach the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerEntries {
-    /// Entries in order, without gaps, from the offset asked for.
+    /// Consecutive entries from the requested offset.
     pub entries: Vec<LogEntry>,
 }
 
-/// Snapshot of the folded state for a starting peer.
+/// State snapshot for a peer that starts.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerSnapshot {
-    /// Offset of the last record folded into it.
+    /// Log offset of the last folded record.
     pub offset: u64,
     /// Digest of the state.
     pub digest: u64,
