--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,4 +1,4 @@
-//! Messages exchanged with the platform: log service, VM list and workers.
+//! Messages to and from the platform: log service, VM list and workers.
 
 use {
     crate::{
@@ -9,7 +9,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Appends entries to a stream, all or none, in order.
+/// Appends entries to a stream atomically and in order.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AppendRequest {
     /// Encoded records.
@@ -17,7 +17,7 @@
     pub entries: Vec<Vec<u8>>,
 }
 
-/// Where appended entries stand.
+/// Position of appended entries.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AppendResponse {
     /// Offset of the first entry.
@@ -27,7 +27,7 @@
 /// One entry of a stream.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LogEntry {
-    /// Offset, from 1 without gaps.
+    /// Offset; consecutive, starting at 1.
     pub offset: u64,
     /// Encoded record.
     #[serde(with = "crate::binary")]
@@ -37,21 +37,21 @@
 /// Entries read from a stream.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReadResponse {
-    /// Lowest offset that is still kept.
+    /// Lowest offset that is retained.
     pub earliest_offset: u64,
-    /// Offset that the next append gets.
+    /// Offset of the next appended entry.
     pub next_offset: u64,
-    /// Entries from the offset asked for; empty when it is trimmed or not yet written.
+    /// Entries from the requested offset; empty if it is trimmed or not yet written.
     pub entries: Vec<LogEntry>,
 }
 
-/// What the VM list says of a VM.
+/// State of a VM in the VM list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmListState {
     /// Serving.
     Live,
-    /// Announced that it goes.
+    /// Announced to be terminated.
     Leaving,
 }
 
@@ -60,7 +60,7 @@
 pub struct VmEntry {
     /// Name.
     pub name: VmName,
-    /// Count of the machine's lives under this name.
+    /// Incarnation of the VM under this name.
     pub incarnation: u64,
     /// State.
     pub state: VmListState,
@@ -68,62 +68,62 @@
     pub zone: ZoneName,
     /// Rack.
     pub rack: RackName,
-    /// Address of its endpoint as `ip:port`.
+    /// Address of the endpoint as `ip:port`.
     pub address: CompactString,
-    /// What it offers.
+    /// Capacity.
     pub capacity: Resources,
 }
 
-/// Platform's list of VMs, which lags behind reality.
+/// The platform's list of VMs, which may be outdated.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmList {
-    /// When the list was made, in milliseconds since the epoch.
+    /// Creation time of the list, in milliseconds since the epoch.
     pub made_ms: u64,
-    /// VMs by name.
+    /// VMs, sorted by name.
     pub vms: Vec<VmEntry>,
 }
 
-/// What can be done with a VM.
+/// Action on a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmAction {
-    /// Finish what runs and take nothing new.
+    /// Finish running work and accept no new work.
     Drain,
-    /// Take work again.
+    /// Accept work again.
     Undrain,
     /// Restart.
     Reboot,
 }
 
-/// Asks a VM for an action.
+/// Request for an action on a VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ActionRequest {
     /// Action.
     pub action: VmAction,
-    /// Fencing number; a VM rejects a number below the highest it has seen.
+    /// Fencing token; a VM rejects tokens below the highest it has seen.
     pub fence: u64,
     /// Time after which the action must not start, in milliseconds since the epoch.
     pub not_after_ms: u64,
-    /// Life of the VM that a restart is meant to end; in a later one it is done already.
+    /// Incarnation to restart; a later incarnation has been restarted already.
     pub vm_incarnation: u64,
 }
 
-/// Starts an attempt of a job on a worker.
+/// Request to start an attempt of a job on a worker.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TaskStart {
     /// Job.
     pub job: JobName,
-    /// Attempt; a worker starts each at most once.
+    /// Attempt; a worker starts each attempt at most once.
     pub attempt: u32,
-    /// Demand reserved.
+    /// Reserved resources.
     pub reserved: Resources,
     /// Declared run time in milliseconds.
     pub run_time_ms: u64,
-    /// How long the worker may run it without a renewal, in milliseconds.
+    /// Time that the attempt may run without a lease renewal, in milliseconds.
     pub lease_ms: u64,
-    /// Life of the VM that it was placed on; a worker in another life refuses it.
+    /// Incarnation of the VM on which it was placed; other incarnations reject it.
     pub vm_incarnation: u64,
-    /// Time after which it must not start, in milliseconds since the epoch; renewals may come
+    /// Time after which it must not start, in milliseconds since the epoch; renewals may arrive
     /// later.
     pub not_after_ms: u64,
 }
@@ -132,17 +132,17 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Runs.
+    /// In progress.
     Running,
     /// Completed.
     Succeeded,
     /// Ended with an error.
     Failed,
-    /// Stopped with its progress kept.
+    /// Stopped with its progress saved.
     Checkpointed,
 }
 
-/// Worker's report of one attempt.
+/// Report of a worker about one attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TaskReport {
     /// Job.
@@ -151,6 +151,6 @@
     pub attempt: u32,
     /// State.
     pub state: TaskState,
-    /// Observed use; comes late.
+    /// Observed resource usage, reported with a delay.
     pub used: Resources,
 }
