--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -1,6 +1,6 @@
-//! Records of the fleet's log stream.
+//! Records of the fleet's log.
 //!
-//! Every record is a proposal: the fold accepts or rejects it by the state at its offset.
+//! Each record is a proposal that the fold accepts or rejects by the state at its offset.
 
 use {
     crate::{
@@ -11,72 +11,72 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Identity of a record: the writing process and its count of records.
+/// Identifier of a record: the incarnation of the writer and a sequence number.
 ///
-/// A record that is appended twice carries the same id twice; the fold takes the first.
+/// A record that is appended twice has the same id in both places; the fold ignores the second.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct WriterId {
-    /// Identifies one run of one node; later runs have higher numbers.
+    /// Identifies one run of a node; later runs have higher numbers.
     pub incarnation: u64,
-    /// Counts the records of that run from 1.
+    /// Sequence number of the record in that run, from 1.
     pub sequence: u64,
 }
 
 /// One record of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Identity, for removing duplicates.
+    /// Identifier, used for deduplication.
     pub id: WriterId,
-    /// Writer's clock in milliseconds since the epoch; the fold keeps the maximum.
+    /// Clock of the writer in milliseconds since the epoch; the fold keeps the maximum.
     pub time_ms: u64,
-    /// What is proposed.
+    /// Proposal.
     pub body: RecordBody,
 }
 
-/// Digest of a caller's team, service and idempotency key.
+/// Digest of team, service and idempotency key of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct RequestKey(pub u128);
 
-/// Whether a VM can be counted on.
+/// Observed phase of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmPhase {
-    /// Serving, by fresh evidence.
+    /// Serving, according to recent evidence.
     Live,
-    /// Announced that it goes; gets no new work.
+    /// Announced to be terminated; gets no new work.
     Leaving,
-    /// Does not answer, or was reported as failed.
+    /// Does not respond, or was reported as failed.
     Failed,
-    /// No fresh evidence since its last transition.
+    /// No recent evidence since the last transition.
     Unknown,
 }
 
-/// Reports in one record at most, so that it keeps to the bound of a record's size.
+/// Maximum number of reports in one record, which keeps it within the size limit.
 pub const MAX_REPORTS_PER_RECORD: usize = 256;
 
-/// What a node found out about a VM.
+/// Observation of a VM by a node.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct VmReport {
     /// VM.
     pub vm: VmName,
-    /// Platform's count of the machine's lives under this name.
+    /// Incarnation of the VM under this name, assigned by the platform.
     pub incarnation: u64,
-    /// What was seen.
+    /// Observed phase.
     pub phase: VmPhase,
-    /// When it was seen, in milliseconds since the epoch.
+    /// Time of the observation, in milliseconds since the epoch.
     pub evidence_ms: u64,
-    /// Zone it is in.
+    /// Zone of the VM.
     pub zone: ZoneName,
-    /// Rack it is in.
+    /// Rack of the VM.
     pub rack: RackName,
-    /// Address of its endpoint as `ip:port`.
+    /// Address of the endpoint as `ip:port`.
     pub address: compact_str::CompactString,
-    /// What it offers.
+    /// Capacity.
     pub capacity: Resources,
 }
 
-/// Why a VM is claimed.
+/// Purpose of a claim on a VM.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClaimPurpose {
@@ -86,7 +86,7 @@
     Move(PoolName),
 }
 
-/// How an attempt of a job ended.
+/// Outcome of an attempt of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobOutcome {
@@ -94,58 +94,58 @@
     Succeeded,
     /// Ended with an error.
     Failed,
-    /// Stopped with its progress kept.
+    /// Stopped with its progress saved.
     Checkpointed,
-    /// Proven not to have started.
+    /// Certainly not started.
     NotStarted,
-    /// Its VM is gone with it.
+    /// Lost with its VM.
     Lost,
 }
 
-/// How the execution of a non-idempotent request ended.
+/// Outcome of a non-idempotent request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyOutcome {
-    /// Answered with this HTTP status.
+    /// Completed with this HTTP status.
     Answered(u16),
-    /// Proven not to have run; the key may be used again.
+    /// Certainly not executed; the key may be used again.
     NotRun,
-    /// Dispatched, and nobody can tell whether it ran.
+    /// Dispatched, and may or may not have been executed.
     Unknown,
 }
 
-/// What a record proposes.
+/// Proposal of a record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum RecordBody {
-    /// First record of a node's run.
+    /// First record of a run of a node.
     Join {
-        /// Node.
+        /// Node that joins.
         node: NodeName,
-        /// Highest fold version that it knows.
+        /// Latest fold version that the node supports.
         fold_version: u32,
     },
-    /// Raises the fold's version for all later records.
+    /// Raises the fold version for all later records.
     RaiseVersion {
-        /// New version.
+        /// New fold version.
         fold_version: u32,
     },
     /// Declares a resource.
     Put {
-        /// Resource.
+        /// Declared resource.
         resource: Box<Resource>,
-        /// Revision that it must have; 0 means that it must not exist.
+        /// Expected revision; 0 means that the resource must not exist.
         if_revision: Option<u64>,
     },
     /// Withdraws a resource.
     Delete {
-        /// Resource.
+        /// Resource to withdraw.
         reference: ResourceRef,
-        /// Revision that it must have.
+        /// Expected revision.
         if_revision: Option<u64>,
     },
-    /// Reports VMs.
+    /// Reports observations of VMs.
     Report {
-        /// Findings.
+        /// Observations.
         reports: Vec<VmReport>,
     },
     /// Takes a VM out of service and charges the budget of its pool.
@@ -154,71 +154,71 @@
         vm: VmName,
         /// Purpose.
         purpose: ClaimPurpose,
-        /// Node that carries it out.
+        /// Node that performs the action.
         holder: NodeName,
     },
-    /// Rechecks the budget right before the action.
+    /// Rechecks the budget immediately before the action.
     Begin {
         /// VM.
         vm: VmName,
-        /// Fencing number of the claim.
+        /// Fencing token of the claim.
         fence: u64,
-        /// Writer's time after which the action must not start, in milliseconds.
+        /// Time after which the action must not start, in milliseconds by the clock of the writer.
         not_after_ms: u64,
     },
-    /// Takes over the claim of a node that is gone; the charge stays.
+    /// Takes over the claim of a failed node; the VM stays charged to the budget.
     TakeOver {
         /// VM.
         vm: VmName,
-        /// Fencing number of the claim taken over.
+        /// Fencing token of the claim to take over.
         fence: u64,
         /// New holder.
         holder: NodeName,
     },
-    /// Gives a claim back whose action has not begun.
+    /// Releases a claim whose action has not begun.
     Release {
         /// VM.
         vm: VmName,
-        /// Fencing number of the claim.
+        /// Fencing token of the claim.
         fence: u64,
     },
     /// Completes a maintenance claim.
     Done {
         /// VM.
         vm: VmName,
-        /// Fencing number of the claim.
+        /// Fencing token of the claim.
         fence: u64,
         /// Whether the action succeeded.
         succeeded: bool,
     },
-    /// Completes a move claim: the VM belongs to the target from this offset on.
+    /// Completes a move claim: from this offset on, the VM belongs to the target pool.
     HandOver {
         /// VM.
         vm: VmName,
-        /// Fencing number of the claim.
+        /// Fencing token of the claim.
         fence: u64,
     },
-    /// Places an attempt of a job on a VM.
+    /// Starts an attempt of a job on a VM.
     Start {
         /// Job.
         job: JobName,
-        /// Attempt, from 1.
+        /// Attempt number, from 1.
         attempt: u32,
         /// VM.
         vm: VmName,
-        /// Demand reserved, by estimate.
+        /// Reserved resources, by estimate.
         reserved: Resources,
-        /// Node that starts it.
+        /// Node that starts the attempt.
         holder: NodeName,
     },
-    /// Asks that a running attempt be checkpointed or stopped.
+    /// Requests that a running attempt be checkpointed or stopped.
     Stop {
         /// Job.
         job: JobName,
         /// Attempt.
         attempt: u32,
     },
-    /// Tells how an attempt ended.
+    /// Reports the outcome of an attempt.
     End {
         /// Job.
         job: JobName,
@@ -227,50 +227,50 @@
         /// Outcome.
         outcome: JobOutcome,
     },
-    /// Tells what a running attempt uses.
+    /// Reports the resource usage of a running attempt.
     Usage {
         /// Job.
         job: JobName,
         /// Attempt.
         attempt: u32,
-        /// Observed peak.
+        /// Observed peak usage.
         used: Resources,
     },
-    /// Gives a job up for good.
+    /// Abandons a job permanently.
     GiveUp {
         /// Job.
         job: JobName,
-        /// Reason shown to people.
+        /// Human-readable reason.
         reason: compact_str::CompactString,
     },
-    /// Keeps new jobs off a VM for a time.
+    /// Excludes a VM from the placement of new jobs for a time.
     Quarantine {
         /// VM.
         vm: VmName,
-        /// End, in milliseconds since the epoch.
+        /// End of the quarantine, in milliseconds since the epoch.
         until_ms: u64,
     },
-    /// Announces the execution of a non-idempotent request before its dispatch.
+    /// Records a non-idempotent request before it is dispatched.
     Intent {
-        /// Key.
+        /// Idempotency key.
         key: RequestKey,
-        /// Digest of the request, so that a key reused for another request is noticed.
+        /// Digest of the request, which detects the reuse of a key for another request.
         request_digest: u64,
-        /// Node that executes it.
+        /// Node that dispatches the request.
         holder: NodeName,
     },
-    /// Tells how the execution of an intent ended.
+    /// Records the outcome of an intent.
     Outcome {
-        /// Key.
+        /// Idempotency key.
         key: RequestKey,
         /// Outcome.
         outcome: KeyOutcome,
     },
-    /// Tells that a snapshot stands whole in the snapshot stream.
+    /// Records that a snapshot is complete in the snapshot stream.
     Snapshot {
         /// Snapshot.
         id: SnapshotId,
     },
-    /// Confirms the time when nothing else is to be written.
+    /// Advances the time when no other record is written.
     Tick,
 }
--- a/crates/protocol/src/snapshot.rs
+++ b/crates/protocol/src/snapshot.rs
@@ -1,32 +1,32 @@
-//! Snapshots of the folded state in the log service.
+//! Chunked snapshots of the folded state.
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of state in one chunk.
+/// Size of the encoded state in one chunk, in bytes.
 pub const SNAPSHOT_CHUNK_BYTES: usize = 48 * 1024;
 
-/// Chunks of one snapshot at most.
+/// Maximum number of chunks in a snapshot.
 pub const MAX_SNAPSHOT_CHUNKS: u32 = 4_096;
 
-/// Identity and content of a snapshot.
+/// Identifier of a snapshot, with its size and digest.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct SnapshotId {
-    /// Offset of the last record folded into the state.
+    /// Log offset of the last folded record.
     pub offset: u64,
-    /// Run of the node that wrote it.
+    /// Incarnation of the node that wrote it.
     pub writer: u64,
-    /// Chunks that it consists of.
+    /// Number of chunks.
     pub chunks: u32,
     /// Digest of the encoded state.
     pub digest: u64,
 }
 
-/// One part of a snapshot.
+/// Chunk of a snapshot.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SnapshotChunk {
-    /// Snapshot that it is part of.
+    /// Snapshot to which the chunk belongs.
     pub id: SnapshotId,
-    /// Position, from 0.
+    /// Index of the chunk, from 0.
     pub index: u32,
     /// Part of the encoded state.
     #[serde(with = "crate::binary")]
