--- a/crates/protocol/src/names.rs
+++ b/crates/protocol/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of the things a fleet is made of.
+//! Typed names of resources and locations.
 
 use {
     compact_str::CompactString,
@@ -52,7 +52,7 @@
     JobName
 }
 name_type! {
-    /// Name of one of the system's own VMs.
+    /// Name of a lynxwheel node.
     NodeName
 }
 name_type! {
@@ -68,11 +68,11 @@
     RackName
 }
 name_type! {
-    /// Name of a service that endpoints serve.
+    /// Name of a service.
     ServiceName
 }
 name_type! {
-    /// Name of a team that has a quota.
+    /// Name of a team.
     TeamName
 }
 name_type! {
--- a/crates/protocol/src/resource.rs
+++ b/crates/protocol/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources that operators declare.
+//! Declared resources.
 
 use {
     crate::names::{JobName, PolicyName, PoolName, ServiceName, TeamName, VmName, WaveName},
@@ -6,7 +6,7 @@
     std::fmt,
 };
 
-/// Kind of a resource, in the order in which declarations depend on each other.
+/// Kind of a resource, in dependency order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -27,7 +27,7 @@
 }
 
 impl Kind {
-    /// Every kind, in dependency order.
+    /// All kinds, in dependency order.
     pub const ALL: [Self; 7] = [
         Self::Policy,
         Self::Team,
@@ -38,7 +38,7 @@
         Self::Wave,
     ];
 
-    /// Returns the singular name used in paths, declarations and errors.
+    /// Returns the singular name that paths, declarations and errors use.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the kind of a singular name, if there is one.
+    /// Returns the kind with a singular name.
     #[must_use]
     pub fn from_text(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == text)
@@ -65,7 +65,7 @@
     }
 }
 
-/// Processor, memory and accelerators, demanded or offered.
+/// Amounts of processor time, memory and accelerators.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -80,7 +80,7 @@
 }
 
 impl Resources {
-    /// Tells whether `self` fits into `free` in every dimension.
+    /// Returns whether `self` is at most `free` in every dimension.
     #[must_use]
     pub fn fits(&self, free: &Self) -> bool {
         self.cores_milli <= free.cores_milli
@@ -88,7 +88,7 @@
             && self.accelerators <= free.accelerators
     }
 
-    /// Adds `other`, saturating.
+    /// Adds `other` in every dimension, saturating at the maximum.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns the higher of both in every dimension.
+    /// Returns the maximum of both in every dimension.
     #[must_use]
     pub fn component_max(&self, other: &Self) -> Self {
         Self {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Subtracts `other`, stopping at zero.
+    /// Subtracts `other` in every dimension, saturating at zero.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
         Self {
@@ -119,18 +119,18 @@
     }
 }
 
-/// Number of VMs, absolute or in proportion to a pool's promised size.
+/// Number of VMs, absolute or as a percentage of a pool's promised size.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Amount {
-    /// A number of VMs.
+    /// Number of VMs.
     Count(u32),
-    /// A percentage of the pool's promised size, from 0 to 100.
+    /// Percentage of the pool's promised size, from 0 to 100.
     Percent(u8),
 }
 
 impl Amount {
-    /// Returns the number of VMs of a pool of `size`, rounded up so that a promise is kept.
+    /// Returns the number of VMs for a pool of `size`; percentages are rounded up.
     #[must_use]
     pub fn vm_count(self, size: u32) -> u32 {
         match self {
@@ -147,9 +147,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// VMs that must stay available; planned work never goes below it.
+    /// Number of VMs that planned work must leave available.
     pub min_available: Amount,
-    /// Zones in which VMs of the pool may be claimed at the same time, at least 1.
+    /// Number of zones in which VMs of the pool may be claimed at the same time; at least 1.
     pub zones_at_once: u32,
 }
 
@@ -171,7 +171,7 @@
 pub struct VmSpec {
     /// Name under which the platform lists the VM.
     pub name: VmName,
-    /// Pool that the VM shall belong to; a change is carried out as a move.
+    /// Pool to which the VM is assigned; a change results in a move.
     pub pool: PoolName,
 }
 
@@ -181,17 +181,17 @@
 pub struct TeamSpec {
     /// Unique name.
     pub name: TeamName,
-    /// What the team's running jobs may use together.
+    /// Maximum total of the resources reserved by the team's running jobs.
     pub quota: Resources,
 }
 
-/// Importance of a request or job; the first is served first.
+/// Priority class of a request or job, highest first.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Outage notices and other work that people wait for.
+    /// Outage notices and other work with people waiting.
     Urgent,
     /// Ordinary work.
     #[default]
@@ -201,7 +201,7 @@
 }
 
 impl Class {
-    /// Returns the class of a lower-case name, if there is one.
+    /// Returns the class with a lower-case name.
     #[must_use]
     pub fn from_text(text: &str) -> Option<Self> {
         match text {
@@ -217,17 +217,17 @@
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Unique name, the first segment of the callers' paths.
+    /// Unique name, the first path segment of requests to the service.
     pub name: ServiceName,
-    /// Pool whose VMs serve it.
+    /// Pool whose VMs run the endpoints.
     pub pool: PoolName,
-    /// Requests that one endpoint serves at once.
+    /// Maximum number of concurrent requests to an endpoint.
     pub slots_per_endpoint: u32,
-    /// Connections that one endpoint accepts.
+    /// Maximum number of connections that an endpoint accepts.
     pub connections_per_endpoint: u32,
-    /// Deadline of a request that brings none, in milliseconds.
+    /// Default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Requests a second admitted for one team on one node; 0 means no limit.
+    /// Requests admitted per second, node and team; 0 means no limit.
     pub team_rate_per_s: u32,
 }
 
@@ -237,25 +237,25 @@
 pub struct JobSpec {
     /// Unique name.
     pub name: JobName,
-    /// Pool on whose VMs it may run.
+    /// Pool whose VMs may run the job.
     pub pool: PoolName,
-    /// Team whose quota it uses.
+    /// Team to whose quota the job is charged.
     pub team: TeamName,
-    /// Importance.
+    /// Priority class.
     pub class: Class,
-    /// Declared demand, which may be wrong.
+    /// Declared resource demand, which may be inaccurate.
     pub demand: Resources,
-    /// Declared run time in milliseconds, which may be wrong.
+    /// Declared run time in milliseconds, which may be inaccurate.
     pub run_time_ms: u64,
-    /// Whether it can be checkpointed and resumed elsewhere.
+    /// Whether the job can be checkpointed and resumed on another VM.
     pub checkpoint: bool,
-    /// Starts after failures before the job is given up.
+    /// Maximum number of starts after failures before the job is abandoned.
     pub max_attempts: u32,
-    /// Whether the operator wants it cancelled.
+    /// Whether the job is to be cancelled.
     pub cancelled: bool,
 }
 
-/// What a wave does with each VM.
+/// Maintenance action of a wave.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WaveAction {
@@ -263,15 +263,15 @@
     Reboot,
 }
 
-/// What the operator wants a wave to do now.
+/// Desired progress of a wave.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WaveGoal {
-    /// Go on.
+    /// Claim and maintain VMs.
     Run,
-    /// Claim nothing new; finish what is being acted on.
+    /// Claim no further VMs; finish begun actions.
     Pause,
-    /// Give up: release what is not yet acted on.
+    /// Claim no further VMs and release claims whose action has not begun.
     Abort,
 }
 
@@ -281,45 +281,45 @@
 pub struct WaveSpec {
     /// Unique name.
     pub name: WaveName,
-    /// Pools whose VMs it maintains; sorted.
+    /// Pools whose VMs are maintained; sorted.
     pub pools: Vec<PoolName>,
-    /// What is done with each VM.
+    /// Action on each VM.
     pub action: WaveAction,
-    /// What the wave does now.
+    /// Desired progress.
     pub goal: WaveGoal,
     /// VMs maintained before this time are due, in milliseconds since the epoch.
     pub due_before_ms: u64,
-    /// When it should be complete, in milliseconds since the epoch; 0 means no deadline.
+    /// Target completion time, in milliseconds since the epoch; 0 means no deadline.
     pub deadline_ms: u64,
 }
 
-/// How much each measure weighs against the others.
+/// Relative weights of the objectives.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Weight of the time a wave takes.
+    /// Weight of the duration of waves.
     pub roll_out: u32,
-    /// Weight of spare capacity held back.
+    /// Weight of reserved spare capacity.
     pub buffer: u32,
     /// Weight of relocated VMs and jobs.
     pub moves: u32,
 }
 
-/// Declared weights and limits of a customer.
+/// Declared policy: weights and limits.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySpec {
-    /// Unique name; the first by name is in force.
+    /// Unique name; the first policy by name is in force.
     pub name: PolicyName,
-    /// Weights of the measures.
+    /// Weights of the objectives.
     pub weights: Weights,
-    /// How long an idempotency key is kept, in milliseconds.
+    /// Retention time of idempotency keys, in milliseconds.
     pub key_keep_ms: u64,
-    /// Idempotency keys kept at most; further ones are refused until old ones expire.
+    /// Maximum number of idempotency keys; further ones are rejected until others expire.
     pub key_limit: u32,
 }
 
-/// One declared resource of any kind.
+/// Declared resource of any kind.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase", tag = "kind", content = "spec")]
 pub enum Resource {
@@ -340,7 +340,7 @@
 }
 
 impl Resource {
-    /// Returns the kind.
+    /// Returns the kind of the resource.
     #[must_use]
     pub fn kind(&self) -> Kind {
         match self {
@@ -354,7 +354,7 @@
         }
     }
 
-    /// Returns the name.
+    /// Returns the name of the resource.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -368,7 +368,7 @@
         }
     }
 
-    /// Returns the resources that it refers to.
+    /// Returns the resources to which this one refers.
     #[must_use]
     pub fn dependencies(&self) -> Vec<ResourceRef> {
         let pool = |name: &PoolName| ResourceRef::new(Kind::Pool, name.as_str());
@@ -393,7 +393,7 @@
         }
     }
 
-    /// Returns a reference to it by kind and name.
+    /// Returns the kind and name of the resource.
     #[must_use]
     pub fn reference(&self) -> ResourceRef {
         ResourceRef::new(self.kind(), self.name())
@@ -410,7 +410,7 @@
 }
 
 impl ResourceRef {
-    /// Refers to the resource of `kind` called `name`.
+    /// Creates a reference from kind and name.
     #[must_use]
     pub fn new(kind: Kind, name: &str) -> Self {
         Self {
