--- a/crates/protocol/src/schema.rs
+++ b/crates/protocol/src/schema.rs
@@ -1,52 +1,52 @@
-//! Fields of each kind: their types, defaults and meaning.
+//! Schema of each kind: paths, types, defaults and descriptions of the fields.
 //!
-//! One table serves the resource API, the operators' files and the `OpenAPI` page, so that a
-//! field has the same path, default and error text in all of them.
+//! The resource API, the declaration files and the `OpenAPI` document all use this table, so that a
+//! field has the same path, default and errors in each of them.
 
 use crate::resource::Kind;
 
-/// What a field holds.
+/// Type of a field.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FieldType {
     /// Name of a resource, 1 to [`MAX_NAME_CHARS`](crate::MAX_NAME_CHARS) characters.
     Name,
-    /// Names, sorted and each once.
+    /// Sorted list of distinct names.
     Names,
     /// Whole number up to 2^32 - 1.
     Count,
     /// Whole number of milliseconds up to 2^53.
     Milliseconds,
-    /// Yes or no.
+    /// Boolean.
     Flag,
-    /// One of a few words.
+    /// One of a set of strings.
     Choice(&'static [&'static str]),
     /// Number of VMs or percentage of a pool's size.
     Amount,
 }
 
-/// Value of a field that a declaration leaves out.
+/// Default value of a field.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FieldDefault {
-    /// There is none; the field is required.
+    /// No default; the field is required.
     Required,
-    /// A number.
+    /// Number.
     Number(u64),
-    /// Yes or no.
+    /// Boolean.
     Flag(bool),
-    /// A word.
+    /// String.
     Word(&'static str),
 }
 
-/// One field of a kind.
+/// Field of a kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Field {
     /// Path, such as `budget.min_available`.
     pub path: &'static str,
-    /// What it holds.
+    /// Type.
     pub field_type: FieldType,
-    /// Value when left out.
+    /// Default value.
     pub default: FieldDefault,
-    /// Meaning, for people.
+    /// Human-readable description.
     pub doc: &'static str,
 }
 
@@ -84,7 +84,7 @@
 
 const GOALS: &[&str] = &["run", "pause", "abort"];
 
-/// Time that an idempotency key is kept by default, in milliseconds: one day.
+/// Default retention time of idempotency keys in milliseconds: one day.
 const DEFAULT_KEY_KEEP_MS: u64 = 24 * 60 * 60 * 1_000;
 
 const POLICY: &[Field] = &[
@@ -248,7 +248,7 @@
     )
 }
 
-/// Returns the fields of a kind, the name first.
+/// Returns the fields of a kind, starting with the name.
 #[must_use]
 pub fn fields(kind: Kind) -> &'static [Field] {
     match kind {
