--- a/crates/protocol/src/validate.rs
+++ b/crates/protocol/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of declarations that need no state, and name every bad field at once.
+//! Validation of declarations that needs no state and reports all invalid fields at once.
 
 use {
     crate::{
@@ -9,73 +9,79 @@
     serde_json::{Map, Value, json},
 };
 
-/// Characters of a name at most.
+/// Maximum length of a name in characters.
 pub const MAX_NAME_CHARS: usize = 128;
 
-/// Pools that one wave may name.
+/// Maximum number of pools in a wave.
 pub const MAX_WAVE_POOLS: usize = 4_096;
 
-/// Largest number that every JSON reader takes exactly.
-const MAX_EXACT: u64 = 1 << 53;
+/// Largest integer that all JSON parsers represent exactly.
+const MAX_EXACT_INTEGER: u64 = 1 << 53;
 
-/// Reads the declaration of `kind/name` from its JSON document.
+/// Parses the declaration of `kind/name` from a JSON document.
 ///
 /// # Errors
 ///
-/// Returns every field that is unknown, missing or bad.
+/// Returns all fields that are unknown, missing or invalid.
 pub fn parse_resource(
     kind: Kind,
     name: &str,
     document: &Value,
 ) -> Result<Resource, Vec<FieldError>> {
     let Some(members) = document.as_object() else {
-        return Err(vec![bad("", "must be an object with kind and spec")]);
+        return Err(vec![field_error(
+            "",
+            "must be an object with kind and spec",
+        )]);
     };
     let mut errors: Vec<FieldError> = members
         .keys()
         .filter(|key| !["kind", "spec"].contains(&key.as_str()))
-        .map(|key| bad(key, "no such field"))
+        .map(|key| field_error(key, "no such field"))
         .collect();
     if members.get("kind") != Some(&json!(kind)) {
-        errors.push(bad("kind", format!("must be {kind} as in the path")));
+        errors.push(field_error(
+            "kind",
+            format!("must be {kind} as in the path"),
+        ));
     }
     let spec = members.get("spec").unwrap_or(&Value::Null);
     match parse_spec(kind, name, spec) {
         Ok(resource) if errors.is_empty() => Ok(resource),
         Ok(_) => Err(errors),
-        Err(more) => {
-            errors.extend(more);
+        Err(spec_errors) => {
+            errors.extend(spec_errors);
             Err(errors)
         }
     }
 }
 
-/// Reads the spec of `kind/name`; fields left out get their defaults.
+/// Parses the spec of `kind/name`; omitted fields get their defaults.
 ///
 /// # Errors
 ///
-/// Returns every field that is unknown, missing or bad.
+/// Returns all fields that are unknown, missing or invalid.
 pub fn parse_spec(kind: Kind, name: &str, spec: &Value) -> Result<Resource, Vec<FieldError>> {
     let Some(members) = spec.as_object() else {
-        return Err(vec![bad("spec", "must be an object")]);
+        return Err(vec![field_error("spec", "must be an object")]);
     };
     let mut errors = Vec::new();
-    check_known(kind, members, &mut errors);
-    let mut whole = Map::new();
+    check_unknown_fields(kind, members, &mut errors);
+    let mut complete_spec = Map::new();
     for field in fields(kind) {
         let value = field_value(field, name, members).unwrap_or_else(|reason| {
-            errors.push(bad(field.path, reason));
-            stand_in(field)
+            errors.push(field_error(field.path, reason));
+            placeholder(field)
         });
-        put_in(&mut whole, field.path, value);
+        insert_at(&mut complete_spec, field.path, value);
     }
-    let resource: Resource = serde_json::from_value(json!({ "kind": kind, "spec": whole }))
-        .map_err(|error| vec![bad("spec", error.to_string())])?;
-    let of_range = validate_resource(&resource).into_iter();
-    let of_range: Vec<FieldError> = of_range
+    let resource: Resource = serde_json::from_value(json!({ "kind": kind, "spec": complete_spec }))
+        .map_err(|error| vec![field_error("spec", error.to_string())])?;
+    let range_errors = validate_resource(&resource).into_iter();
+    let range_errors: Vec<FieldError> = range_errors
         .filter(|error| errors.iter().all(|known| known.field != error.field))
         .collect();
-    errors.extend(of_range);
+    errors.extend(range_errors);
     if errors.is_empty() {
         Ok(resource)
     } else {
@@ -84,7 +90,7 @@
 }
 
 fn field_value(field: &Field, name: &str, members: &Map<String, Value>) -> Result<Value, String> {
-    let given = find(members, field.path);
+    let given = get_at(members, field.path);
     if field.path == "name" {
         return match given {
             Some(given) if given != name => Err(format!("must be {name} as in the path")),
@@ -93,30 +99,30 @@
     }
     match given {
         Some(value) => check_type(field.field_type, value).map(|()| value.clone()),
-        None => default_of(field),
+        None => default_value(field),
     }
 }
 
-/// Value in place of a bad one that makes no other field look bad, so that the ranges of the
-/// others can be checked in the same round.
-fn stand_in(field: &Field) -> Value {
+/// Returns a valid value to use in place of an invalid one, so that the ranges of the other fields
+/// can be checked as well.
+fn placeholder(field: &Field) -> Value {
     match field.field_type {
         FieldType::Name => json!("name"),
         FieldType::Names => json!(["name"]),
         FieldType::Count if field.default == FieldDefault::Required => json!(u32::MAX),
         FieldType::Count | FieldType::Milliseconds => json!(0),
         FieldType::Flag => json!(false),
-        FieldType::Choice(words) => json!(words.first()),
+        FieldType::Choice(choices) => json!(choices.first()),
         FieldType::Amount => json!({ "percent": 0 }),
     }
 }
 
-/// Returns every field of a declaration that is out of its range.
+/// Returns all fields of a declaration whose values are out of range.
 #[must_use]
 pub fn validate_resource(resource: &Resource) -> Vec<FieldError> {
     let mut errors = Vec::new();
     if let Err(reason) = check_name(resource.name()) {
-        errors.push(bad("name", reason));
+        errors.push(field_error("name", reason));
     }
     match resource {
         Resource::Policy(spec) => check_policy(spec, &mut errors),
@@ -129,70 +135,73 @@
     errors
 }
 
-fn bad(field: &str, reason: impl Into<String>) -> FieldError {
+fn field_error(field: &str, reason: impl Into<String>) -> FieldError {
     FieldError {
         field: field.into(),
         reason: reason.into(),
     }
 }
 
-fn at_least_one(field: &str, value: u64, errors: &mut Vec<FieldError>) {
+fn check_at_least_one(field: &str, value: u64, errors: &mut Vec<FieldError>) {
     if value == 0 {
-        errors.push(bad(field, "must be at least 1"));
+        errors.push(field_error(field, "must be at least 1"));
     }
 }
 
 fn check_policy(spec: &PolicySpec, errors: &mut Vec<FieldError>) {
-    at_least_one("key_keep_ms", spec.key_keep_ms, errors);
-    at_least_one("key_limit", spec.key_limit.into(), errors);
+    check_at_least_one("key_keep_ms", spec.key_keep_ms, errors);
+    check_at_least_one("key_limit", spec.key_limit.into(), errors);
 }
 
 fn check_pool(spec: &PoolSpec, errors: &mut Vec<FieldError>) {
     let field = "budget.min_available";
     match spec.budget.min_available {
         Amount::Percent(percent) if percent > 100 => {
-            errors.push(bad(field, "must be at most 100 percent"));
+            errors.push(field_error(field, "must be at most 100 percent"));
         }
         Amount::Count(count) if count > spec.size => {
-            errors.push(bad(field, "must be at most the pool's size"));
+            errors.push(field_error(field, "must be at most the pool's size"));
         }
         Amount::Count(_) | Amount::Percent(_) => {}
     }
     let zones = spec.budget.zones_at_once;
-    at_least_one("budget.zones_at_once", zones.into(), errors);
+    check_at_least_one("budget.zones_at_once", zones.into(), errors);
 }
 
 fn check_service(spec: &ServiceSpec, errors: &mut Vec<FieldError>) {
-    at_least_one("slots_per_endpoint", spec.slots_per_endpoint.into(), errors);
+    check_at_least_one("slots_per_endpoint", spec.slots_per_endpoint.into(), errors);
     if spec.connections_per_endpoint < spec.slots_per_endpoint {
         let reason = "must be at least slots_per_endpoint";
-        errors.push(bad("connections_per_endpoint", reason));
+        errors.push(field_error("connections_per_endpoint", reason));
     }
-    at_least_one("deadline_ms", spec.deadline_ms, errors);
+    check_at_least_one("deadline_ms", spec.deadline_ms, errors);
 }
 
 fn check_job(spec: &JobSpec, errors: &mut Vec<FieldError>) {
-    at_least_one("run_time_ms", spec.run_time_ms, errors);
-    at_least_one("max_attempts", spec.max_attempts.into(), errors);
+    check_at_least_one("run_time_ms", spec.run_time_ms, errors);
+    check_at_least_one("max_attempts", spec.max_attempts.into(), errors);
 }
 
 fn check_wave(spec: &WaveSpec, errors: &mut Vec<FieldError>) {
     if spec.pools.is_empty() {
-        errors.push(bad("pools", "must name at least one pool"));
+        errors.push(field_error("pools", "must name at least one pool"));
     }
     if spec.pools.len() > MAX_WAVE_POOLS {
-        errors.push(bad("pools", "names too many pools"));
+        errors.push(field_error("pools", "names too many pools"));
     }
     if !spec.pools.is_sorted_by(|left, right| left < right) {
-        errors.push(bad("pools", "must be sorted and name each pool once"));
+        errors.push(field_error(
+            "pools",
+            "must be sorted and name each pool once",
+        ));
     }
 }
 
-/// Tells whether `name` can be a segment of a path, a section of a file and a label.
+/// Checks that `name` is valid as a path segment, a section of a file and a label.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with it.
+/// Returns the reason for which the name is invalid.
 pub fn check_name(name: &str) -> Result<(), String> {
     if name.is_empty() {
         return Err("must not be empty".into());
@@ -200,15 +209,15 @@
     if name.chars().count() > MAX_NAME_CHARS {
         return Err(format!("must have at most {MAX_NAME_CHARS} characters"));
     }
-    let is_plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    if !name.chars().all(is_plain) || name.starts_with('.') {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    if !name.chars().all(is_allowed) || name.starts_with('.') {
         return Err("must consist of letters, digits, '-', '_' and '.'".into());
     }
     Ok(())
 }
 
-/// Refuses fields that the kind does not have; a misspelt one would be lost in silence.
-fn check_known(kind: Kind, members: &Map<String, Value>, errors: &mut Vec<FieldError>) {
+/// Rejects unknown fields, since a misspelt one would otherwise be ignored silently.
+fn check_unknown_fields(kind: Kind, members: &Map<String, Value>, errors: &mut Vec<FieldError>) {
     for (key, value) in members {
         let prefix = format!("{key}.");
         let is_group = fields(kind)
@@ -220,12 +229,12 @@
                 errors.extend(
                     paths
                         .filter(|path| !is_field(kind, path))
-                        .map(|path| bad(&path, "no such field")),
+                        .map(|path| field_error(&path, "no such field")),
                 );
             }
-            _ if is_group => errors.push(bad(key, "must be an object")),
+            _ if is_group => errors.push(field_error(key, "must be an object")),
             _ if !is_field(kind, key) || key.contains('.') => {
-                errors.push(bad(key, "no such field"));
+                errors.push(field_error(key, "no such field"));
             }
             _ => {}
         }
@@ -236,14 +245,14 @@
     fields(kind).iter().any(|field| field.path == path)
 }
 
-fn find<'a>(members: &'a Map<String, Value>, path: &str) -> Option<&'a Value> {
+fn get_at<'a>(members: &'a Map<String, Value>, path: &str) -> Option<&'a Value> {
     match path.split_once('.') {
         Some((group, key)) => members.get(group)?.get(key),
         None => members.get(path),
     }
 }
 
-fn put_in(members: &mut Map<String, Value>, path: &str, value: Value) {
+fn insert_at(members: &mut Map<String, Value>, path: &str, value: Value) {
     let Some((group, key)) = path.split_once('.') else {
         members.insert(path.into(), value);
         return;
@@ -254,7 +263,7 @@
     }
 }
 
-fn default_of(field: &Field) -> Result<Value, String> {
+fn default_value(field: &Field) -> Result<Value, String> {
     match field.default {
         FieldDefault::Required => Err("is required".into()),
         FieldDefault::Number(number) => Ok(json!(number)),
@@ -271,12 +280,12 @@
         },
         FieldType::Names => check_names(value),
         FieldType::Count => check_number(value, u32::MAX.into()),
-        FieldType::Milliseconds => check_number(value, MAX_EXACT),
+        FieldType::Milliseconds => check_number(value, MAX_EXACT_INTEGER),
         FieldType::Flag if value.is_boolean() => Ok(()),
         FieldType::Flag => Err("must be true or false".into()),
-        FieldType::Choice(words) => match value.as_str() {
-            Some(word) if words.contains(&word) => Ok(()),
-            _ => Err(format!("must be one of {}", words.join(", "))),
+        FieldType::Choice(choices) => match value.as_str() {
+            Some(word) if choices.contains(&word) => Ok(()),
+            _ => Err(format!("must be one of {}", choices.join(", "))),
         },
         FieldType::Amount => check_amount(value),
     }
