--- a/crates/protocol/tests/encodings.rs
+++ b/crates/protocol/tests/encodings.rs
@@ -1,4 +1,4 @@
-//! Encodings of records and messages, held as bytes: nodes of other builds read and write them.
+//! Golden encodings of records and messages, which nodes of other versions read and write.
 
 use {
     lynxwheel_protocol::{
@@ -14,8 +14,8 @@
     std::fmt::Debug,
 };
 
-/// Digits of held bytes in one line.
-const LINE_DIGITS: usize = 90;
+/// Hexadecimal digits per line in the output of a failed test.
+const DIGITS_PER_LINE: usize = 90;
 
 fn hex(bytes: &[u8]) -> String {
     let digits = bytes.iter().flat_map(|byte| [byte >> 4, byte & 15]);
@@ -29,27 +29,27 @@
     bytes.collect()
 }
 
-/// Compares an encoding with the bytes held; where it differs, shows it as it would be held.
-fn assert_held(encoded: &[u8], held: &str) {
+/// Compares an encoding with the golden bytes; a failure prints it in the format of this file.
+fn assert_golden(encoded: &[u8], golden: &str) {
     let encoded = hex(encoded);
-    let starts = (0..encoded.len()).step_by(LINE_DIGITS);
-    let lines = starts.map(|at| &encoded[at..encoded.len().min(at + LINE_DIGITS)]);
+    let starts = (0..encoded.len()).step_by(DIGITS_PER_LINE);
+    let lines = starts.map(|at| &encoded[at..encoded.len().min(at + DIGITS_PER_LINE)]);
     let lines: Vec<&str> = lines.collect();
-    assert!(encoded == held, "encoded as\n{}", lines.join("\\\n"));
+    assert!(encoded == golden, "encoded as\n{}", lines.join("\\\n"));
 }
 
-/// Checks that a value is encoded as the bytes held, and that they are decoded as the value.
+/// Checks that a value is encoded as the golden bytes and that they decode to the value.
 fn check<T: Debug + PartialEq>(
     value: &T,
-    held: &str,
+    golden: &str,
     encode: impl Fn(&T) -> Result<Vec<u8>, CodecError>,
     decode: impl Fn(&[u8]) -> Result<T, CodecError>,
 ) {
-    assert_held(&encode(value).expect("a small value"), held);
-    assert_eq!(decode(&bytes(held)).as_ref(), Ok(value));
+    assert_golden(&encode(value).expect("a small value"), golden);
+    assert_eq!(decode(&bytes(golden)).as_ref(), Ok(value));
 }
 
-fn check_record(body: &RecordBody, held: &str) {
+fn check_record(body: &RecordBody, golden: &str) {
     let record = Record {
         id: WriterId {
             incarnation: 7,
@@ -58,25 +58,25 @@
         time_ms: 1_700_000_000_123,
         body: body.clone(),
     };
-    check(&record, held, encode_record, decode_record);
+    check(&record, golden, encode_record, decode_record);
 }
 
-fn check_message<T: Debug + DeserializeOwned + PartialEq + Serialize>(message: &T, held: &str) {
-    check(message, held, encode_message, decode_message);
+fn check_message<T: Debug + DeserializeOwned + PartialEq + Serialize>(message: &T, golden: &str) {
+    check(message, golden, encode_message, decode_message);
 }
 
-fn check_chunk(chunk: &SnapshotChunk, held: &str) {
-    check(chunk, held, encode_chunk, decode_chunk);
+fn check_chunk(chunk: &SnapshotChunk, golden: &str) {
+    check(chunk, golden, encode_chunk, decode_chunk);
 }
 
-macro_rules! held {
-    ($check:ident; $($(#[$guard:meta])* $name:ident: $value:expr => $held:expr;)*) => {
-        $($(#[$guard])* #[test] fn $name() { $check(&$value, $held); })*
+macro_rules! golden {
+    ($check:ident; $($(#[$doc:meta])* $name:ident: $value:expr => $golden:expr;)*) => {
+        $($(#[$doc])* #[test] fn $name() { $check(&$value, $golden); })*
     };
 }
 
-/// Bytes that are written otherwise in a list of numbers than as one value.
-fn noise() -> Vec<u8> {
+/// Returns bytes whose encoding differs between a sequence of numbers and a binary value.
+fn sample_bytes() -> Vec<u8> {
     vec![0x01, 0x7f, 0x80, 0xff]
 }
 
@@ -176,7 +176,7 @@
     })
 }
 
-/// Reports VMs of each phase.
+/// Returns a record that reports a VM in each phase.
 fn report() -> RecordBody {
     let phases = [
         VmPhase::Live,
@@ -235,108 +235,108 @@
     }
 }
 
-held! {
+golden! {
     check_record;
 
-    /// A node that joins stays unknown to the others, and all its records are rejected.
+    /// Guards against a joining node being unknown to others, which reject all its records.
     join: RecordBody::Join { node: "node-1".into(), fold_version: 2 } =>
         "939207cd012ccf0000018bcfe5687b81a44a6f696e92a66e6f64652d3102";
 
-    /// Some nodes go on with the earlier version of the fold.
+    /// Guards against nodes that keep the earlier fold version.
     raise_version: RecordBody::RaiseVersion { fold_version: 2 } =>
         "939207cd012ccf0000018bcfe5687b81ac526169736556657273696f6e9102";
 
-    /// Weights and limits are lost.
+    /// Guards against lost weights and limits.
     put_policy: put(policy()) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a6706f6c69637994a8706f6c6963792d3193020304ce05\
         265c00ce0001000029";
 
-    /// A team's quota is lost, or one amount is taken for another.
+    /// Guards against a lost quota or swapped amounts.
     put_team: put(team()) =>
         "939207cd012ccf0000018bcfe5687b81a35075749292a47465616d92a67465616d2d3193cdfa00cd08000329";
 
-    /// A pool's budget in percent is lost or taken for a count.
+    /// Guards against a percentage being lost or read as a count.
     put_pool_in_percent: put(pool(Amount::Percent(75))) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a4706f6f6c93a6706f6f6c2d310c9281a770657263656e\
         744b0229";
 
-    /// A pool's budget as a count is lost or taken for a percentage.
+    /// Guards against a count being lost or read as a percentage.
     put_pool_as_count: put(pool(Amount::Count(9))) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a4706f6f6c93a6706f6f6c2d310c9281a5636f756e7409\
         0229";
 
-    /// A VM's pool is lost, or its names change places.
+    /// Guards against a lost pool or swapped names.
     put_vm: put(vm()) =>
         "939207cd012ccf0000018bcfe5687b81a35075749292a2766d92a4766d2d31a6706f6f6c2d3129";
 
-    /// A service's pool or limits are lost.
+    /// Guards against a lost pool or lost limits of a service.
     put_service: put(service()) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a77365727669636596a9736572766963652d31a6706f6f\
         6c2d310408cd09c45a29";
 
-    /// A job for which people wait is lost or comes last.
+    /// Guards against an urgent job being lost or ordered last.
     put_urgent_job: put(job(Class::Urgent)) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a36a6f6299a56a6f622d31a6706f6f6c2d31a67465616d\
         2d31a6757267656e7493cd05dccd080003cdea60c305c329";
 
-    /// An ordinary job is lost or takes another one's place.
+    /// Guards against a job being lost or ordered by another class.
     put_normal_job: put(job(Class::Normal)) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a36a6f6299a56a6f622d31a6706f6f6c2d31a67465616d\
         2d31a66e6f726d616c93cd05dccd080003cdea60c305c329";
 
-    /// A job for the night is lost or comes first.
+    /// Guards against a batch job being lost or ordered first.
     put_batch_job: put(job(Class::Batch)) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a36a6f6299a56a6f622d31a6706f6f6c2d31a67465616d\
         2d31a5626174636893cd05dccd080003cdea60c305c329";
 
-    /// A wave is lost.
+    /// Guards against a lost wave.
     put_running_wave: put(wave(WaveGoal::Run)) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a47761766596a6776176652d3192a6706f6f6c2d31a670\
         6f6f6c2d32a67265626f6f74a372756ecf0000018bcfe56800cf0000018bcfee8fc029";
 
-    /// A wave goes on that was to pause.
+    /// Guards against a paused wave that continues.
     put_paused_wave: put(wave(WaveGoal::Pause)) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a47761766596a6776176652d3192a6706f6f6c2d31a670\
         6f6f6c2d32a67265626f6f74a57061757365cf0000018bcfe56800cf0000018bcfee8fc029";
 
-    /// A wave goes on that was given up.
+    /// Guards against an aborted wave that continues.
     put_aborted_wave: put(wave(WaveGoal::Abort)) => "\
         939207cd012ccf0000018bcfe5687b81a35075749292a47761766596a6776176652d3192a6706f6f6c2d31a670\
         6f6f6c2d32a67265626f6f74a561626f7274cf0000018bcfe56800cf0000018bcfee8fc029";
 
-    /// A declaration that holds for any revision is taken for one that must be the first.
+    /// Guards against an unconditional declaration being read as one that must create the resource.
     put_at_any_revision: RecordBody::Put { resource: Box::new(vm()), if_revision: None } =>
         "939207cd012ccf0000018bcfe5687b81a35075749292a2766d92a4766d2d31a6706f6f6c2d31c0";
 
-    /// A withdrawn policy stays in force.
+    /// Guards against a withdrawn policy staying in force.
     delete_policy: delete(Kind::Policy) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a6706f6c696379a66e616d652d312a";
 
-    /// A withdrawn team stays.
+    /// Guards against a withdrawn team being kept.
     delete_team: delete(Kind::Team) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a47465616da66e616d652d312a";
 
-    /// A withdrawn pool stays.
+    /// Guards against a withdrawn pool being kept.
     delete_pool: delete(Kind::Pool) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a4706f6f6ca66e616d652d312a";
 
-    /// A withdrawn VM gets work.
+    /// Guards against a withdrawn VM that gets work.
     delete_vm: delete(Kind::Vm) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a2766da66e616d652d312a";
 
-    /// A withdrawn service takes requests.
+    /// Guards against a withdrawn service that accepts requests.
     delete_service: delete(Kind::Service) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a773657276696365a66e616d652d312a";
 
-    /// A withdrawn job starts.
+    /// Guards against a withdrawn job that starts.
     delete_job: delete(Kind::Job) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a36a6f62a66e616d652d312a";
 
-    /// A withdrawn wave goes on.
+    /// Guards against a withdrawn wave that continues.
     delete_wave: delete(Kind::Wave) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a477617665a66e616d652d312a";
 
-    /// A VM's phase is lost, and a failed VM gets work.
+    /// Guards against a lost phase, by which a failed VM would get work.
     report_of_each_phase: report() => "\
         939207cd012ccf0000018bcfe5687b81a65265706f7274919498a4766d2d3104a46c697665cf0000018bcfe568\
         64a67a6f6e652d31a67261636b2d31ad31302e302e302e313a3930303093cd3e80cd08000398a4766d2d3104a7\
@@ -345,43 +345,43 @@
         31302e302e302e313a3930303093cd3e80cd08000398a4766d2d3104a7756e6b6e6f776ecf0000018bcfe56864\
         a67a6f6e652d31a67261636b2d31ad31302e302e302e313a3930303093cd3e80cd080003";
 
-    /// A VM that is claimed for maintenance counts as available.
+    /// Guards against a VM claimed for maintenance counting as available.
     claim_for_maintenance: claim(ClaimPurpose::Maintain("wave-1".into())) => "\
         939207cd012ccf0000018bcfe5687b81a5436c61696d93a4766d2d3181a86d61696e7461696ea6776176652d31\
         a66e6f64652d31";
 
-    /// A VM that is claimed for a move counts as available.
+    /// Guards against a VM claimed for a move counting as available.
     claim_for_move: claim(ClaimPurpose::Move("pool-2".into())) => "\
         939207cd012ccf0000018bcfe5687b81a5436c61696d93a4766d2d3181a46d6f7665a6706f6f6c2d32a66e6f64\
         652d31";
 
-    /// An action begins that other nodes do not know of.
+    /// Guards against an action that begins without the knowledge of other nodes.
     begin: RecordBody::Begin {
         vm: "vm-1".into(),
         fence: 70_001,
         not_after_ms: 1_700_000_005_000,
     } => "939207cd012ccf0000018bcfe5687b81a5426567696e93a4766d2d31ce00011171cf0000018bcfe57b88";
 
-    /// Two nodes hold one claim.
+    /// Guards against two holders of one claim.
     take_over: RecordBody::TakeOver {
         vm: "vm-1".into(),
         fence: 70_002,
         holder: "node-2".into(),
     } => "939207cd012ccf0000018bcfe5687b81a854616b654f76657293a4766d2d31ce00011172a66e6f64652d32";
 
-    /// A claim that was given back stays charged.
+    /// Guards against a released claim that stays charged to the budget.
     release: RecordBody::Release { vm: "vm-1".into(), fence: 70_003 } =>
         "939207cd012ccf0000018bcfe5687b81a752656c6561736592a4766d2d31ce00011173";
 
-    /// A completed maintenance stays charged, or a failed one counts as done.
+    /// Guards against completed maintenance staying charged, or a failure counting as done.
     done: RecordBody::Done { vm: "vm-1".into(), fence: 70_004, succeeded: true } =>
         "939207cd012ccf0000018bcfe5687b81a4446f6e6593a4766d2d31ce00011174c3";
 
-    /// A VM that has moved belongs to its earlier pool.
+    /// Guards against a moved VM that still belongs to its previous pool.
     hand_over: RecordBody::HandOver { vm: "vm-1".into(), fence: 70_005 } =>
         "939207cd012ccf0000018bcfe5687b81a848616e644f76657292a4766d2d31ce00011175";
 
-    /// A job that runs is started once more.
+    /// Guards against a second start of a running job.
     start: RecordBody::Start {
         job: "job-1".into(),
         attempt: 2,
@@ -392,48 +392,48 @@
         939207cd012ccf0000018bcfe5687b81a5537461727495a56a6f622d3102a4766d2d3193cd05dccd080003a66e\
         6f64652d31";
 
-    /// An attempt goes on that was to stop.
+    /// Guards against a stopped attempt that continues.
     stop: RecordBody::Stop { job: "job-1".into(), attempt: 2 } =>
         "939207cd012ccf0000018bcfe5687b81a453746f7092a56a6f622d3102";
 
-    /// A job that succeeded runs again.
+    /// Guards against a succeeded job that runs again.
     end_succeeded: end(JobOutcome::Succeeded) =>
         "939207cd012ccf0000018bcfe5687b81a3456e6493a56a6f622d3102a9737563636565646564";
 
-    /// A failed attempt is not counted.
+    /// Guards against a failed attempt that is not counted.
     end_failed: end(JobOutcome::Failed) =>
         "939207cd012ccf0000018bcfe5687b81a3456e6493a56a6f622d3102a66661696c6564";
 
-    /// A checkpointed attempt counts as failed or as running.
+    /// Guards against a checkpointed attempt counting as failed or running.
     end_checkpointed: end(JobOutcome::Checkpointed) =>
         "939207cd012ccf0000018bcfe5687b81a3456e6493a56a6f622d3102ac636865636b706f696e746564";
 
-    /// An attempt that never started keeps its reservation.
+    /// Guards against an attempt that never started keeping its reservation.
     end_not_started: end(JobOutcome::NotStarted) =>
         "939207cd012ccf0000018bcfe5687b81a3456e6493a56a6f622d3102aa6e6f7473746172746564";
 
-    /// A job that was lost with its VM is not started again.
+    /// Guards against a job that was lost with its VM never restarting.
     end_lost: end(JobOutcome::Lost) =>
         "939207cd012ccf0000018bcfe5687b81a3456e6493a56a6f622d3102a46c6f7374";
 
-    /// A job that uses more than it declared is placed by its declaration.
+    /// Guards against placing a job by its declared demand when it uses more.
     usage: RecordBody::Usage {
         job: "job-1".into(),
         attempt: 2,
         used: resources(1_700),
     } => "939207cd012ccf0000018bcfe5687b81a5557361676593a56a6f622d310293cd06a4cd080003";
 
-    /// A job that was given up starts again.
+    /// Guards against an abandoned job that starts again.
     give_up: RecordBody::GiveUp { job: "job-1".into(), reason: "no room".into() } =>
         "939207cd012ccf0000018bcfe5687b81a647697665557092a56a6f622d31a76e6f20726f6f6d";
 
-    /// A VM in quarantine gets work.
+    /// Guards against a quarantined VM that gets work.
     quarantine: RecordBody::Quarantine {
         vm: "vm-1".into(),
         until_ms: 1_700_000_060_000,
     } => "939207cd012ccf0000018bcfe5687b81aa51756172616e74696e6592a4766d2d31cf0000018bcfe65260";
 
-    /// A request under a known key runs twice.
+    /// Guards against executing two requests with the same key.
     intent: RecordBody::Intent {
         key: key(),
         request_digest: 0x0123_4567_89ab_cdef,
@@ -442,26 +442,26 @@
         939207cd012ccf0000018bcfe5687b81a6496e74656e7493c4100123456789abcdeffedcba9876543210cf0123\
         456789abcdefa66e6f64652d31";
 
-    /// An answered request is forgotten, or its status is.
+    /// Guards against a lost outcome or status of a completed request.
     outcome_answered: outcome(KeyOutcome::Answered(201)) => "\
         939207cd012ccf0000018bcfe5687b81a74f7574636f6d6592c4100123456789abcdeffedcba987654321081a8\
         616e737765726564ccc9";
 
-    /// A key that may be used again is refused.
+    /// Guards against rejecting a key that may be used again.
     outcome_not_run: outcome(KeyOutcome::NotRun) => "\
         939207cd012ccf0000018bcfe5687b81a74f7574636f6d6592c4100123456789abcdeffedcba9876543210a66e\
         6f7472756e";
 
-    /// A request that may have run is run again.
+    /// Guards against repeating a request that may have been executed.
     outcome_unknown: outcome(KeyOutcome::Unknown) => "\
         939207cd012ccf0000018bcfe5687b81a74f7574636f6d6592c4100123456789abcdeffedcba9876543210a775\
         6e6b6e6f776e";
 
-    /// A starting node does not find the newest snapshot.
-    snapshot_noted: RecordBody::Snapshot { id: snapshot() } =>
+    /// Guards against a starting node that does not find the latest snapshot.
+    snapshot_record: RecordBody::Snapshot { id: snapshot() } =>
         "939207cd012ccf0000018bcfe5687b81a8536e617073686f749194ce000111700703cffedcba9876543210";
 
-    /// Time stands still where nothing else is written.
+    /// Guards against time not advancing when no other record is written.
     tick: RecordBody::Tick => "939207cd012ccf0000018bcfe5687ba45469636b";
 }
 
@@ -495,7 +495,7 @@
 fn entries() -> Vec<LogEntry> {
     let entry = |offset| LogEntry {
         offset,
-        bytes: noise(),
+        bytes: sample_bytes(),
     };
     vec![entry(70_000), entry(70_001)]
 }
@@ -512,7 +512,7 @@
     }
 }
 
-/// Reports of each state.
+/// Returns a task report in each state.
 fn task_reports() -> Vec<TaskReport> {
     let states = [
         TaskState::Running,
@@ -529,7 +529,7 @@
     reports.to_vec()
 }
 
-/// List with VMs of each state.
+/// Returns a list with a VM in each state.
 fn vm_list() -> VmList {
     let vms = [VmListState::Live, VmListState::Leaving].map(|state| VmEntry {
         name: "vm-1".into(),
@@ -555,10 +555,10 @@
     }
 }
 
-held! {
+golden! {
     check_message;
 
-    /// A node takes its peers for gone, or for others than they are.
+    /// Guards against a node that considers its peers unavailable or misidentifies them.
     peer_hello: hello() => "\
         8ea46e6f6465a66e6f64652d31ab696e6361726e6174696f6e07a47a6f6e65a67a6f6e652d31a873746f707069\
         6e67c3a972656164735f6c6f67c3a86469766572676564c3ac666f6c645f76657273696f6e02a66f6666736574\
@@ -566,26 +566,26 @@
         656e745f6f6666736574ce0001116eae636f6e74656e745f646967657374cffedcba9876543210a56c6f616473\
         9193a4766d2d3104cd012ca76c656176696e679193a4766d2d310402";
 
-    /// A node that is cut from the log gets no records of a peer.
+    /// Guards against a node without access to the log getting no entries from its peers.
     peer_entries: PeerEntries { entries: entries() } => "\
         81a7656e74726965739282a66f6666736574ce00011170a56279746573c404017f80ff82a66f6666736574ce00\
         011171a56279746573c404017f80ff";
 
-    /// A starting node gets no snapshot of a peer.
+    /// Guards against a starting node getting no snapshot from its peers.
     peer_snapshot: PeerSnapshot {
         offset: 70_000,
         digest: 0x0123_4567_89ab_cdef,
-        bytes: noise(),
+        bytes: sample_bytes(),
     } => "83a66f6666736574ce00011170a6646967657374cf0123456789abcdefa56279746573c404017f80ff";
 
-    /// A worker starts nothing, or starts with another lease.
+    /// Guards against a worker that starts nothing or uses a wrong lease.
     task_start_message: task_start() => "\
         87a36a6f62a56a6f622d31a7617474656d707402a8726573657276656483ab636f7265735f6d696c6c69cd05dc\
         aa6d656d6f72795f6d6962cd0800ac616363656c657261746f727303ab72756e5f74696d655f6d73cdea60a86c\
         656173655f6d73cd7530ae766d5f696e6361726e6174696f6e04ac6e6f745f61667465725f6d73cf0000018bcf\
         e57b88";
 
-    /// An attempt that ended counts as running.
+    /// Guards against an ended attempt counting as running.
     task_report_of_each_state: task_reports() => "\
         9484a36a6f62a56a6f622d31a7617474656d707402a57374617465a772756e6e696e67a47573656483ab636f72\
         65735f6d696c6c69cd0578aa6d656d6f72795f6d6962cd0800ac616363656c657261746f72730384a36a6f62a5\
@@ -596,7 +596,7 @@
         02a57374617465ac636865636b706f696e746564a47573656483ab636f7265735f6d696c6c69cd0578aa6d656d\
         6f72795f6d6962cd0800ac616363656c657261746f727303";
 
-    /// VMs are not known, or one that leaves gets work.
+    /// Guards against unknown VMs, or a leaving VM that gets work.
     vm_list_of_each_state: vm_list() => "\
         82a76d6164655f6d73cf0000018bcfe56800a3766d739287a46e616d65a4766d2d31ab696e6361726e6174696f\
         6e04a57374617465a46c697665a47a6f6e65a67a6f6e652d31a47261636ba67261636b2d31a761646472657373\
@@ -606,16 +606,16 @@
         7373ad31302e302e302e313a39303030a8636170616369747983ab636f7265735f6d696c6c69cd3e80aa6d656d\
         6f72795f6d6962cd0800ac616363656c657261746f727303";
 
-    /// The log takes no records.
-    append_request: AppendRequest { entries: vec![noise(), vec![0x05]] } =>
+    /// Guards against failing appends.
+    append_request: AppendRequest { entries: vec![sample_bytes(), vec![0x05]] } =>
         "81a7656e747269657392c404017f80ffc40105";
 
-    /// A node does not know where its records stand.
-    append_answer: AppendResponse { first_offset: 70_000 } =>
+    /// Guards against unknown offsets of appended records.
+    append_response: AppendResponse { first_offset: 70_000 } =>
         "81ac66697273745f6f6666736574ce00011170";
 
-    /// The log cannot be read.
-    read_answer: ReadResponse {
+    /// Guards against an unreadable log.
+    read_response: ReadResponse {
         earliest_offset: 60_000,
         next_offset: 70_002,
         entries: entries(),
@@ -624,26 +624,26 @@
         9282a66f6666736574ce00011170a56279746573c404017f80ff82a66f6666736574ce00011171a56279746573\
         c404017f80ff";
 
-    /// A VM takes new work before its restart.
+    /// Guards against a draining VM that accepts new work.
     action_drain: action(VmAction::Drain) => "\
         84a6616374696f6ea5647261696ea566656e6365ce00011171ac6e6f745f61667465725f6d73cf0000018bcfe5\
         7b88ae766d5f696e6361726e6174696f6e04";
 
-    /// A VM takes no work after its restart.
+    /// Guards against a VM that accepts no work after its restart.
     action_undrain: action(VmAction::Undrain) => "\
         84a6616374696f6ea7756e647261696ea566656e6365ce00011171ac6e6f745f61667465725f6d73cf0000018b\
         cfe57b88ae766d5f696e6361726e6174696f6e04";
 
-    /// A VM is not restarted, or under a fence that is over.
+    /// Guards against a missing restart, or one with an expired fencing token.
     action_reboot: action(VmAction::Reboot) => "\
         84a6616374696f6ea67265626f6f74a566656e6365ce00011171ac6e6f745f61667465725f6d73cf0000018bcf\
         e57b88ae766d5f696e6361726e6174696f6e04";
 }
 
-held! {
+golden! {
     check_chunk;
 
-    /// A starting node cannot read a snapshot.
-    snapshot_chunk: SnapshotChunk { id: snapshot(), index: 2, bytes: noise() } =>
+    /// Guards against a starting node that cannot read a snapshot.
+    snapshot_chunk: SnapshotChunk { id: snapshot(), index: 2, bytes: sample_bytes() } =>
         "9394ce000111700703cffedcba987654321002c404017f80ff";
 }
