--- a/crates/protocol/tests/schema.rs
+++ b/crates/protocol/tests/schema.rs
@@ -1,11 +1,11 @@
-//! The table of fields against the types that it describes.
+//! Agreement of the field table with the resource types.
 
 use {
     lynxwheel_protocol::{FieldDefault, FieldType, Kind, Resource, fields, parse_spec},
     serde_json::{Map, Value, json},
 };
 
-/// A value that the field takes.
+/// Returns a valid value of a field type.
 fn sample(field_type: FieldType) -> Value {
     match field_type {
         FieldType::Name => json!("name"),
@@ -17,10 +17,11 @@
     }
 }
 
-fn declared(kind: Kind, with_defaults: bool) -> Resource {
+/// Parses a declaration with all fields, or with the required ones only.
+fn declaration(kind: Kind, is_minimal: bool) -> Resource {
     let mut spec = Map::new();
     for field in fields(kind) {
-        if with_defaults && field.default != FieldDefault::Required {
+        if is_minimal && field.default != FieldDefault::Required {
             continue;
         }
         match field.path.split_once('.') {
@@ -34,7 +35,7 @@
     parse_spec(kind, "name", &Value::Object(spec)).expect("a declaration")
 }
 
-/// Counts the fields of a spec, an amount as one.
+/// Counts the fields of a spec; an amount counts as one field.
 fn count(spec: &Value) -> usize {
     let members = spec.as_object().expect("a spec");
     let counted = members.iter().map(|(_, value)| match value {
@@ -47,16 +48,16 @@
 macro_rules! kinds {
     ($($name:ident: $kind:expr;)*) => {
         $(#[test] fn $name() {
-            let all = declared($kind, false);
-            let spec = json!(all)["spec"].clone();
+            let full = declaration($kind, false);
+            let spec = json!(full)["spec"].clone();
             assert_eq!(count(&spec), fields($kind).len(), "{spec}");
-            let least = declared($kind, true);
-            assert_eq!(least.kind(), $kind);
+            let minimal = declaration($kind, true);
+            assert_eq!(minimal.kind(), $kind);
         })*
     };
 }
 
-// A field of the type that the table lacks could not be declared by anybody.
+// Guards against a field that is missing from the table and so cannot be declared.
 kinds! {
     policy: Kind::Policy;
     team: Kind::Team;
