--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,7 @@
 //! The resource API of lynxwheel.
 //!
 //! ```no_run
-//! use lynxwheel_api::{Access, Api};
+//! use lynxwheel_api::{AccessControl, Api};
 //! use lynxwheel_coordination::{Node, NodeIdentity, NodeSettings};
 //! use lynxwheel_transport::{Server, Shutdown};
 //!
@@ -10,7 +10,7 @@
 //! let settings = NodeSettings::new(identity, "127.0.0.1:7000".parse().unwrap());
 //! let shutdown = Shutdown::new();
 //! let (node, _threads) = Node::start(settings, &shutdown);
-//! let api = Api::start(node, Access::default(), shutdown.clone());
+//! let api = Api::start(node, AccessControl::default(), shutdown.clone());
 //! let server = Server::bind("127.0.0.1:8081".parse().unwrap()).await?;
 //! server.serve(shutdown, move |request| api.clone().handle(request)).await;
 //! # Ok(())
