--- a/crates/api/src/access.rs
+++ b/crates/api/src/access.rs
@@ -1,4 +1,4 @@
-//! Access by bearer tokens.
+//! Authentication and authorization by bearer tokens.
 
 use {
     http::{HeaderMap, header},
@@ -8,19 +8,19 @@
     subtle::{Choice, ConditionallySelectable, ConstantTimeEq},
 };
 
-/// What the holder of a token may do; each role includes the ones before.
+/// Permissions of a token; each role includes the previous ones.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Role {
-    /// Look at everything.
+    /// Read everything.
     Read,
-    /// Also declare VMs, services, jobs and waves.
+    /// Also write VMs, services, jobs and waves.
     Operate,
-    /// Also declare what customers were promised: policies, teams and pools.
+    /// Also write policies, teams and pools, which define the promises to customers.
     Administer,
 }
 
 impl Role {
-    /// Returns the name used in settings and errors.
+    /// Returns the name that settings and errors use.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns the role of a name, if there is one.
+    /// Returns the role with a name.
     #[must_use]
     pub fn from_text(text: &str) -> Option<Self> {
         [Self::Read, Self::Operate, Self::Administer]
@@ -38,7 +38,7 @@
             .find(|role| role.as_str() == text)
     }
 
-    /// Returns the role needed to write a kind.
+    /// Returns the role required to write resources of a kind.
     #[must_use]
     pub fn required_to_write(kind: Kind) -> Self {
         match kind {
@@ -48,7 +48,7 @@
     }
 }
 
-/// A token that is accepted; only its digest is kept.
+/// Accepted token, stored as a digest.
 #[derive(Clone)]
 pub struct AccessToken {
     name: String,
@@ -57,7 +57,7 @@
 }
 
 impl AccessToken {
-    /// Accepts `token` for `role`; `name` is what logs call its holder.
+    /// Creates a token with `role`; `name` identifies its holder in logs.
     #[must_use]
     pub fn new(name: &str, role: Role, token: &str) -> Self {
         Self {
@@ -74,54 +74,54 @@
     }
 }
 
-/// Who made a request.
+/// Sender of an authenticated request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Operator {
     /// Name of the token, for logs.
     pub name: String,
-    /// What it may do.
+    /// Role of the token.
     pub role: Role,
 }
 
-/// Tokens that are accepted.
+/// Accepted tokens.
 #[derive(Clone, Debug, Default)]
 pub struct AccessControl {
     tokens: Vec<AccessToken>,
 }
 
 impl AccessControl {
-    /// Accepts these tokens; without any, every request is taken for an administrator's.
+    /// Accepts `tokens`; if there are none, requests need no token and have the administrator role.
     #[must_use]
     pub fn new(tokens: Vec<AccessToken>) -> Self {
         Self { tokens }
     }
 
-    /// Tells whether requests need no token.
+    /// Returns whether requests need no token.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.tokens.is_empty()
     }
 
-    /// Returns who made a request, if the role suffices.
+    /// Authenticates a request and checks that its role is sufficient.
     ///
     /// # Errors
     ///
-    /// Returns the problem when the token is missing, not known or of too low a role.
-    pub fn check(&self, headers: &HeaderMap, needed: Role) -> Result<Operator, Problem> {
-        let operator = self.operator(headers)?;
-        if operator.role < needed {
+    /// Fails when the token is missing or unknown, or its role is insufficient.
+    pub fn check(&self, headers: &HeaderMap, required: Role) -> Result<Operator, Problem> {
+        let operator = self.authenticate(headers)?;
+        if operator.role < required {
             let detail = format!(
                 "the token of {} has role {}, and this needs {}",
                 operator.name,
                 operator.role.as_str(),
-                needed.as_str()
+                required.as_str()
             );
             return Err(Problem::new(ProblemReason::Forbidden, detail));
         }
         Ok(operator)
     }
 
-    fn operator(&self, headers: &HeaderMap) -> Result<Operator, Problem> {
+    fn authenticate(&self, headers: &HeaderMap) -> Result<Operator, Problem> {
         if self.is_open() {
             return Ok(Operator {
                 name: "anyone".into(),
@@ -129,33 +129,32 @@
             });
         }
         let unauthenticated = |detail| Problem::new(ProblemReason::Unauthenticated, detail);
-        let token = bearer(headers)
+        let token = bearer_token(headers)
             .ok_or_else(|| unauthenticated("send a header Authorization: Bearer TOKEN"))?;
         self.find(token)
             .ok_or_else(|| unauthenticated("the token is not known"))
     }
 
-    /// Finds a token by its digest.
+    /// Finds a token by its digest in constant time.
     ///
-    /// A comparison that ends at the first difference lets a stranger learn a token piece by
-    /// piece from the time of refusals. Here every token is compared to its end, whichever
-    /// matches, and what is compared is a digest that the stranger cannot steer.
+    /// Guards against timing attacks: all tokens are compared completely, whichever matches, and
+    /// the compared values are digests, which a caller cannot choose.
     fn find(&self, token: &str) -> Option<Operator> {
         let digest = digest(token);
-        let mut found = u32::MAX;
-        for (row, known) in (0_u32..).zip(&self.tokens) {
-            let is_same: Choice = known.digest.ct_eq(&digest);
-            found.conditional_assign(&row, is_same);
+        let mut found_index = u32::MAX;
+        for (index, token_entry) in (0_u32..).zip(&self.tokens) {
+            let is_equal: Choice = token_entry.digest.ct_eq(&digest);
+            found_index.conditional_assign(&index, is_equal);
         }
-        let known = self.tokens.get(usize::try_from(found).ok()?)?;
+        let token_entry = self.tokens.get(usize::try_from(found_index).ok()?)?;
         Some(Operator {
-            name: known.name.clone(),
-            role: known.role,
+            name: token_entry.name.clone(),
+            role: token_entry.role,
         })
     }
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let (scheme, token) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| token.trim())
--- a/crates/api/src/changes.rs
+++ b/crates/api/src/changes.rs
@@ -1,11 +1,11 @@
-//! Recent changes of resources, which watches are told from.
+//! Recent changes of resources, the source of watch events.
 //!
-//! The log keeps names, not states: a watch is told how a resource is now, so that changes in
-//! quick succession are told as one, and neither an open watch nor the past keeps a state alive.
+//! The change log holds names instead of states: a watch sends the current state of a resource,
+//! which merges changes in quick succession and keeps no old state in memory.
 //!
-//! Changes are found by comparing states at certain offsets, the boundaries. Between two of them
-//! a resource may have come and gone, or changed back, and no comparison shows it. So a watch
-//! starts only at a boundary: lists and bookmarks of this node are made there.
+//! Changes are found by comparing states at certain offsets, the boundaries. A resource that was
+//! declared and withdrawn, or changed back, between two boundaries shows no difference. A watch can
+//! therefore start only at a boundary, as lists and bookmarks of this node do.
 
 use {
     lynxwheel_coordination::Node,
@@ -20,23 +20,23 @@
     tokio::sync::watch,
 };
 
-/// Changes kept; 16 Ki names take about a megabyte.
+/// Maximum number of retained changes; 16 Ki names take about 1 MB.
 const MAX_CHANGES: usize = 16 * 1024;
 
-/// Boundaries kept; at the pace below they reach back 13 minutes.
+/// Maximum number of retained boundaries, about 13 minutes at the interval below.
 const MAX_BOUNDARIES: usize = 16 * 1024;
 
-/// Pause between two comparisons of states, in milliseconds.
-const PACE_MS: u64 = 50;
+/// Minimum interval between comparisons of states, in milliseconds.
+const COMPARE_INTERVAL_MS: u64 = 50;
 
-/// One change of one resource.
+/// Change of a resource.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Change {
-    /// Name.
+    /// Name of the resource.
     pub(crate) name: String,
-    /// Offset by which it had changed.
+    /// Boundary at which the change was found.
     pub(crate) offset: u64,
-    /// Whether it was withdrawn.
+    /// Whether the resource was withdrawn.
     pub(crate) is_removed: bool,
 }
 
@@ -46,102 +46,105 @@
     /// Last change of each resource, by name.
     pub(crate) changes: Vec<Change>,
     /// Offset up to which the batch is complete.
-    pub(crate) known_to: u64,
+    pub(crate) complete_to: u64,
 }
 
-/// This node cannot tell all changes since the offset asked for.
+/// Error: changes since the requested offset are not known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct TooOld {
-    /// Offset asked for.
+    /// Requested offset.
     pub(crate) offset: u64,
 }
 
-/// Bounded log of changes.
+/// Bounded log of recent changes.
 #[derive(Debug)]
 pub(crate) struct ChangeLog {
-    rows: Mutex<Rows>,
-    known_to: watch::Sender<u64>,
+    state: Mutex<LogState>,
+    complete_to: watch::Sender<u64>,
 }
 
 #[derive(Debug)]
-struct Rows {
+struct LogState {
     changes: VecDeque<(Kind, Change)>,
-    /// Every change after this offset is kept.
+    /// Offset after which all changes are retained.
     complete_from: u64,
-    /// Offsets of compared states, rising.
+    /// Offsets of the compared states, ascending.
     boundaries: VecDeque<u64>,
     /// State at the last boundary.
     latest: Arc<FleetState>,
 }
 
 impl ChangeLog {
-    /// Creates a log that begins at a state.
+    /// Creates an empty log that starts at `state`.
     pub(crate) fn new(state: Arc<FleetState>) -> Self {
         let offset = state.offset();
         Self {
-            rows: Mutex::new(Rows {
+            state: Mutex::new(LogState {
                 changes: VecDeque::new(),
                 complete_from: offset,
                 boundaries: VecDeque::from([offset]),
                 latest: state,
             }),
-            known_to: watch::Sender::new(offset),
+            complete_to: watch::Sender::new(offset),
         }
     }
 
-    /// Notes what differs in a later state, and returns the state of the last boundary.
+    /// Adds the changes up to a later state, and returns the state at the last boundary.
     pub(crate) fn catch_up(&self, now: Arc<FleetState>) -> Arc<FleetState> {
-        let mut rows = self.rows();
-        if now.offset() > rows.latest.offset() {
-            rows.compare(now);
-            self.known_to.send_replace(rows.latest.offset());
+        let mut state = self.state();
+        if now.offset() > state.latest.offset() {
+            state.add_comparison(now);
+            self.complete_to.send_replace(state.latest.offset());
         }
-        Arc::clone(&rows.latest)
+        Arc::clone(&state.latest)
     }
 
-    /// Returns the changes of a kind after `offset`.
-    pub(crate) fn since(&self, kind: Kind, offset: u64) -> Result<ChangeBatch, TooOld> {
-        let rows = self.rows();
-        rows.check(offset)?;
-        let known_to = rows.latest.offset();
-        let first = rows
+    /// Returns the changes of a kind after `offset`, which must be a boundary.
+    pub(crate) fn changes_since(&self, kind: Kind, offset: u64) -> Result<ChangeBatch, TooOld> {
+        let state = self.state();
+        state.check_offset(offset)?;
+        let complete_to = state.latest.offset();
+        let first = state
             .changes
             .partition_point(|(_, change)| change.offset <= offset);
-        let mut changes: Vec<Change> = rows
+        let mut changes: Vec<Change> = state
             .changes
             .range(first..)
             .filter(|(of, _)| *of == kind)
             .map(|(_, change)| change.clone())
             .collect();
-        drop(rows);
-        // The last change of each name is the one that stays.
+        drop(state);
+        // Keep only the last change of each name.
         changes.sort();
         changes.reverse();
         changes.dedup_by(|earlier, later| earlier.name == later.name);
         changes.reverse();
-        Ok(ChangeBatch { changes, known_to })
+        Ok(ChangeBatch {
+            changes,
+            complete_to,
+        })
     }
 
-    /// Tells whether every change after `offset` can be told.
-    pub(crate) fn check(&self, offset: u64) -> Result<(), TooOld> {
-        self.rows().check(offset)
+    /// Checks that all changes after `offset` are known.
+    pub(crate) fn check_offset(&self, offset: u64) -> Result<(), TooOld> {
+        self.state().check_offset(offset)
     }
 
-    /// Returns a receiver of the offset up to which changes are noted.
-    pub(crate) fn progress(&self) -> watch::Receiver<u64> {
-        self.known_to.subscribe()
+    /// Returns a receiver of the offset up to which the log is complete.
+    pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
+        self.complete_to.subscribe()
     }
 
-    fn rows(&self) -> MutexGuard<'_, Rows> {
-        self.rows.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, LogState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Rows {
-    fn compare(&mut self, now: Arc<FleetState>) {
+impl LogState {
+    fn add_comparison(&mut self, now: Arc<FleetState>) {
         let offset = now.offset();
         for kind in Kind::ALL {
-            self.push_all(kind, now.changed_since(&self.latest, kind), offset);
+            self.push_changes(kind, now.changed_since(&self.latest, kind), offset);
         }
         if self.boundaries.len() == MAX_BOUNDARIES {
             self.boundaries.pop_front();
@@ -150,7 +153,7 @@
         self.latest = now;
     }
 
-    fn check(&self, offset: u64) -> Result<(), TooOld> {
+    fn check_offset(&self, offset: u64) -> Result<(), TooOld> {
         let is_boundary = self.boundaries.binary_search(&offset).is_ok();
         if is_boundary && offset >= self.complete_from {
             return Ok(());
@@ -158,7 +161,7 @@
         Err(TooOld { offset })
     }
 
-    fn push_all(&mut self, kind: Kind, names: ChangedNames, offset: u64) {
+    fn push_changes(&mut self, kind: Kind, names: ChangedNames, offset: u64) {
         for name in names.changed {
             self.push(kind, name, offset, false);
         }
@@ -182,8 +185,8 @@
     }
 }
 
-/// Compares published states until the signal.
-pub(crate) async fn follow(node: Node, log: Arc<ChangeLog>, stop: Shutdown) {
+/// Adds the changes of published states to the log until shutdown.
+pub(crate) async fn track_changes(node: Node, log: Arc<ChangeLog>, stop: Shutdown) {
     let mut offsets = node.published_state().subscribe();
     loop {
         log.catch_up(node.state());
@@ -194,6 +197,6 @@
         if changed.is_err() {
             return;
         }
-        tokio::time::sleep(Duration::from_millis(PACE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(COMPARE_INTERVAL_MS)).await;
     }
 }
--- a/crates/api/src/handler.rs
+++ b/crates/api/src/handler.rs
@@ -1,13 +1,13 @@
-//! Operators' requests: who may make them, and what answers them.
+//! Authorization and dispatch of API requests.
 
 use {
     crate::{
         access::{AccessControl, Operator},
-        answers::{problem_answer, with_node},
-        changes::{ChangeLog, follow},
+        changes::{ChangeLog, track_changes},
         openapi::openapi,
-        query::{ListQuery, expect_none},
-        routes::{Action, Matched, Target, match_route, needed_role},
+        query::{ListQuery, reject_parameters},
+        responses::{add_node_headers, problem_response},
+        routes::{Action, RouteMatch, Target, match_route, required_role},
         status::resource_view,
         write,
     },
@@ -26,13 +26,13 @@
     tokio::sync::Semaphore,
 };
 
-/// Watches open on one node at once.
+/// Maximum number of open watches.
 const MAX_WATCHES: usize = 256;
 
-/// Operations in a list.
-const LISTED_OPERATIONS: usize = 100;
+/// Maximum number of operations in a list.
+const MAX_LISTED_OPERATIONS: usize = 100;
 
-/// Serves operators; copies share the state.
+/// Handler of the resource API; clones share their state.
 #[derive(Clone, Debug)]
 pub struct Api {
     pub(crate) node: Node,
@@ -43,13 +43,17 @@
 }
 
 impl Api {
-    /// Starts the resource API of a node; `stop` ends its open watches.
+    /// Starts the resource API of a node; `stop` ends open watches.
     ///
     /// Must be called within a Tokio runtime.
     #[must_use]
     pub fn start(node: Node, access: AccessControl, stop: Shutdown) -> Self {
         let changes = Arc::new(ChangeLog::new(node.state()));
-        tokio::spawn(follow(node.clone(), Arc::clone(&changes), stop.clone()));
+        tokio::spawn(track_changes(
+            node.clone(),
+            Arc::clone(&changes),
+            stop.clone(),
+        ));
         Self {
             node,
             changes,
@@ -59,40 +63,40 @@
         }
     }
 
-    /// Answers a request.
+    /// Handles a request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
-        let answer = match self.admit(&request) {
-            Ok((action, target)) => self.answer(action, target, request).await,
+        let response = match self.authorize(&request) {
+            Ok((action, target)) => self.dispatch(action, target, request).await,
             Err(problem) => Err(problem),
         };
-        let answer = answer.unwrap_or_else(|problem| problem_answer(&problem));
-        with_node(answer, self.node.is_current(), self.node.state().offset())
+        let response = response.unwrap_or_else(|problem| problem_response(&problem));
+        add_node_headers(response, self.node.is_current(), self.node.state().offset())
     }
 
-    fn admit(&self, request: &Request<Incoming>) -> Result<(Action, Target), Problem> {
+    fn authorize(&self, request: &Request<Incoming>) -> Result<(Action, Target), Problem> {
         let (method, path) = (request.method(), request.uri().path());
         let (action, target) = match match_route(method, path) {
-            Matched::Found(action, target) => (action, target),
-            Matched::OtherMethod => {
+            RouteMatch::Found(action, target) => (action, target),
+            RouteMatch::MethodNotAllowed => {
                 return Err(Problem::new(
                     ProblemReason::MethodNotAllowed,
                     format!("{path} does not take {method}"),
                 ));
             }
-            Matched::NoPath => {
+            RouteMatch::NotFound => {
                 return Err(Problem::new(
                     ProblemReason::NotFound,
                     format!("no such path: {path}"),
                 ));
             }
         };
-        let role = needed_role(action, &target);
+        let role = required_role(action, &target);
         let operator = self.access.check(request.headers(), role)?;
         log_write(action, &target, &operator);
         Ok((action, target))
     }
 
-    async fn answer(
+    async fn dispatch(
         &self,
         action: Action,
         target: Target,
@@ -108,11 +112,11 @@
                 Ok(json_response(StatusCode::OK, &self.list(kind, &query)?))
             }
             (Action::Get, Target::Resource(reference)) => {
-                expect_none(query)?;
+                reject_parameters(query)?;
                 self.get(&reference)
             }
             (Action::Explain, Target::Resource(reference)) => {
-                expect_none(query)?;
+                reject_parameters(query)?;
                 self.explain(&reference)
             }
             (Action::Put, Target::Resource(reference)) => {
@@ -125,7 +129,7 @@
             (Action::ListOperations, _) => Ok(json_response(StatusCode::OK, &self.operations())),
             (Action::ListMoves, _) => Ok(json_response(StatusCode::OK, &self.moves())),
             (Action::OpenApi, _) => Ok(json_response(StatusCode::OK, &openapi())),
-            // The routes pair no other action with these targets.
+            // No route has another combination of action and target.
             _ => Err(Problem::new(ProblemReason::NotFound, "no such path")),
         }
     }
@@ -156,7 +160,7 @@
         let operation: OperationId = text
             .parse()
             .map_err(|reason| Problem::new(ProblemReason::BadRequest, reason))?;
-        // Asked first, since "not seen" of a current node must cover all up to this moment.
+        // Read before the outcome: "not seen" from a current node must cover all earlier writes.
         let current = self.node.is_current();
         let view = OperationView {
             operation,
@@ -171,7 +175,7 @@
     fn operations(&self) -> OperationList {
         let current = self.node.is_current();
         let observed_revision = self.node.state().offset();
-        let latest = self.node.latest_operations(LISTED_OPERATIONS);
+        let latest = self.node.latest_operations(MAX_LISTED_OPERATIONS);
         let items = latest.into_iter().map(|operation| OperationView {
             operation: operation.id,
             reference: Some(operation.reference),
@@ -190,7 +194,7 @@
         MoveList {
             revision: state.offset(),
             current,
-            items: moves_of(&state),
+            items: incomplete_moves(&state),
         }
     }
 }
@@ -202,7 +206,7 @@
     )
 }
 
-fn moves_of(state: &FleetState) -> Vec<MoveView> {
+fn incomplete_moves(state: &FleetState) -> Vec<MoveView> {
     state
         .vms()
         .iter()
@@ -221,6 +225,6 @@
         let resource = reference.to_string();
         let is_delete = action == Action::Delete;
         info!(event = "write_asked", operator = operator.name.as_str(),
-            resource = resource.as_str(), is_delete = is_delete; "");
+            resource = resource.as_str(), is_delete = is_delete; "write requested");
     }
 }
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,4 +1,4 @@
-//! The resource API of lynxwheel.
+//! HTTP resource API of lynxwheel.
 //!
 //! ```no_run
 //! use lynxwheel_api::{AccessControl, Api};
@@ -18,12 +18,12 @@
 //! ```
 
 mod access;
-mod answers;
 mod changes;
 mod handler;
 mod list;
 mod openapi;
 mod query;
+mod responses;
 mod routes;
 mod status;
 mod watch;
--- a/crates/api/src/list.rs
+++ b/crates/api/src/list.rs
@@ -1,46 +1,46 @@
-//! Lists in pages.
+//! Paginated lists.
 
 use {
     crate::{
-        answers::too_old,
         handler::Api,
-        query::{ContinueAt, ListQuery},
+        query::{ContinueToken, ListQuery},
+        responses::too_old,
         status::resource_view,
     },
     lynxwheel_protocol::{Kind, Problem, ProblemReason, ResourceList, ResourceRef},
 };
 
-/// Time after which to come back to a node that is behind, in milliseconds.
+/// Retry delay for a node that has not reached a revision, in milliseconds.
 const BEHIND_RETRY_MS: u32 = 500;
 
 impl Api {
-    /// Returns a page of a kind.
+    /// Returns a page of the resources of a kind.
     ///
-    /// Every page after the first is made from the state of its own moment, and all of them carry
-    /// the revision of the first: a watch from there tells what changed while paging. A list
-    /// whose revision no longer can be watched from is refused, since the reader would miss
-    /// what it cannot be told.
+    /// Each page shows the state at the time of its request. All pages carry the revision of the
+    /// first, so that a watch from there reports the changes made meanwhile. Once a watch can no
+    /// longer start at that revision, further pages are rejected, since the caller would miss
+    /// changes.
     pub(crate) fn list(&self, kind: Kind, query: &ListQuery) -> Result<ResourceList, Problem> {
         let current = self.node.is_current();
         let state = self.changes.catch_up(self.node.state());
         let revision = match &query.continue_at {
-            Some(place) => {
-                self.check_reach(place.revision)?;
-                place.revision
+            Some(token) => {
+                self.check_revision(token.revision)?;
+                token.revision
             }
             None => state.offset(),
         };
-        let after = query.continue_at.as_ref().map(|place| place.after.as_str());
+        let after = query.continue_at.as_ref().map(|token| token.after.as_str());
         let names = state.names(kind);
         let first = after.map_or(0, |after| names.partition_point(|name| *name <= after));
         let page = &names[first..names.len().min(first + query.limit)];
         let is_last = first + page.len() == names.len();
         let continue_at = page.last().filter(|_| !is_last).map(|last| {
-            let place = ContinueAt {
+            let token = ContinueToken {
                 revision,
                 after: (*last).into(),
             };
-            place.text()
+            token.encode()
         });
         let items = page
             .iter()
@@ -54,8 +54,8 @@
         })
     }
 
-    /// Tells whether this node can tell all changes from `revision` on.
-    pub(crate) fn check_reach(&self, revision: u64) -> Result<(), Problem> {
+    /// Checks that this node knows all changes after `revision`.
+    pub(crate) fn check_revision(&self, revision: u64) -> Result<(), Problem> {
         let offset = self.node.state().offset();
         if revision > offset {
             let detail = format!("this node has folded up to {offset} only");
@@ -63,6 +63,6 @@
             problem.retry_after_ms = Some(BEHIND_RETRY_MS);
             return Err(problem);
         }
-        self.changes.check(revision).map_err(too_old)
+        self.changes.check_offset(revision).map_err(too_old)
     }
 }
--- a/crates/api/src/openapi.rs
+++ b/crates/api/src/openapi.rs
@@ -1,4 +1,4 @@
-//! The `OpenAPI` page, made from the same tables that requests are checked by.
+//! `OpenAPI` document, generated from the tables that validate requests.
 
 use {
     crate::routes::{Action, Route, routes},
@@ -6,7 +6,7 @@
     serde_json::{Map, Value, json},
 };
 
-/// Returns the description of every route and kind.
+/// Returns the `OpenAPI` document for all routes and kinds.
 #[must_use]
 pub fn openapi() -> Value {
     let mut paths = Map::new();
@@ -38,24 +38,25 @@
         "operationId": format!("{:?}", route.action),
         "parameters": parameters(route),
         "responses": {
-            "200": { "description": success(route.action) },
-            "4XX": problem("Not carried out; nothing was changed"),
-            "503": problem("Not carried out now; nothing was changed, come back"),
+            "200": { "description": success_description(route.action) },
+            "4XX": problem_response("Not carried out; nothing was changed"),
+            "503": problem_response("Not carried out now; nothing was changed, come back"),
         },
     });
     if matches!(route.action, Action::Delete | Action::Put) {
-        operation["responses"]["504"] = problem("The outcome is unknown; look the operation up");
+        operation["responses"]["504"] =
+            problem_response("The outcome is unknown; look the operation up");
     }
     if route.action == Action::Put {
         operation["requestBody"] = json!({
             "required": true,
-            "content": { "application/json": { "schema": reference("Resource") } },
+            "content": { "application/json": { "schema": schema_reference("Resource") } },
         });
     }
     operation
 }
 
-fn success(action: Action) -> &'static str {
+fn success_description(action: Action) -> &'static str {
     match action {
         Action::List => "A page of resources, or JSON lines of changes for watch=true",
         Action::Get => "The resource with its revision, conditions and status",
@@ -68,22 +69,22 @@
     }
 }
 
-fn problem(description: &str) -> Value {
+fn problem_response(description: &str) -> Value {
     json!({
         "description": description,
-        "content": { "application/json": { "schema": reference("Problem") } },
+        "content": { "application/json": { "schema": schema_reference("Problem") } },
     })
 }
 
-fn reference(name: &str) -> Value {
+fn schema_reference(name: &str) -> Value {
     json!({ "$ref": format!("#/components/schemas/{name}") })
 }
 
 fn parameters(route: &Route) -> Vec<Value> {
     let mut parameters = Vec::new();
-    let mut add = |name: &str, place: &str, schema: Value, description: &str| {
+    let mut add = |name: &str, location: &str, schema: Value, description: &str| {
         parameters.push(json!({
-            "name": name, "in": place, "required": place == "path",
+            "name": name, "in": location, "required": location == "path",
             "schema": schema, "description": description,
         }));
     };
@@ -149,7 +150,7 @@
     let mut kinds = Vec::new();
     for kind in Kind::ALL {
         schemas.insert(kind.as_str().into(), kind_schema(kind));
-        kinds.push(reference(kind.as_str()));
+        kinds.push(schema_reference(kind.as_str()));
     }
     schemas.insert("Resource".into(), json!({ "oneOf": kinds }));
     schemas.insert("Problem".into(), problem_schema());
@@ -179,7 +180,7 @@
     let mut spec = json!({ "type": "object", "additionalProperties": false, "properties": {} });
     for field in fields(kind) {
         let (group, key) = field.path.split_once('.').unwrap_or(("", field.path));
-        let place = if group.is_empty() {
+        let target = if group.is_empty() {
             &mut spec
         } else {
             let group = &mut spec["properties"][group];
@@ -190,7 +191,7 @@
             }
             group
         };
-        place["properties"][key] = field_schema(field);
+        target["properties"][key] = field_schema(field);
     }
     json!({
         "type": "object",
--- a/crates/api/src/query.rs
+++ b/crates/api/src/query.rs
@@ -1,47 +1,47 @@
-//! Parameters behind the question mark, each known by name.
+//! Query parameters.
 
 use {
     lynxwheel_protocol::{FieldError, Problem, ProblemReason},
     std::str::FromStr,
 };
 
-/// Resources on one page when the request names no number.
+/// Default number of resources per page.
 const DEFAULT_LIMIT: usize = 500;
 
-/// Resources on one page at most.
+/// Maximum number of resources per page.
 const MAX_LIMIT: usize = 5_000;
 
 /// Parameters of a list or watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct ListQuery {
-    /// Resources on the page at most.
+    /// Maximum number of resources on the page.
     pub(crate) limit: usize,
-    /// Where the page starts.
-    pub(crate) continue_at: Option<ContinueAt>,
-    /// Whether the answer is a stream of changes.
+    /// Start of the page.
+    pub(crate) continue_at: Option<ContinueToken>,
+    /// Whether to respond with a stream of changes.
     pub(crate) watch: bool,
-    /// Offset after which changes are told.
+    /// Offset after which changes are sent.
     pub(crate) from: Option<u64>,
-    /// Only resource to be told of.
+    /// Name of the only resource to watch.
     pub(crate) name: Option<String>,
 }
 
-/// Place between two pages of a list.
+/// Position after a page of a list.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct ContinueAt {
+pub(crate) struct ContinueToken {
     /// Revision of the first page.
     pub(crate) revision: u64,
-    /// Last name told.
+    /// Last name of the previous page.
     pub(crate) after: String,
 }
 
-impl ContinueAt {
-    pub(crate) fn text(&self) -> String {
+impl ContinueToken {
+    pub(crate) fn encode(&self) -> String {
         format!("{}:{}", self.revision, self.after)
     }
 }
 
-impl FromStr for ContinueAt {
+impl FromStr for ContinueToken {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -56,12 +56,12 @@
 /// Parameters of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct WriteQuery {
-    /// Whether nothing is to be changed.
+    /// Whether to check the write without applying it.
     pub(crate) dry_run: bool,
 }
 
 impl ListQuery {
-    /// Reads the parameters of a list or watch, naming every bad one.
+    /// Parses the parameters of a list or watch and reports all invalid ones.
     pub(crate) fn parse(query: Option<&str>) -> Result<Self, Problem> {
         let mut parameters = Parameters::new(query);
         let parsed = Self {
@@ -72,23 +72,23 @@
             name: parameters.take("name"),
         };
         if parsed.limit == 0 || parsed.limit > MAX_LIMIT {
-            parameters.bad("limit", format!("must be from 1 to {MAX_LIMIT}"));
+            parameters.add_error("limit", format!("must be from 1 to {MAX_LIMIT}"));
         }
         if parsed.watch && parsed.continue_at.is_some() {
-            parameters.bad("continue", "cannot go with watch");
+            parameters.add_error("continue", "cannot go with watch");
         }
         if !parsed.watch && parsed.from.is_some() {
-            parameters.bad("from", "goes only with watch=true");
+            parameters.add_error("from", "goes only with watch=true");
         }
         if !parsed.watch && parsed.name.is_some() {
-            parameters.bad("name", "goes only with watch=true");
+            parameters.add_error("name", "goes only with watch=true");
         }
         parameters.finish(parsed)
     }
 }
 
 impl WriteQuery {
-    /// Reads the parameters of a write.
+    /// Parses the parameters of a write.
     pub(crate) fn parse(query: Option<&str>) -> Result<Self, Problem> {
         let mut parameters = Parameters::new(query);
         let parsed = Self {
@@ -98,12 +98,12 @@
     }
 }
 
-/// Refuses parameters where there are none to give.
-pub(crate) fn expect_none(query: Option<&str>) -> Result<(), Problem> {
+/// Rejects any parameters.
+pub(crate) fn reject_parameters(query: Option<&str>) -> Result<(), Problem> {
     Parameters::new(query).finish(())
 }
 
-/// Parameters not yet taken, and what was wrong with those taken.
+/// Unparsed parameters, and the errors of parsed ones.
 struct Parameters<'a> {
     rest: Vec<(&'a str, &'a str)>,
     errors: Vec<FieldError>,
@@ -128,23 +128,23 @@
         let (_, text) = self.rest.remove(row);
         let value = text.parse().ok();
         if value.is_none() {
-            self.bad(key, format!("cannot be {text}"));
+            self.add_error(key, format!("cannot be {text}"));
         }
         value
     }
 
-    fn bad(&mut self, key: &str, reason: impl Into<String>) {
+    fn add_error(&mut self, key: &str, reason: impl Into<String>) {
         self.errors.push(FieldError {
             field: key.into(),
             reason: reason.into(),
         });
     }
 
-    /// A parameter left over is misspelt or given twice; to ignore it could turn a trial, such
-    /// as `dryrun=true`, into a write.
+    /// Rejects remaining parameters, which are misspelt or duplicate: ignoring `dryrun=true` would
+    /// turn a dry run into a write.
     fn finish<T>(mut self, parsed: T) -> Result<T, Problem> {
         for (key, _) in std::mem::take(&mut self.rest) {
-            self.bad(key, "no such parameter, or given twice");
+            self.add_error(key, "no such parameter, or given twice");
         }
         if self.errors.is_empty() {
             return Ok(parsed);
--- a/crates/api/src/answers.rs
+++ b/crates/api/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to operators.
+//! Error responses and response headers.
 
 use {
     crate::changes::TooOld,
@@ -10,36 +10,36 @@
     lynxwheel_transport::{Body, json_response},
 };
 
-/// Answers with a problem.
-pub(crate) fn problem_answer(problem: &Problem) -> Response<Body> {
-    let mut answer = json_response(status_of(problem.reason), problem);
+/// Returns the response for a problem.
+pub(crate) fn problem_response(problem: &Problem) -> Response<Body> {
+    let mut response = json_response(status_of(problem.reason), problem);
     if problem.reason == ProblemReason::Unauthenticated {
         let scheme = HeaderValue::from_static("Bearer");
-        answer
+        response
             .headers_mut()
             .insert(header::WWW_AUTHENTICATE, scheme);
     }
     if let Some(retry_after_ms) = problem.retry_after_ms {
         let seconds = HeaderValue::from(retry_after_ms.div_ceil(1_000));
-        answer.headers_mut().insert(header::RETRY_AFTER, seconds);
+        response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
-    answer
+    response
 }
 
-/// Adds what every answer says of the node.
-pub(crate) fn with_node(
-    mut answer: Response<Body>,
+/// Adds the headers that describe the state of the node.
+pub(crate) fn add_node_headers(
+    mut response: Response<Body>,
     is_current: bool,
     offset: u64,
 ) -> Response<Body> {
     let is_current = HeaderValue::from_static(if is_current { "true" } else { "false" });
-    let headers = answer.headers_mut();
+    let headers = response.headers_mut();
     headers.insert(HeaderName::from_static(CURRENT_HEADER), is_current);
     headers.insert(
         HeaderName::from_static(REVISION_HEADER),
         HeaderValue::from(offset),
     );
-    answer
+    response
 }
 
 fn status_of(reason: ProblemReason) -> StatusCode {
@@ -62,8 +62,8 @@
     }
 }
 
-/// Says that a declaration has bad fields, every one of them.
-pub(crate) fn invalid(errors: Vec<FieldError>) -> Problem {
+/// Returns the problem for a declaration with invalid fields.
+pub(crate) fn invalid_fields(errors: Vec<FieldError>) -> Problem {
     let mut problem = Problem::new(
         ProblemReason::Invalid,
         format!("{} bad fields", errors.len()),
@@ -72,25 +72,27 @@
     problem
 }
 
-/// Says why a declaration was rejected; `state` completes what the rejection names first.
+/// Returns the problem for a rejected declaration.
+///
+/// The rejection names only the first missing reference; the others are looked up in `state`.
 pub(crate) fn put_problem(
     rejection: &Rejection,
     resource: &Resource,
     state: &FleetState,
 ) -> Problem {
     match rejection {
-        Rejection::Missing { .. } => invalid(missing_fields(resource, state)),
-        Rejection::BadField { field, reason, .. } => invalid(vec![FieldError {
+        Rejection::Missing { .. } => invalid_fields(missing_fields(resource, state)),
+        Rejection::BadField { field, reason, .. } => invalid_fields(vec![FieldError {
             field: field.clone(),
             reason: reason.clone(),
         }]),
-        other => problem_of(other),
+        other => problem_from(other),
     }
 }
 
-/// Says why a withdrawal was rejected, with all that still depends on the resource.
+/// Returns the problem for a rejected withdrawal, with all resources that depend on the resource.
 pub(crate) fn delete_problem(rejection: &Rejection, state: &FleetState) -> Problem {
-    let mut problem = problem_of(rejection);
+    let mut problem = problem_from(rejection);
     if let Rejection::StillNeeded { reference, by } = rejection {
         problem.needed_by = state.dependents(reference);
         if !problem.needed_by.contains(by) {
@@ -100,7 +102,7 @@
     problem
 }
 
-fn problem_of(rejection: &Rejection) -> Problem {
+fn problem_from(rejection: &Rejection) -> Problem {
     let reason = match rejection {
         Rejection::RevisionConflict { .. } => ProblemReason::RevisionConflict,
         Rejection::BadField { .. } => ProblemReason::Invalid,
@@ -118,19 +120,19 @@
 fn missing_fields(resource: &Resource, state: &FleetState) -> Vec<FieldError> {
     let missing = state.missing_dependencies(resource).into_iter();
     missing
-        .map(|need| FieldError {
-            field: resource.dependency_field(need.kind).into(),
-            reason: format!("{need} does not exist"),
+        .map(|dependency| FieldError {
+            field: resource.dependency_field(dependency.kind).into(),
+            reason: format!("{dependency} does not exist"),
         })
         .collect()
 }
 
-/// Says that changes from a revision cannot be told.
-pub(crate) fn too_old(reach: TooOld) -> Problem {
+/// Returns the problem for a revision whose later changes are not known.
+pub(crate) fn too_old(error: TooOld) -> Problem {
     let detail = format!(
         "this node cannot tell every change since revision {}, which is too old or another \
          node's; list again",
-        reach.offset
+        error.offset
     );
     Problem::new(ProblemReason::TooOld, detail)
 }
--- a/crates/api/src/routes.rs
+++ b/crates/api/src/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of the API, which the handler and the `OpenAPI` page both read.
+//! Routes of the API, used by the handler and the `OpenAPI` document.
 
 use {
     crate::access::Role,
@@ -6,43 +6,43 @@
     lynxwheel_protocol::{Kind, ResourceRef},
 };
 
-/// What a request asks for.
+/// Action of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// List or watch a kind.
+    /// List or watch the resources of a kind.
     List,
-    /// Show one resource.
+    /// Return a resource.
     Get,
-    /// Tell why one resource stands where it does.
+    /// Explain the state of a resource.
     Explain,
     /// Declare a resource.
     Put,
     /// Withdraw a resource.
     Delete,
-    /// List moves under way.
+    /// List incomplete moves.
     ListMoves,
     /// List recent operations.
     ListOperations,
-    /// Look up one operation.
+    /// Look up an operation.
     GetOperation,
-    /// Show the `OpenAPI` page.
+    /// Return the `OpenAPI` document.
     OpenApi,
 }
 
-/// One method of one path.
+/// Method and path with their action.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Method.
     pub method: Method,
-    /// Path; segments in braces stand for any text.
+    /// Path; segments in braces are parameters.
     pub path: &'static str,
-    /// What it does.
+    /// Action.
     pub action: Action,
-    /// Meaning, for people.
+    /// Human-readable summary.
     pub summary: &'static str,
 }
 
-/// Every route.
+/// Returns all routes.
 #[must_use]
 pub fn routes() -> [Route; 9] {
     let route = |method, path, action, summary| Route {
@@ -109,51 +109,51 @@
     ]
 }
 
-/// A request's path, taken apart.
+/// Parameters of a request path.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Target {
-    /// A kind.
+    /// Kind.
     Kind(Kind),
-    /// A resource.
+    /// Resource.
     Resource(ResourceRef),
-    /// An operation, not parsed yet.
+    /// Unparsed operation id.
     Operation(String),
-    /// A path without parameters.
+    /// No parameters.
     Fixed,
 }
 
-/// Outcome of matching a request.
+/// Result of matching a request against the routes.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Matched {
-    /// A route.
+pub(crate) enum RouteMatch {
+    /// Route that matches.
     Found(Action, Target),
-    /// The path exists for other methods.
-    OtherMethod,
-    /// There is no such path.
-    NoPath,
+    /// The path exists only with other methods.
+    MethodNotAllowed,
+    /// The path does not exist.
+    NotFound,
 }
 
-/// Finds what a request asks for; fixed paths go before those with parameters.
-pub(crate) fn match_route(method: &Method, path: &str) -> Matched {
-    let mut outcome = Matched::NoPath;
+/// Finds the route of a request; fixed paths precede those with parameters.
+pub(crate) fn match_route(method: &Method, path: &str) -> RouteMatch {
+    let mut outcome = RouteMatch::NotFound;
     for route in routes() {
         let Some(target) = match_path(route.path, path) else {
             continue;
         };
         if route.method == *method {
-            return Matched::Found(route.action, target);
+            return RouteMatch::Found(route.action, target);
         }
-        outcome = Matched::OtherMethod;
+        outcome = RouteMatch::MethodNotAllowed;
     }
     outcome
 }
 
 fn match_path(pattern: &str, path: &str) -> Option<Target> {
-    let mut given = path.trim_end_matches('/').split('/');
+    let mut segments = path.trim_end_matches('/').split('/');
     let mut kind = None;
     let mut target = Target::Fixed;
     for segment in pattern.split('/') {
-        let text = given.next()?;
+        let text = segments.next()?;
         match segment {
             "{kind}" => {
                 let found = Kind::from_text(text)?;
@@ -166,11 +166,11 @@
             _ => return None,
         }
     }
-    given.next().is_none().then_some(target)
+    segments.next().is_none().then_some(target)
 }
 
-/// Returns the role that a request needs.
-pub(crate) fn needed_role(action: Action, target: &Target) -> Role {
+/// Returns the role required for a request.
+pub(crate) fn required_role(action: Action, target: &Target) -> Role {
     match (action, target) {
         (Action::Delete | Action::Put, Target::Resource(reference)) => {
             Role::required_to_write(reference.kind)
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -1,4 +1,4 @@
-//! Status of resources beside their declarations.
+//! Status of resources.
 
 use {
     lynxwheel_protocol::{
@@ -8,16 +8,16 @@
     serde_json::{Value, json},
 };
 
-/// Pools without a spare VM that a wave's reason names at most.
-const NAMED_POOLS: usize = 5;
+/// Maximum number of exhausted pools that the status of a wave names.
+const MAX_NAMED_POOLS: usize = 5;
 
-/// Conditions with the figures behind them.
+/// Conditions of a resource with the values from which they follow.
 struct Status {
     conditions: Vec<Condition>,
-    figures: Value,
+    values: Value,
 }
 
-/// Returns a resource with its status at the state's offset.
+/// Returns a resource with its status in `state`.
 #[must_use]
 pub fn resource_view(state: &FleetState, reference: &ResourceRef) -> Option<ResourceView> {
     let declared = state.declared(reference)?;
@@ -36,7 +36,7 @@
         revision: declared.revision,
         observed_revision: state.offset(),
         conditions: status.conditions,
-        status: status.figures,
+        status: status.values,
     })
 }
 
@@ -58,7 +58,7 @@
     };
     Some(Status {
         conditions: vec![condition(READY, holds, reason)],
-        figures: Value::Null,
+        values: Value::Null,
     })
 }
 
@@ -72,7 +72,7 @@
     };
     Some(Status {
         conditions: vec![condition(READY, holds, reason)],
-        figures: json!({ "used": team.used }),
+        values: json!({ "used": team.used }),
     })
 }
 
@@ -93,13 +93,13 @@
     );
     Some(Status {
         conditions: vec![ready, full],
-        figures: json!({ "members": members, "available": available, "floor": floor }),
+        values: json!({ "members": members, "available": available, "floor": floor }),
     })
 }
 
 fn vm_status(vm: &VmState) -> Status {
     let holds = vm.is_available() && vm.pool == vm.wanted_pool;
-    let figures = json!({
+    let values = json!({
         "pool": vm.pool,
         "zone": vm.zone,
         "rack": vm.rack,
@@ -111,7 +111,7 @@
     });
     Status {
         conditions: vec![condition(READY, holds, vm_reason(vm))],
-        figures,
+        values,
     }
 }
 
@@ -139,7 +139,7 @@
     let reason = format!("pool {} has {available} VMs available", spec.pool);
     Some(Status {
         conditions: vec![condition(READY, available > 0, reason)],
-        figures: json!({ "endpoints": available }),
+        values: json!({ "endpoints": available }),
     })
 }
 
@@ -150,7 +150,7 @@
         JobPhase::GivenUp | JobPhase::Pending | JobPhase::Running => false,
     };
     let reason = job_reason(job);
-    let figures = json!({
+    let values = json!({
         "phase": job.phase,
         "attempts": job.attempts,
         "vm": job.attempt.as_ref().map(|attempt| &attempt.vm),
@@ -161,7 +161,7 @@
             condition(READY, holds, reason.clone()),
             condition(FINAL, job.is_final(), reason),
         ],
-        figures,
+        values,
     }
 }
 
@@ -189,24 +189,24 @@
         .filter(|vm| vm.maintained_ms < wave.spec.due_before_ms)
 }
 
-/// Says how far a running wave is, and which pools' budgets hold it up.
+/// Describes the progress of a running wave and the pools whose budgets delay it.
 fn running_reason(state: &FleetState, wave: &WaveState, due: usize) -> String {
     let is_due = |pool: &PoolState| due_vms(state, wave).any(|vm| vm.pool == pool.spec.name);
-    let held: Vec<String> = wave
+    let exhausted: Vec<String> = wave
         .spec
         .pools
         .iter()
         .filter_map(|name| state.pools().get(name.as_str()))
         .filter(|pool| pool.availability().spare_vms() == 0 && is_due(pool))
-        .take(NAMED_POOLS)
+        .take(MAX_NAMED_POOLS)
         .map(|pool| format!("{} {} of {}", pool.spec.name, pool.available, pool.floor()))
         .collect();
     let claimed = wave.claimed;
-    if held.is_empty() {
+    if exhausted.is_empty() {
         return format!("{due} VMs are due, {claimed} in work");
     }
-    let held = held.join(", ");
-    format!("{due} VMs are due, {claimed} in work; no VM to spare in pools {held}")
+    let exhausted = exhausted.join(", ");
+    format!("{due} VMs are due, {claimed} in work; no VM to spare in pools {exhausted}")
 }
 
 fn wave_status(state: &FleetState, wave: &WaveState) -> Status {
@@ -220,7 +220,7 @@
         WaveGoal::Pause => (false, format!("pausing, {} VMs are in work", wave.claimed)),
         WaveGoal::Abort => (false, format!("aborting, {} VMs are in work", wave.claimed)),
     };
-    let figures = json!({
+    let values = json!({
         "due": due,
         "claimed": wave.claimed,
         "done": wave.done,
@@ -230,6 +230,6 @@
     });
     Status {
         conditions: vec![condition(READY, holds, reason)],
-        figures,
+        values,
     }
 }
--- a/crates/api/src/watch.rs
+++ b/crates/api/src/watch.rs
@@ -1,4 +1,4 @@
-//! Streams of changes.
+//! Watch streams.
 
 use {
     crate::{
@@ -26,37 +26,37 @@
     },
 };
 
-/// Lines that wait for one watcher at most.
-const MAX_WAITING_LINES: usize = 16;
+/// Maximum number of queued lines per watch.
+const MAX_QUEUED_LINES: usize = 16;
 
-/// Time that a watcher may take for one line.
-const LINE_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for queueing a line, after which the watcher is too slow.
+const SEND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest time without a bookmark, and shortest between two without a change.
-const BOOKMARK_PAUSE: Duration = Duration::from_secs(5);
+/// Interval of bookmarks while there are no changes.
+const BOOKMARK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time after which to come back when too many watches are open, in milliseconds.
+/// Retry delay when too many watches are open, in milliseconds.
 const BUSY_RETRY_MS: u32 = 5_000;
 
-/// The watcher is gone or too slow.
-struct WatcherGone;
+/// Error: the watcher has disconnected or is too slow.
+struct WatcherDisconnected;
 
 impl Api {
-    /// Answers with a stream of the changes of a kind.
+    /// Returns a response that streams the changes of a kind.
     pub(crate) fn watch(&self, kind: Kind, query: ListQuery) -> Result<Response<Body>, Problem> {
         if let Some(from) = query.from {
-            self.check_reach(from)?;
+            self.check_revision(from)?;
         }
         let permit = Arc::clone(&self.watches)
             .try_acquire_owned()
-            .map_err(|_| too_many())?;
-        let (lines, receiver) = mpsc::channel(MAX_WAITING_LINES);
+            .map_err(|_| too_many_watches())?;
+        let (lines, receiver) = mpsc::channel(MAX_QUEUED_LINES);
         let watch = Watch {
             node: self.node.clone(),
             log: Arc::clone(&self.changes),
             kind,
             name: query.name,
-            told_to: 0,
+            sent_to: 0,
             lines,
             _permit: permit,
         };
@@ -68,99 +68,102 @@
     }
 }
 
-fn too_many() -> Problem {
+fn too_many_watches() -> Problem {
     let detail = "too many watches are open on this node";
     let mut problem = Problem::new(ProblemReason::TooManyWatches, detail);
     problem.retry_after_ms = Some(BUSY_RETRY_MS);
     problem
 }
 
-/// One open watch; it keeps an offset and a few lines, whatever happens in the fleet.
+/// Open watch; its memory use is bounded by the queue.
 struct Watch {
     node: Node,
     log: Arc<ChangeLog>,
     kind: Kind,
     name: Option<String>,
-    told_to: u64,
+    sent_to: u64,
     lines: mpsc::Sender<Bytes>,
     _permit: OwnedSemaphorePermit,
 }
 
 impl Watch {
-    /// Tells changes until the watcher goes, falls behind or the node stops.
+    /// Sends changes until the watcher disconnects or falls behind, or the node shuts down.
     ///
-    /// A stream that stayed open would hold up the node's graceful stop, which waits for every
-    /// answer in progress, so the signal ends it.
+    /// The graceful shutdown waits for all responses in progress, so the stream must end with it.
     async fn run(mut self, from: Option<u64>, stop: Shutdown) {
         let ended = tokio::select! {
-            ended = self.tell(from) => ended,
+            ended = self.stream_events(from) => ended,
             () = stop.wait() => Ok(WatchEndReason::Stopping),
         };
-        // A watcher that is gone needs no farewell; one that is stuck must not delay the stop.
+        // Sent without waiting: a stuck watcher must not delay the shutdown.
         if let Ok(reason) = ended {
-            let revision = self.told_to;
-            if let Some(line) = line(&WatchEvent::Ended { reason, revision }) {
+            let revision = self.sent_to;
+            if let Some(line) = event_line(&WatchEvent::Ended { reason, revision }) {
                 drop(self.lines.try_send(line));
             }
         }
     }
 
-    async fn tell(&mut self, from: Option<u64>) -> Result<WatchEndReason, WatcherGone> {
-        let mut progress = self.log.progress();
+    async fn stream_events(
+        &mut self,
+        from: Option<u64>,
+    ) -> Result<WatchEndReason, WatcherDisconnected> {
+        let mut progress = self.log.subscribe();
         match from {
-            Some(from) => self.told_to = from,
-            None => self.tell_all().await?,
+            Some(from) => self.sent_to = from,
+            None => self.send_all().await?,
         }
-        let mut marked = None;
+        let mut last_bookmark = None;
         loop {
-            let Ok(batch) = self.log.since(self.kind, self.told_to) else {
+            let Ok(batch) = self.log.changes_since(self.kind, self.sent_to) else {
                 return Ok(WatchEndReason::TooOld);
             };
-            let mut has_told = false;
+            let mut has_sent = false;
             for change in &batch.changes {
-                has_told |= self.tell_change(change).await?;
+                has_sent |= self.send_change(change).await?;
             }
-            self.told_to = self.told_to.max(batch.known_to);
-            // The fleet's offset moves many times a second; a mark for each would cost every
-            // watcher more than the changes it asked for.
-            if has_told || marked.is_none_or(|at: Instant| at.elapsed() >= BOOKMARK_PAUSE) {
-                self.mark().await?;
-                marked = Some(Instant::now());
+            self.sent_to = self.sent_to.max(batch.complete_to);
+            // The log offset advances many times per second; a bookmark for each would be more
+            // traffic than the changes.
+            if has_sent || last_bookmark.is_none_or(|at: Instant| at.elapsed() >= BOOKMARK_INTERVAL)
+            {
+                self.send_bookmark().await?;
+                last_bookmark = Some(Instant::now());
             }
-            // Nothing new for a while: the bookmark then shows that the stream still lives.
-            drop(timeout(BOOKMARK_PAUSE, progress.changed()).await);
+            // After the timeout, a bookmark shows that the stream is alive.
+            drop(timeout(BOOKMARK_INTERVAL, progress.changed()).await);
         }
     }
 
-    async fn mark(&self) -> Result<(), WatcherGone> {
+    async fn send_bookmark(&self) -> Result<(), WatcherDisconnected> {
         self.send(&WatchEvent::Bookmark {
-            revision: self.told_to,
+            revision: self.sent_to,
             current: self.node.is_current(),
         })
         .await
     }
 
-    /// Tells every resource as it is now.
-    async fn tell_all(&mut self) -> Result<(), WatcherGone> {
+    /// Sends the current state of all resources.
+    async fn send_all(&mut self) -> Result<(), WatcherDisconnected> {
         let state = self.log.catch_up(self.node.state());
-        let told_to = state.offset();
+        let sent_to = state.offset();
         let names = state.names(self.kind);
         let names: Vec<String> = names.into_iter().map(Into::into).collect();
         drop(state);
         for name in names {
-            self.tell_change(&Change {
+            self.send_change(&Change {
                 name,
-                offset: told_to,
+                offset: sent_to,
                 is_removed: false,
             })
             .await?;
         }
-        self.told_to = told_to;
+        self.sent_to = sent_to;
         Ok(())
     }
 
-    /// Tells how a resource is now, which may be later than the change; says whether it did.
-    async fn tell_change(&self, change: &Change) -> Result<bool, WatcherGone> {
+    /// Sends the current state of a changed resource, and returns whether it sent an event.
+    async fn send_change(&self, change: &Change) -> Result<bool, WatcherDisconnected> {
         if self.name.as_ref().is_some_and(|name| *name != change.name) {
             return Ok(false);
         }
@@ -174,30 +177,30 @@
                 reference,
                 revision: change.offset,
             },
-            // It is being withdrawn; that change follows.
+            // The resource has been withdrawn since; that change follows.
             None => return Ok(false),
         };
         self.send(&event).await.map(|()| true)
     }
 
-    async fn send(&self, event: &WatchEvent) -> Result<(), WatcherGone> {
-        let Some(line) = line(event) else {
+    async fn send(&self, event: &WatchEvent) -> Result<(), WatcherDisconnected> {
+        let Some(line) = event_line(event) else {
             return Ok(());
         };
-        match timeout(LINE_LIMIT, self.lines.send(line)).await {
+        match timeout(SEND_TIMEOUT, self.lines.send(line)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(WatcherGone),
+            Ok(Err(_)) | Err(_) => Err(WatcherDisconnected),
         }
     }
 }
 
-fn line(event: &WatchEvent) -> Option<Bytes> {
+fn event_line(event: &WatchEvent) -> Option<Bytes> {
     let mut bytes = serde_json::to_vec(event).ok()?;
     bytes.push(b'\n');
     Some(bytes.into())
 }
 
-/// Body of lines as they come.
+/// Body that streams lines from a channel.
 struct LineBody {
     receiver: mpsc::Receiver<Bytes>,
 }
--- a/crates/api/src/write.rs
+++ b/crates/api/src/write.rs
@@ -1,9 +1,9 @@
-//! Declaring and withdrawing resources.
+//! Declaration and withdrawal of resources.
 
 use {
     crate::{
-        answers::{delete_problem, invalid, put_problem},
         query::WriteQuery,
+        responses::{delete_problem, invalid_fields, put_problem},
     },
     http::{HeaderMap, Request, Response, StatusCode, header},
     hyper::body::Incoming,
@@ -18,11 +18,11 @@
     tokio::time::timeout,
 };
 
-/// Bytes of a declaration at most; its record then stays within the bound of records.
+/// Maximum size of a declaration in bytes, which keeps its record within the size limit.
 const MAX_BODY_BYTES: usize = 48 * 1024;
 
-/// Time within which the body of a declaration must arrive.
-const BODY_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for reading the body of a declaration.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Declares a resource.
 pub(crate) async fn put(
@@ -38,16 +38,16 @@
         state
             .check_put(&resource, if_revision)
             .map_err(|rejection| put_problem(&rejection, &resource, &state))?;
-        return Ok(trial(reference, &state));
+        return Ok(dry_run_response(reference, &state));
     }
     let body = RecordBody::Put {
         resource: Box::new(resource.clone()),
         if_revision,
     };
-    let decision = propose(node, body).await?;
-    match &decision.verdict {
+    let outcome = propose(node, body).await?;
+    match &outcome.verdict {
         Verdict::Rejected(rejection) => Err(put_problem(rejection, &resource, &node.state())),
-        Verdict::Accepted | Verdict::Duplicate => Ok(written(reference, &decision)),
+        Verdict::Accepted | Verdict::Duplicate => Ok(write_response(reference, &outcome)),
     }
 }
 
@@ -64,16 +64,16 @@
         state
             .check_delete(reference, if_revision)
             .map_err(|rejection| delete_problem(&rejection, &state))?;
-        return Ok(trial(reference, &state));
+        return Ok(dry_run_response(reference, &state));
     }
     let body = RecordBody::Delete {
         reference: reference.clone(),
         if_revision,
     };
-    let decision = propose(node, body).await?;
-    match &decision.verdict {
+    let outcome = propose(node, body).await?;
+    match &outcome.verdict {
         Verdict::Rejected(rejection) => Err(delete_problem(rejection, &node.state())),
-        Verdict::Accepted | Verdict::Duplicate => Ok(written(reference, &decision)),
+        Verdict::Accepted | Verdict::Duplicate => Ok(write_response(reference, &outcome)),
     }
 }
 
@@ -105,7 +105,7 @@
     request: Request<Incoming>,
 ) -> Result<Resource, Problem> {
     let body = collect_body(request.into_body(), MAX_BODY_BYTES);
-    let bytes = timeout(BODY_LIMIT, body)
+    let bytes = timeout(BODY_TIMEOUT, body)
         .await
         .map_err(|_| {
             Problem::new(
@@ -116,7 +116,7 @@
         .map_err(|answer| body_problem(answer.status()))?;
     let document = serde_json::from_slice(&bytes)
         .map_err(|error| Problem::new(ProblemReason::BadRequest, format!("no JSON: {error}")))?;
-    parse_resource(reference.kind, &reference.name, &document).map_err(invalid)
+    parse_resource(reference.kind, &reference.name, &document).map_err(invalid_fields)
 }
 
 fn body_problem(status: StatusCode) -> Problem {
@@ -127,39 +127,39 @@
     Problem::new(ProblemReason::BadRequest, "the body broke off")
 }
 
-/// Returns the revision that the write expects; 0 means that the resource must not exist.
+/// Returns the expected revision of a write; 0 means that the resource must not exist.
 fn expected_revision(headers: &HeaderMap) -> Result<Option<u64>, Problem> {
-    let bad = |detail| Err(Problem::new(ProblemReason::BadRequest, detail));
+    let err = |detail| Err(Problem::new(ProblemReason::BadRequest, detail));
     let if_match = headers.get(header::IF_MATCH);
     let if_none_match = headers.get(header::IF_NONE_MATCH);
     match (if_match, if_none_match) {
         (None, None) => Ok(None),
-        (Some(_), Some(_)) => bad("send either If-Match or If-None-Match"),
+        (Some(_), Some(_)) => err("send either If-Match or If-None-Match"),
         (None, Some(value)) if value == "*" => Ok(Some(0)),
-        (None, Some(_)) => bad("If-None-Match must be *"),
+        (None, Some(_)) => err("If-None-Match must be *"),
         (Some(value), None) => {
             let text = value.to_str().unwrap_or_default();
             match text.trim_matches('"').parse() {
                 Ok(revision) => Ok(Some(revision)),
-                Err(_) => bad("If-Match must be a revision, or 0 for a resource not yet declared"),
+                Err(_) => err("If-Match must be a revision, or 0 for a resource not yet declared"),
             }
         }
     }
 }
 
-fn written(reference: &ResourceRef, decision: &ProposalOutcome) -> Response<Body> {
+fn write_response(reference: &ResourceRef, outcome: &ProposalOutcome) -> Response<Body> {
     json_response(
         StatusCode::OK,
         &WriteResponse {
             reference: reference.clone(),
-            revision: decision.offset,
+            revision: outcome.offset,
             dry_run: false,
-            operation: Some(OperationId(decision.id)),
+            operation: Some(OperationId(outcome.id)),
         },
     )
 }
 
-fn trial(reference: &ResourceRef, state: &FleetState) -> Response<Body> {
+fn dry_run_response(reference: &ResourceRef, state: &FleetState) -> Response<Body> {
     let declared = state.declared(reference);
     json_response(
         StatusCode::OK,
