--- a/crates/api/benches/status.rs
+++ b/crates/api/benches/status.rs
@@ -1,4 +1,4 @@
-//! Cost of lists and of finding changes, by the number of jobs.
+//! Cost of lists and of change detection by the number of jobs.
 
 use {
     divan::Bencher,
@@ -8,11 +8,11 @@
     serde_json::{Value, json},
 };
 
-/// Numbers of jobs; the last one is the size planned for.
-const JOBS: [u32; 3] = [5_000, 10_000, 20_000];
+/// Numbers of jobs; the last one is the design capacity.
+const JOB_COUNTS: [u32; 3] = [5_000, 10_000, 20_000];
 
-/// Resources on a page.
-const PAGE: usize = 1_000;
+/// Number of resources on a page.
+const PAGE_SIZE: usize = 1_000;
 
 fn main() {
     divan::main();
@@ -62,19 +62,19 @@
     state
 }
 
-#[divan::bench(args = JOBS)]
+#[divan::bench(args = JOB_COUNTS)]
 fn page_of_1000(bencher: Bencher, jobs: u32) {
     let state = fleet(jobs);
     bencher.bench(|| {
         let names = state.names(Kind::Job);
-        let page = names.iter().take(PAGE);
+        let page = names.iter().take(PAGE_SIZE);
         let views =
             page.filter_map(|name| resource_view(&state, &ResourceRef::new(Kind::Job, name)));
         serde_json::to_vec(&views.collect::<Vec<_>>()).map(|bytes| bytes.len())
     });
 }
 
-#[divan::bench(args = JOBS)]
+#[divan::bench(args = JOB_COUNTS)]
 fn changes_after_one_write(bencher: Bencher, jobs: u32) {
     let earlier = fleet(jobs);
     let mut now = earlier.clone();
--- a/crates/api/examples/openapi.rs
+++ b/crates/api/examples/openapi.rs
@@ -1,4 +1,4 @@
-//! Prints the `OpenAPI` page.
+//! Prints the `OpenAPI` document.
 
 fn main() {
     println!("{:#}", lynxwheel_api::openapi());
--- a/crates/api/tests/api/access.rs
+++ b/crates/api/tests/api/access.rs
@@ -1,4 +1,4 @@
-//! Who may do what.
+//! Authentication and authorization.
 
 use {
     crate::common::{json, platform, pool, put, start_node, vm},
@@ -30,8 +30,8 @@
             if let Some(header) = header {
                 request = request.with_header("authorization", header);
             }
-            let answer = node.call(&request).await;
-            assert_eq!(answer.status.as_u16(), $status, "{}", json(&answer));
+            let response = node.call(&request).await;
+            assert_eq!(response.status.as_u16(), $status, "{}", json(&response));
         })*
     };
 }
@@ -51,25 +51,25 @@
 cases! {
     no_token: list(), None => 401;
     unknown_token: list(), Some("Bearer reader-0123456780") => 401;
-    /// The right token under another scheme is not taken, since proxies may log it.
+    /// Guards against tokens in other schemes, which proxies may log.
     other_scheme: list(), Some("Basic reader-0123456789") => 401;
-    /// A prefix of a token must not open anything.
+    /// Guards against accepting a prefix of a token.
     prefix_of_a_token: list(), Some("Bearer reader-012345678") => 401;
     empty_token: list(), Some("Bearer ") => 401;
-    reader_reads: list(), Some(READER) => 200;
-    reader_watches_no_write: declare_vm(), Some(READER) => 403;
-    reader_tries_nothing: put("/v1/vm/vm-0?dry_run=true", &vm("notices")), Some(READER) => 403;
-    /// The budget is what a customer was promised; the desk that runs waves must not change it.
-    operator_changes_no_budget: declare_pool(), Some(OPERATOR) => 403;
-    operator_withdraws_no_budget:
+    reader_can_read: list(), Some(READER) => 200;
+    reader_cannot_write: declare_vm(), Some(READER) => 403;
+    reader_cannot_dry_run: put("/v1/vm/vm-0?dry_run=true", &vm("notices")), Some(READER) => 403;
+    /// Guards against an operator of waves changing what customers were promised.
+    operator_cannot_change_budget: declare_pool(), Some(OPERATOR) => 403;
+    operator_cannot_withdraw_pool:
         ClientRequest::new(Method::DELETE, "/v1/pool/notices"), Some(OPERATOR) => 403;
-    /// Allowed, and then refused for its missing pool.
-    operator_declares_vms: declare_vm(), Some(OPERATOR) => 422;
-    administrator_declares_pools: declare_pool(), Some(ADMINISTRATOR) => 200;
+    /// Authorized, and then rejected for its missing pool.
+    operator_can_declare_vm: declare_vm(), Some(OPERATOR) => 422;
+    administrator_can_declare_pool: declare_pool(), Some(ADMINISTRATOR) => 200;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn refusal_names_holder_and_needed_role() {
+async fn forbidden_response_names_token_and_required_role() {
     let platform = platform(0).await;
     let node = start_node(&platform, "node-1", access()).await;
     let request = declare_pool().with_header("authorization", OPERATOR);
--- a/crates/api/tests/api/common.rs
+++ b/crates/api/tests/api/common.rs
@@ -1,4 +1,4 @@
-//! Nodes with their APIs around one platform, all within the test's process.
+//! Nodes with their APIs and a stand-in platform, all in the test process.
 
 use {
     http::Method,
@@ -15,13 +15,13 @@
     tokio::task::JoinHandle,
 };
 
-/// Time within which anything waited for must happen; far above what it takes.
+/// Timeout of every wait, far above the usual duration.
 pub const LIMIT: Duration = Duration::from_mins(1);
 
-/// Time until a proposal's outcome is called unknown, in milliseconds.
+/// Time after which the outcome of a proposal is unknown, in milliseconds.
 pub const PROPOSE_TIMEOUT_MS: u64 = 1_000;
 
-/// Time for which a peer may take no byte, in milliseconds; short, since a test waits for it.
+/// Write timeout of the server in milliseconds; short, since a test waits for it.
 const WRITE_STALL_MS: u64 = 2_000;
 
 pub struct TestNode {
@@ -89,14 +89,14 @@
     }
 }
 
-pub fn json(answer: &ClientResponse) -> Value {
-    serde_json::from_slice(&answer.body).expect("JSON")
+pub fn json(response: &ClientResponse) -> Value {
+    serde_json::from_slice(&response.body).expect("JSON")
 }
 
-/// Status and problem as one text, for snapshots.
-pub fn shown(answer: &ClientResponse) -> String {
-    let body = serde_json::to_string_pretty(&json(answer)).expect("JSON");
-    format!("{}\n{body}", answer.status.as_u16())
+/// Formats status and body for snapshots.
+pub fn format_response(response: &ClientResponse) -> String {
+    let body = serde_json::to_string_pretty(&json(response)).expect("JSON");
+    format!("{}\n{body}", response.status.as_u16())
 }
 
 pub fn pool(size: u32, min_available: u32) -> Value {
@@ -110,7 +110,7 @@
 
 impl TestNode {
     pub async fn call(&self, request: &ClientRequest) -> ClientResponse {
-        self.client.call(request, LIMIT).await.expect("an answer")
+        self.client.call(request, LIMIT).await.expect("a response")
     }
 
     pub async fn get(&self, path: &str) -> ClientResponse {
@@ -125,11 +125,16 @@
         self.call(&ClientRequest::new(Method::DELETE, path)).await
     }
 
-    /// Declares, and fails the test when it is refused.
+    /// Declares a resource and asserts that it is accepted; returns its revision.
     pub async fn declare(&self, kind: Kind, name: &str, document: &Value) -> u64 {
-        let answer = self.put(&format!("/v1/{kind}/{name}"), document).await;
-        assert_eq!(answer.status, 200, "{kind}/{name}: {}", shown(&answer));
-        json(&answer)["revision"].as_u64().expect("revision")
+        let response = self.put(&format!("/v1/{kind}/{name}"), document).await;
+        assert_eq!(
+            response.status,
+            200,
+            "{kind}/{name}: {}",
+            format_response(&response)
+        );
+        json(&response)["revision"].as_u64().expect("revision")
     }
 }
 
--- a/crates/api/tests/api/main.rs
+++ b/crates/api/tests/api/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the resource API.
+//! Integration tests of the resource API.
 
 mod access;
 mod common;
--- a/crates/api/tests/api/openapi.rs
+++ b/crates/api/tests/api/openapi.rs
@@ -1,4 +1,4 @@
-//! The committed `OpenAPI` page.
+//! The committed `OpenAPI` document.
 
 use {
     lynxwheel_api::{openapi, routes},
@@ -7,27 +7,27 @@
     std::{fs, path::Path},
 };
 
-fn committed() -> Value {
+fn committed_document() -> Value {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/openapi.json");
     let text = fs::read_to_string(path).expect("docs/openapi.json");
     serde_json::from_str(&text).expect("JSON")
 }
 
 #[test]
-fn committed_page_is_the_one_served() {
+fn committed_document_is_up_to_date() {
     let hint = "run: cargo run -p lynxwheel-api --example openapi > docs/openapi.json";
     assert!(
-        committed() == openapi(),
+        committed_document() == openapi(),
         "docs/openapi.json is out of date; {hint}"
     );
 }
 
 #[test]
-fn every_route_is_in_it() {
+fn every_route_is_documented() {
     for route in routes() {
         let method = route.method.as_str().to_lowercase();
         assert!(
-            committed()["paths"][route.path][&method].is_object(),
+            committed_document()["paths"][route.path][&method].is_object(),
             "{method} {}",
             route.path
         );
@@ -35,15 +35,15 @@
 }
 
 #[test]
-fn every_field_of_every_kind_is_in_it() {
+fn every_field_of_every_kind_is_documented() {
     for kind in Kind::ALL {
         for field in fields(kind) {
-            let schemas = &committed()["components"]["schemas"];
-            let mut place = schemas[kind.as_str()]["properties"]["spec"].clone();
+            let schemas = &committed_document()["components"]["schemas"];
+            let mut schema = schemas[kind.as_str()]["properties"]["spec"].clone();
             for key in field.path.split('.') {
-                place = place["properties"][key].clone();
+                schema = schema["properties"][key].clone();
             }
-            assert!(place["description"].is_string(), "{kind} {}", field.path);
+            assert!(schema["description"].is_string(), "{kind} {}", field.path);
         }
     }
 }
--- a/crates/api/tests/api/operations.rs
+++ b/crates/api/tests/api/operations.rs
@@ -1,4 +1,4 @@
-//! Writes whose outcome was unknown when they were answered.
+//! Lookup of operations, in particular of writes with an unknown outcome.
 
 use {
     crate::common::{
@@ -10,14 +10,14 @@
     serde_json::{Value, json as document},
 };
 
-/// Later than the node waits, in milliseconds.
-const LATE_MS: u64 = 4 * PROPOSE_TIMEOUT_MS;
+/// Delay of appends in milliseconds, longer than the timeout of proposals.
+const APPEND_DELAY_MS: u64 = 4 * PROPOSE_TIMEOUT_MS;
 
-/// Every append is answered with an error and takes effect only later, those sent again too.
-fn late() -> Faults {
+/// Returns faults by which every append, retries included, fails and takes effect later.
+fn late_appends() -> Faults {
     Faults {
         late_appends: u32::MAX,
-        late_ms: LATE_MS,
+        late_ms: APPEND_DELAY_MS,
         ..Faults::default()
     }
 }
@@ -27,19 +27,18 @@
     json(&node.get(&format!("/v1/operations/{operation}")).await)
 }
 
-/// The log takes an operator's declaration, answers with an error and applies it seconds later.
-/// The node must not say that it failed: the operator would declare something else meanwhile.
-/// Asked by its operation, any node says not seen yet, and later that it was accepted.
+/// Guards against reporting a write as failed when the log returns an error and applies it later.
+/// Any node reports the operation as not seen, and later as accepted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn unknown_outcome_is_found_out_on_another_node() {
+async fn unknown_outcome_is_resolved_on_another_node() {
     let platform = platform(0).await;
     let one = start_node(&platform, "node-1", AccessControl::default()).await;
     let two = start_node(&platform, "node-2", AccessControl::default()).await;
-    set_faults(&platform, late());
-    let answer = one.put("/v1/pool/notices", &pool(3, 2)).await;
-    let problem = json(&answer);
+    set_faults(&platform, late_appends());
+    let response = one.put("/v1/pool/notices", &pool(3, 2)).await;
+    let problem = json(&response);
     assert_eq!(
-        (answer.status.as_u16(), &problem["reason"]),
+        (response.status.as_u16(), &problem["reason"]),
         (504, &document!("outcome_unknown"))
     );
     let early = look_up(&two, &problem["operation"]).await;
@@ -59,15 +58,15 @@
     );
 }
 
-/// A late write expects a revision that is past when it arrives. It then loses, and its operation
-/// says so with the reason.
+/// Guards against a late write with an outdated expected revision being applied or reported without
+/// a reason.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn late_write_that_lost_is_told_as_rejected() {
+async fn late_write_with_outdated_revision_is_rejected() {
     let platform = platform(0).await;
     let one = start_node(&platform, "node-1", AccessControl::default()).await;
     let two = start_node(&platform, "node-2", AccessControl::default()).await;
     two.declare(Kind::Pool, "notices", &pool(9, 2)).await;
-    set_faults(&platform, late());
+    set_faults(&platform, late_appends());
     let request = put("/v1/pool/notices", &pool(3, 2)).with_header("if-none-match", "*");
     let operation = json(&one.call(&request).await)["operation"].clone();
     let id: OperationId = operation
@@ -88,10 +87,9 @@
     );
 }
 
-/// A node that was replaced remembers no verdicts from before. For a write that its state has
-/// passed it must not say "not seen", or the operator writes it a second time.
+/// Guards against a replaced node reporting an earlier write as not seen, which would be repeated.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn write_before_a_nodes_memory_is_too_old_to_know() {
+async fn write_before_the_start_of_a_node_is_too_old() {
     let platform = platform(0).await;
     let one = start_node(&platform, "node-1", AccessControl::default()).await;
     let incarnation = one.node.incarnation();
@@ -102,7 +100,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn latest_operations_come_first() {
+async fn operations_are_listed_most_recent_first() {
     let platform = platform(0).await;
     let node = start_node(&platform, "node-1", AccessControl::default()).await;
     node.declare(Kind::Pool, "notices", &pool(3, 2)).await;
--- a/crates/api/tests/api/resources.rs
+++ b/crates/api/tests/api/resources.rs
@@ -1,8 +1,9 @@
-//! Declaring, showing, listing and withdrawing resources.
+//! Declaration, retrieval, listing and withdrawal of resources.
 
 use {
     crate::common::{
-        TestNode, json, platform, pool, put, set_faults, shown, start_node, vm, wait_until,
+        TestNode, format_response, json, platform, pool, put, set_faults, start_node, vm,
+        wait_until,
     },
     http::Method,
     insta::assert_snapshot,
@@ -12,7 +13,7 @@
     serde_json::json as document,
 };
 
-macro_rules! refused {
+macro_rules! rejected {
     ($($(#[$doc:meta])* $name:ident: $request:expr;)*) => {
         $($(#[$doc])* #[tokio::test(flavor = "multi_thread", worker_threads = 2)] async fn $name() {
             let platform = platform(0).await;
@@ -20,20 +21,19 @@
             node.declare(Kind::Pool, "notices", &pool(3, 2)).await;
             node.declare(Kind::Vm, "vm-0", &vm("notices")).await;
             let before = node.get("/v1/pool").await;
-            let answer = node.call(&$request).await;
-            assert_snapshot!(stringify!($name), shown(&answer));
+            let response = node.call(&$request).await;
+            assert_snapshot!(stringify!($name), format_response(&response));
             let after = node.get("/v1/pool").await;
             assert_eq!(json(&before)["items"][0]["revision"], json(&after)["items"][0]["revision"]);
         })*
     };
 }
 
-refused! {
-    /// An operator's file has four mistakes. Told one at a time, mending it takes four rounds
-    /// in the middle of an outage.
+rejected! {
+    /// Guards against reporting only the first of several errors.
     every_bad_field_at_once: put("/v1/service/map", &document!({ "kind": "service", "spec": {
         "slots_per_endpoint": 0, "deadline_ms": "soon", "dead_line": 1, "pool": "a b" } }));
-    /// A misspelt group member would be lost in silence and the default taken instead.
+    /// Guards against ignoring a misspelt member of a group and using its default.
     unknown_member_of_group: put("/v1/pool/notices", &document!({ "kind": "pool", "spec": {
         "size": 3, "budget": { "min_available": { "percent": 101 }, "zones": 2 } } }));
     all_missing_references: put("/v1/wave/kernel", &document!({ "kind": "wave", "spec": {
@@ -44,7 +44,7 @@
     bad_if_match: put("/v1/pool/notices", &pool(3, 3)).with_header("if-match", "\"latest\"");
     both_preconditions: put("/v1/pool/notices", &pool(3, 3))
         .with_header("if-match", "1").with_header("if-none-match", "*");
-    /// A trial that is misspelt must not become a write.
+    /// Guards against applying a write whose dry run parameter is misspelt.
     misspelt_dry_run: put("/v1/pool/notices?dryrun=true", &pool(3, 3));
     exists_already: put("/v1/pool/notices", &pool(3, 3)).with_header("if-none-match", "*");
     method_not_allowed: ClientRequest::new(Method::POST, "/v1/pool/notices");
@@ -60,59 +60,61 @@
     (platform, node)
 }
 
-/// An operator withdraws a pool that three things still need. Told of one at a time, each try
-/// fails anew; told of all, one look is enough.
+/// Guards against naming only the first of several dependents.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn withdrawal_names_all_dependants() {
+async fn withdrawal_names_all_dependents() {
     let (_platform, node) = one_node().await;
     node.declare(Kind::Pool, "notices", &pool(2, 1)).await;
     node.declare(Kind::Vm, "vm-0", &vm("notices")).await;
     node.declare(Kind::Vm, "vm-1", &vm("notices")).await;
     let service = document!({ "kind": "service", "spec": { "pool": "notices" } });
     node.declare(Kind::Service, "map", &service).await;
-    assert_snapshot!(shown(&node.delete("/v1/pool/notices").await));
+    assert_snapshot!(format_response(&node.delete("/v1/pool/notices").await));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn withdrawn_resource_is_gone() {
+async fn withdrawn_resource_is_not_found() {
     let (_platform, node) = one_node().await;
     node.declare(Kind::Pool, "notices", &pool(2, 1)).await;
-    let answer = node.delete("/v1/pool/notices").await;
-    assert_eq!(answer.status, 200, "{}", shown(&answer));
+    let response = node.delete("/v1/pool/notices").await;
+    assert_eq!(response.status, 200, "{}", format_response(&response));
     assert_eq!(node.get("/v1/pool/notices").await.status, 404);
 }
 
-/// Two operators read a pool at one revision and both raise its size. Without the revision the
-/// second would silently undo the first; with it, the second is told which revision won.
+/// Guards against lost updates: of two writes that expect the same revision, one is rejected with
+/// the revision of the other.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn loser_of_a_race_is_told_the_revision_that_won() {
+async fn concurrent_write_is_rejected_with_the_new_revision() {
     let platform = platform(0).await;
     let one = start_node(&platform, "node-1", AccessControl::default()).await;
     let two = start_node(&platform, "node-2", AccessControl::default()).await;
-    let seen = one.declare(Kind::Pool, "notices", &pool(3, 2)).await;
+    let base = one.declare(Kind::Pool, "notices", &pool(3, 2)).await;
     let change =
-        |size| put("/v1/pool/notices", &pool(size, 2)).with_header("if-match", seen.to_string());
+        |size| put("/v1/pool/notices", &pool(size, 2)).with_header("if-match", base.to_string());
     let (change_one, change_two) = (change(4), change(5));
     let (first, second) = tokio::join!(one.call(&change_one), two.call(&change_two));
-    let (won, lost) = if first.status == 200 {
+    let (accepted, rejected) = if first.status == 200 {
         (first, second)
     } else {
         (second, first)
     };
-    assert_eq!((won.status.as_u16(), lost.status.as_u16()), (200, 412));
-    assert_eq!(json(&won)["revision"], json(&lost)["revision"]);
+    assert_eq!(
+        (accepted.status.as_u16(), rejected.status.as_u16()),
+        (200, 412)
+    );
+    assert_eq!(json(&accepted)["revision"], json(&rejected)["revision"]);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn dry_run_changes_nothing() {
     let (_platform, node) = one_node().await;
     let revision = node.declare(Kind::Pool, "notices", &pool(3, 2)).await;
-    let trial = node.put("/v1/pool/notices?dry_run=true", &pool(9, 2)).await;
-    assert_eq!(json(&trial)["dry_run"], true);
-    let trial = node.delete("/v1/pool/notices?dry_run=true").await;
-    assert_eq!(json(&trial)["revision"], revision);
-    let refused = node.put("/v1/vm/vm-0?dry_run=true", &vm("maps")).await;
-    assert_eq!(refused.status, 422);
+    let dry_run = node.put("/v1/pool/notices?dry_run=true", &pool(9, 2)).await;
+    assert_eq!(json(&dry_run)["dry_run"], true);
+    let dry_run = node.delete("/v1/pool/notices?dry_run=true").await;
+    assert_eq!(json(&dry_run)["revision"], revision);
+    let rejected = node.put("/v1/vm/vm-0?dry_run=true", &vm("maps")).await;
+    assert_eq!(rejected.status, 422);
     let view = json(&node.get("/v1/pool/notices").await);
     assert_eq!(
         (&view["spec"]["size"], &view["revision"]),
@@ -120,28 +122,26 @@
     );
 }
 
-/// The platform's log is down when an operator declares a pool. Nothing was sent, so the answer
-/// must say that nothing was applied and when to come back, at once.
+/// Guards against an unknown outcome or a wait when the log is unavailable and nothing was sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn write_while_the_log_is_down_is_refused_with_when_to_come_back() {
+async fn write_during_log_outage_is_rejected_with_retry_after() {
     let (platform, node) = one_node().await;
     let faults = lynxwheel_standin::Faults {
         log_down: true,
         ..Default::default()
     };
     set_faults(&platform, faults);
-    let answer = node.put("/v1/pool/notices", &pool(3, 2)).await;
+    let response = node.put("/v1/pool/notices", &pool(3, 2)).await;
     assert_eq!(
-        (answer.status.as_u16(), &json(&answer)["reason"]),
+        (response.status.as_u16(), &json(&response)["reason"]),
         (503, &document!("log_unavailable"))
     );
-    assert!(answer.header("retry-after").is_some());
+    assert!(response.header("retry-after").is_some());
 }
 
-/// A node that is cut from the log goes on answering from the state it has. An operator who
-/// takes that for the present acts on what is long past, so every answer says whether it is.
+/// Guards against outdated responses of a node without access to the log looking current.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_say_whether_the_node_is_current() {
+async fn responses_tell_whether_the_node_is_current() {
     let (platform, node) = one_node().await;
     assert_eq!(
         node.get("/v1/pool").await.header(CURRENT_HEADER),
@@ -156,7 +156,7 @@
         !node.node.is_current()
     })
     .await;
-    let answer = node.get("/v1/pool").await;
-    assert_eq!(answer.header(CURRENT_HEADER), Some("false"));
-    assert_eq!(json(&answer)["current"], false);
+    let response = node.get("/v1/pool").await;
+    assert_eq!(response.header(CURRENT_HEADER), Some("false"));
+    assert_eq!(json(&response)["current"], false);
 }
--- a/crates/api/tests/api/watch.rs
+++ b/crates/api/tests/api/watch.rs
@@ -1,4 +1,4 @@
-//! Streams of changes.
+//! Watch streams.
 
 use {
     crate::common::{LIMIT, TestNode, json, platform, pool, start_node, vm},
@@ -12,7 +12,7 @@
     tokio::time::{Instant, timeout},
 };
 
-/// An open watch, read line by line.
+/// Open watch that is read line by line.
 struct Watcher {
     body: Body,
     bytes: Vec<u8>,
@@ -30,7 +30,7 @@
             .client
             .send(request, Instant::now() + LIMIT)
             .await
-            .expect("answer");
+            .expect("a response");
         assert_eq!(response.status(), 200);
         Self {
             body: response.into_body(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the next event that is no bookmark.
+    /// Returns the next event other than a bookmark.
     async fn next_change(&mut self) -> Option<WatchEvent> {
         let until = Instant::now() + LIMIT;
         while Instant::now() < until {
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_a_revision_everything_is_told_first() {
+async fn watch_without_revision_starts_with_all_resources() {
     let (_platform, node) = one_node().await;
     node.declare(Kind::Vm, "a", &vm("notices")).await;
     let mut watcher = Watcher::open(&node, "").await;
@@ -94,23 +94,22 @@
     assert_eq!(watcher.next_name().await, "b");
 }
 
-/// A watcher lists, loses its connection and comes back with the list's revision. What was
-/// declared and withdrawn in between must be told, or its copy differs for good.
+/// Guards against missing changes between a list and a watch from its revision.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn changes_since_a_list_are_told() {
+async fn watch_sends_changes_since_a_list() {
     let (_platform, node) = one_node().await;
     node.declare(Kind::Vm, "a", &vm("notices")).await;
     let revision = json(&node.get("/v1/vm").await)["revision"].clone();
     node.declare(Kind::Vm, "b", &vm("notices")).await;
     assert_eq!(node.delete("/v1/vm/a").await.status, 200);
     let mut watcher = Watcher::open(&node, &format!("&from={revision}")).await;
-    let mut told = [watcher.next_name().await, watcher.next_name().await];
-    told.sort();
-    assert_eq!(told, ["-a", "b"]);
+    let mut names = [watcher.next_name().await, watcher.next_name().await];
+    names.sort();
+    assert_eq!(names, ["-a", "b"]);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_resource_can_be_watched() {
+async fn watch_can_be_limited_to_one_resource() {
     let (_platform, node) = one_node().await;
     let mut watcher = Watcher::open(&node, "&name=b").await;
     node.declare(Kind::Vm, "a", &vm("notices")).await;
@@ -119,21 +118,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn revision_that_the_node_has_not_reached_is_refused() {
+async fn future_revision_is_rejected() {
     let (_platform, node) = one_node().await;
-    let answer = node.get("/v1/vm?watch=true&from=1000000").await;
+    let response = node.get("/v1/vm?watch=true&from=1000000").await;
     assert_eq!(
-        (answer.status.as_u16(), &json(&answer)["reason"]),
+        (response.status.as_u16(), &json(&response)["reason"]),
         (503, &"behind".into())
     );
-    assert!(answer.header("retry-after").is_some());
+    assert!(response.header("retry-after").is_some());
 }
 
-/// A watcher comes from another node with a revision at which this node compared no states. A VM
-/// that was declared before it and withdrawn after it shows in no comparison here, so the watcher
-/// would keep it for good; it is told to list again.
+/// Guards against a watch from a revision at which this node compared no states, which can miss the
+/// withdrawal of a VM that was declared and withdrawn between two comparisons.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn revision_between_two_comparisons_is_refused() {
+async fn revision_between_comparisons_is_rejected() {
     let (_platform, node) = one_node().await;
     let before = json(&node.get("/v1/vm").await)["revision"]
         .as_u64()
@@ -149,14 +147,14 @@
     let after = json(&node.get("/v1/vm").await)["revision"]
         .as_u64()
         .expect("revision");
-    let mut refused = 0;
+    let mut rejected = 0;
     for revision in before + 1..after {
-        let answer = node
+        let response = node
             .get(&format!("/v1/vm?limit=1&continue={revision}:a"))
             .await;
-        refused += u32::from(answer.status == 410);
+        rejected += u32::from(response.status == 410);
     }
-    assert!(refused > 100, "{refused}");
+    assert!(rejected > 100, "{rejected}");
 }
 
 fn declaration(number: u32) -> RecordBody {
@@ -169,7 +167,7 @@
     }
 }
 
-/// Declares many VMs, more than the log of changes keeps.
+/// Declares `count` VMs.
 async fn declare_many(node: &TestNode, count: u32) {
     for first in (0..count).step_by(512) {
         let mut proposals = tokio::task::JoinSet::new();
@@ -187,28 +185,27 @@
     }
 }
 
-/// A watcher comes back with a revision from long ago. The changes since are no longer kept; a
-/// stream that began later would miss some in silence, so it is told to list again.
+/// Guards against a watch that silently misses changes which are no longer retained.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn revision_too_old_is_refused() {
+async fn outdated_revision_is_rejected() {
     let (_platform, node) = one_node().await;
     let revision = json(&node.get("/v1/vm").await)["revision"].clone();
     declare_many(&node, 17_000).await;
-    // Listing notes every change that is folded by then.
+    // Listing adds all folded changes to the change log.
     node.get("/v1/vm?limit=1").await;
-    let answer = node
+    let response = node
         .get(&format!("/v1/vm?watch=true&from={revision}"))
         .await;
     assert_eq!(
-        (answer.status.as_u16(), &json(&answer)["reason"]),
+        (response.status.as_u16(), &json(&response)["reason"]),
         (410, &"too_old".into())
     );
 }
 
-/// A dashboard is open when the node is to be replaced. A stop that waited for its answer to end
-/// would never come; the stream is ended instead, with the revision from which to go on.
+/// Guards against a shutdown that waits for open watches, which end with the revision to resume
+/// from.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn open_watch_does_not_hold_up_a_stop() {
+async fn open_watch_does_not_delay_shutdown() {
     let (_platform, mut node) = one_node().await;
     let mut watcher = Watcher::open(&node, "").await;
     assert!(matches!(
@@ -234,14 +231,13 @@
         .expect("the server's end");
 }
 
-/// A watcher stops reading but keeps its connection. Lines for it must not pile up, and its place
-/// must be given to others.
+/// Guards against a watcher that stops reading and keeps its queue and slot indefinitely.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn watcher_that_does_not_read_is_ended() {
+async fn stalled_watcher_is_disconnected() {
     let (_platform, mut node) = one_node().await;
     declare_many(&node, 17_000).await;
     let watcher = Watcher::open(&node, "").await;
-    // The node is stopped while the watcher's socket is full.
+    // Shut down the node while the watcher's socket buffer is full.
     tokio::time::sleep(Duration::from_millis(500)).await;
     node.stop.begin();
     timeout(LIMIT, &mut node.server)
@@ -251,11 +247,10 @@
     drop(watcher);
 }
 
-/// Between two pages another operator withdraws a VM already told of and declares one that sorts
-/// before the place reached. The pages cannot show it, but all of them carry the first page's
-/// revision, and a watch from there does.
+/// Guards against missing changes made between two pages: all pages carry the revision of the
+/// first, and a watch from there reports the changes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn pages_and_a_watch_from_their_revision_miss_nothing() {
+async fn watch_from_paginated_list_misses_nothing() {
     let (_platform, node) = one_node().await;
     node.declare(Kind::Pool, "notices", &pool(4, 0)).await;
     for name in ["b", "c", "d", "e"] {
@@ -264,19 +259,19 @@
     let first = json(&node.get("/v1/vm?limit=2").await);
     assert_eq!(node.delete("/v1/vm/b").await.status, 200);
     node.declare(Kind::Vm, "a", &vm("notices")).await;
-    let place = first["continue"].as_str().expect("another page");
-    let second = json(&node.get(&format!("/v1/vm?limit=2&continue={place}")).await);
-    assert_eq!(names(&first), ["b", "c"]);
-    assert_eq!(names(&second), ["d", "e"]);
+    let token = first["continue"].as_str().expect("another page");
+    let second = json(&node.get(&format!("/v1/vm?limit=2&continue={token}")).await);
+    assert_eq!(listed_names(&first), ["b", "c"]);
+    assert_eq!(listed_names(&second), ["d", "e"]);
     assert_eq!(second["continue"], Value::Null);
     assert_eq!(first["revision"], second["revision"]);
     let mut watcher = Watcher::open(&node, &format!("&from={}", second["revision"])).await;
-    let mut told = [watcher.next_name().await, watcher.next_name().await];
-    told.sort();
-    assert_eq!(told, ["-b", "a"]);
+    let mut names = [watcher.next_name().await, watcher.next_name().await];
+    names.sort();
+    assert_eq!(names, ["-b", "a"]);
 }
 
-fn names(page: &Value) -> Vec<&str> {
+fn listed_names(page: &Value) -> Vec<&str> {
     let items = page["items"].as_array().expect("items");
     items
         .iter()
