--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -2,7 +2,8 @@
 
 use {
     lynxwheel_protocol::{
-        ClaimPurpose, Condition, FINAL, Kind, READY, ResourceRef, ResourceView, VmPhase, WaveGoal,
+        ClaimPurpose, Condition, FINAL_CONDITION, Kind, READY_CONDITION, ResourceRef, ResourceView,
+        VmPhase, WaveGoal,
     },
     lynxwheel_state::{FleetState, JobPhase, JobState, PoolState, VmState, WaveState},
     serde_json::{Value, json},
@@ -57,7 +58,7 @@
         format!("policy {in_force} is in force, the first by name")
     };
     Some(Status {
-        conditions: vec![condition(READY, holds, reason)],
+        conditions: vec![condition(READY_CONDITION, holds, reason)],
         values: Value::Null,
     })
 }
@@ -71,7 +72,7 @@
         "running jobs use more than the quota"
     };
     Some(Status {
-        conditions: vec![condition(READY, holds, reason)],
+        conditions: vec![condition(READY_CONDITION, holds, reason)],
         values: json!({ "used": team.used }),
     })
 }
@@ -82,7 +83,7 @@
     let (available, floor) = (availability.available, availability.floor);
     let (members, size) = (availability.members, pool.spec.size);
     let ready = condition(
-        READY,
+        READY_CONDITION,
         available >= floor,
         format!("{available} VMs available, {floor} promised"),
     );
@@ -110,7 +111,7 @@
         "claim": vm.claim,
     });
     Status {
-        conditions: vec![condition(READY, holds, vm_reason(vm))],
+        conditions: vec![condition(READY_CONDITION, holds, vm_reason(vm))],
         values,
     }
 }
@@ -138,7 +139,7 @@
     let available = state.pools().get(spec.pool.as_str())?.available;
     let reason = format!("pool {} has {available} VMs available", spec.pool);
     Some(Status {
-        conditions: vec![condition(READY, available > 0, reason)],
+        conditions: vec![condition(READY_CONDITION, available > 0, reason)],
         values: json!({ "endpoints": available }),
     })
 }
@@ -158,8 +159,8 @@
     });
     Status {
         conditions: vec![
-            condition(READY, holds, reason.clone()),
-            condition(FINAL, job.is_final(), reason),
+            condition(READY_CONDITION, holds, reason.clone()),
+            condition(FINAL_CONDITION, job.is_final(), reason),
         ],
         values,
     }
@@ -229,7 +230,7 @@
         "last_done_ms": wave.last_done_ms,
     });
     Status {
-        conditions: vec![condition(READY, holds, reason)],
+        conditions: vec![condition(READY_CONDITION, holds, reason)],
         values,
     }
 }
--- a/crates/lynxctl/src/wait.rs
+++ b/crates/lynxctl/src/wait.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{client::ApiClient, error::CtlError, output},
-    lynxwheel_protocol::{FINAL, ProblemReason, ResourceRef, ResourceView, WatchEvent},
+    lynxwheel_protocol::{FINAL_CONDITION, ProblemReason, ResourceRef, ResourceView, WatchEvent},
     std::time::Duration,
     tokio::time::{Instant, sleep, timeout_at},
 };
@@ -117,7 +117,7 @@
     if output::ready_condition(view).is_some_and(|ready| ready.holds) {
         return Seen::Ready(text);
     }
-    let is_final = |name: &str, holds: bool| name == FINAL && holds;
+    let is_final = |name: &str, holds: bool| name == FINAL_CONDITION && holds;
     let over = view
         .conditions
         .iter()
--- a/crates/protocol/src/api.rs
+++ b/crates/protocol/src/api.rs
@@ -16,10 +16,10 @@
 pub const REVISION_HEADER: &str = "x-lynxwheel-revision";
 
 /// Name of the condition that holds when the actual state matches the declaration.
-pub const READY: &str = "Ready";
+pub const READY_CONDITION: &str = "Ready";
 
 /// Name of the condition that holds when a job has ended, successfully or not.
-pub const FINAL: &str = "Final";
+pub const FINAL_CONDITION: &str = "Final";
 
 /// Condition of a resource.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -25,9 +25,10 @@
 mod validate;
 
 pub use api::{
-    CURRENT_HEADER, Condition, ExplanationView, FINAL, FieldError, MoveList, MoveView, OperationId,
-    OperationList, OperationOutcome, OperationView, Problem, ProblemReason, READY, REVISION_HEADER,
-    ResourceList, ResourceView, WatchEndReason, WatchEvent, WriteResponse,
+    CURRENT_HEADER, Condition, ExplanationView, FINAL_CONDITION, FieldError, MoveList, MoveView,
+    OperationId, OperationList, OperationOutcome, OperationView, Problem, ProblemReason,
+    READY_CONDITION, REVISION_HEADER, ResourceList, ResourceView, WatchEndReason, WatchEvent,
+    WriteResponse,
 };
 pub use codec::{
     CodecError, MAX_MESSAGE_BYTES, MAX_RECORD_BYTES, decode_chunk, decode_message, decode_record,
