--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -14,18 +14,18 @@
 //! ```
 
 mod body;
+mod body_wrappers;
 mod client;
 mod counted;
 mod error;
 mod head_scan;
 mod server;
 mod stall;
-mod stream;
 
 pub use body::{Body, BodyError, BufferedBody, buffer_body, empty_body, full_body};
+pub use body_wrappers::{guarded_body, limited_body};
 pub use client::{Client, ClientPool, ClientRequest, ClientResponse};
 pub use error::{Step, TransportError};
 pub use server::{
     Server, ServerLimits, Shutdown, collect_body, error_response, json_response, message_response,
 };
-pub use stream::{guarded_body, limited_body};
