--- a/crates/scenario/tests/decoders/heads.rs
+++ b/crates/scenario/tests/decoders/heads.rs
@@ -1,7 +1,7 @@
-//! Heads of callers' requests.
+//! Heads of requests from callers.
 
 use {
-    crate::inputs::run,
+    crate::inputs::check_all,
     http::{Request, request::Parts},
     lynxwheel_gateway::{
         CLASS_HEADER, CallerRequest, DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER, ISSUED_HEADER,
@@ -26,15 +26,15 @@
 
 const METHODS: [&str; 5] = ["GET", "POST", "PUT", "DELETE", "ANY"];
 
-/// A head as the HTTP library lets it through: any path, any header value.
+/// A request head that the HTTP library may accept, with any path and header values.
 #[derive(Clone, Debug)]
-struct Head {
+struct RequestHead {
     method: &'static str,
     path: Vec<u8>,
     headers: Vec<(&'static str, Vec<u8>)>,
 }
 
-impl Head {
+impl RequestHead {
     fn parts(&self) -> Option<Parts> {
         let mut builder = Request::builder()
             .method(self.method)
@@ -47,7 +47,7 @@
     }
 }
 
-fn heads() -> impl Strategy<Value = Head> {
+fn request_heads() -> impl Strategy<Value = RequestHead> {
     let value = prop_oneof![
         vec(any::<u8>(), 0..300),
         any::<u64>().prop_map(|number| number.to_string().into_bytes()),
@@ -60,23 +60,23 @@
         path
     });
     let headers = vec((select(HEADERS.to_vec()), value), 0..6);
-    (select(METHODS.to_vec()), path, headers).prop_map(|(method, path, headers)| Head {
+    (select(METHODS.to_vec()), path, headers).prop_map(|(method, path, headers)| RequestHead {
         method,
         path,
         headers,
     })
 }
 
-/// A malformed head is refused with a reason and without having run.
+/// Guards against malformed heads that are rejected without a reason or reported as possibly run.
 #[test]
-fn heads_of_any_kind() {
-    run(7, &heads(), |head| {
+fn random_request_heads() {
+    check_all(7, &request_heads(), |head| {
         let Some(parts) = head.parts() else {
             return true;
         };
         match CallerRequest::from_parts(parts) {
             Ok(request) => !request.path.is_empty() && request.path.starts_with('/'),
-            Err(refusal) => refusal.did_not_run && !refusal.detail.is_empty(),
+            Err(rejection) => rejection.did_not_run && !rejection.detail.is_empty(),
         }
     });
 }
--- a/crates/scenario/tests/decoders/inputs.rs
+++ b/crates/scenario/tests/decoders/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs and the loop over them.
+//! Generators of inputs, and the loop that tests them.
 
 use {
     proptest::{
@@ -10,36 +10,36 @@
     std::fs,
 };
 
-/// Inputs of one test.
+/// Number of inputs in one test.
 const CASES: u32 = 4_096;
 
-/// Bytes of a random input at most.
+/// Maximum size of a random input, in bytes.
 const MAX_BYTES: usize = 2_048;
 
-/// Changes to a valid value at most.
+/// Maximum number of changes to a valid value.
 const MAX_CHANGES: usize = 6;
 
-/// Memory that the whole process may have used at its highest, in KiB.
+/// Maximum peak memory of the test process, in KiB.
 const MAX_MEMORY_KIB: u64 = 512 * 1024;
 
-/// Depth of nested arrays that a decoder must refuse or bear.
-const DEPTH: usize = 200_000;
+/// Depth of nested values that a decoder must reject or decode.
+const NESTING_DEPTH: usize = 200_000;
 
-/// Starts of messagepack values that promise 4 GiB of bytes, text, rows or entries.
-const GREEDY: [[u8; 5]; 4] = [
+/// Messagepack prefixes of 4 GiB of bytes or text, or of as many array items or map entries.
+const OVERSIZED_PREFIXES: [[u8; 5]; 4] = [
     [0xc6, 0xff, 0xff, 0xff, 0xff],
     [0xdb, 0xff, 0xff, 0xff, 0xff],
     [0xdd, 0xff, 0xff, 0xff, 0xff],
     [0xdf, 0xff, 0xff, 0xff, 0xff],
 ];
 
-/// One change to a valid value.
+/// A change to a valid value.
 #[derive(Clone, Debug)]
 enum Change {
     Set(usize, u8),
-    Cut(usize),
-    Double(usize, usize),
-    Greedy(usize, usize),
+    Truncate(usize),
+    Repeat(usize, usize),
+    InsertPrefix(usize, usize),
 }
 
 impl Change {
@@ -50,14 +50,14 @@
         }
         match *self {
             Self::Set(at, byte) => bytes[at % length] = byte,
-            Self::Cut(at) => bytes.truncate(at % length),
-            Self::Double(at, count) => {
+            Self::Truncate(at) => bytes.truncate(at % length),
+            Self::Repeat(at, count) => {
                 let part = bytes[at % length..].iter().take(count % 64).copied();
                 let part: Vec<u8> = part.collect();
                 bytes.splice(at % length..at % length, part);
             }
-            Self::Greedy(at, kind) => {
-                let start = GREEDY[kind % GREEDY.len()];
+            Self::InsertPrefix(at, prefix) => {
+                let start = OVERSIZED_PREFIXES[prefix % OVERSIZED_PREFIXES.len()];
                 bytes.splice(at % length..at % length, start);
             }
         }
@@ -67,17 +67,17 @@
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
         (any::<usize>(), any::<u8>()).prop_map(|(at, byte)| Change::Set(at, byte)),
-        any::<usize>().prop_map(Change::Cut),
-        (any::<usize>(), any::<usize>()).prop_map(|(at, count)| Change::Double(at, count)),
-        (any::<usize>(), any::<usize>()).prop_map(|(at, kind)| Change::Greedy(at, kind)),
+        any::<usize>().prop_map(Change::Truncate),
+        (any::<usize>(), any::<usize>()).prop_map(|(at, count)| Change::Repeat(at, count)),
+        (any::<usize>(), any::<usize>()).prop_map(|(at, prefix)| Change::InsertPrefix(at, prefix)),
     ]
 }
 
-/// Random bytes, valid values with changes, and deep nesting.
+/// Generates random bytes, changed valid values and oversized prefixes.
 pub fn inputs(valid: Vec<Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
     let changed =
-        (0..valid.len(), vec(change(), 1..=MAX_CHANGES)).prop_map(move |(row, changes)| {
-            let mut bytes = valid[row].clone();
+        (0..valid.len(), vec(change(), 1..=MAX_CHANGES)).prop_map(move |(index, changes)| {
+            let mut bytes = valid[index].clone();
             for change in &changes {
                 change.apply(&mut bytes);
             }
@@ -86,20 +86,20 @@
     prop_oneof![
         10 => changed,
         10 => vec(any::<u8>(), 0..MAX_BYTES),
-        1 => (0..GREEDY.len()).prop_map(|kind| GREEDY[kind].to_vec()),
+        1 => (0..OVERSIZED_PREFIXES.len()).prop_map(|prefix| OVERSIZED_PREFIXES[prefix].to_vec()),
     ]
 }
 
-/// Arrays, maps and blocks in each other.
+/// Returns deeply nested arrays, maps and blocks.
 pub fn nested() -> Vec<Vec<u8>> {
     [0x91, 0x81, b'[', b'{', b'(']
         .into_iter()
-        .map(|byte| vec![byte; DEPTH])
+        .map(|byte| vec![byte; NESTING_DEPTH])
         .collect()
 }
 
-/// Decodes every input; `decode` must neither panic nor take memory without bound.
-pub fn run<T: std::fmt::Debug>(
+/// Decodes every input; `decode` must return `true` without a panic or excessive memory use.
+pub fn check_all<T: std::fmt::Debug>(
     seed: u8,
     inputs: &impl Strategy<Value = T>,
     decode: impl Fn(T) -> bool,
@@ -115,10 +115,10 @@
         Ok(())
     });
     outcome.expect("no panic");
-    assert!(highest_memory_kib() < MAX_MEMORY_KIB, "too much memory");
+    assert!(peak_memory_kib() < MAX_MEMORY_KIB, "memory limit exceeded");
 }
 
-/// Returns the text of bytes, with what is no UTF-8 replaced.
+/// Generates texts like [`inputs`], with invalid UTF-8 replaced.
 pub fn texts(valid: &[&str]) -> impl Strategy<Value = String> + use<> {
     let valid: Vec<Vec<u8>> = valid.iter().map(|text| text.as_bytes().to_vec()).collect();
     prop_oneof![
@@ -127,7 +127,7 @@
     ]
 }
 
-fn highest_memory_kib() -> u64 {
+fn peak_memory_kib() -> u64 {
     let status = fs::read_to_string("/proc/self/status").expect("Linux");
     let line = status.lines().find(|line| line.starts_with("VmHWM"));
     let number = line.and_then(|line| line.split_whitespace().nth(1));
--- a/crates/scenario/tests/decoders/main.rs
+++ b/crates/scenario/tests/decoders/main.rs
@@ -1,7 +1,7 @@
-//! What comes from outside is decoded without a panic and in bounded memory, whatever it is.
+//! Fuzzes the decoders of external input, which must not panic or use unbounded memory.
 //!
-//! Inputs are random bytes, valid values with bytes changed, cut or doubled, and headers that
-//! promise far more than follows. The seeds are fixed, so every run has the same inputs.
+//! Inputs are random bytes, valid values with changed, truncated or repeated bytes, and length
+//! prefixes that exceed the data. The seeds are fixed, so that every run has the same inputs.
 
 mod heads;
 mod inputs;
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -1,7 +1,7 @@
-//! Records, snapshot chunks, messages of peers and of the platform, snapshots of the state.
+//! Records, messages of peers and of the platform, snapshots and their chunks.
 
 use {
-    crate::inputs::{inputs, nested, run},
+    crate::inputs::{check_all, inputs, nested},
     lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_gateway::{PeerAnswer, PeerAnswerRequest},
     lynxwheel_protocol::{
@@ -27,7 +27,7 @@
 
 fn report(index: usize) -> VmReport {
     VmReport {
-        // As long as names are in practice.
+        // The maximum length of names in practice.
         vm: format!("{index:0>63}").into(),
         incarnation: u64::MAX,
         phase: VmPhase::Live,
@@ -112,30 +112,30 @@
     ]
 }
 
-fn decode_as<T: DeserializeOwned>(bytes: &[u8]) {
+fn try_decode<T: DeserializeOwned>(bytes: &[u8]) {
     drop(decode_message::<T>(bytes));
 }
 
 fn decode_all_messages(bytes: &[u8]) -> bool {
-    decode_as::<ActionRequest>(bytes);
-    decode_as::<AppendAnswer>(bytes);
-    decode_as::<AppendRequest>(bytes);
-    decode_as::<PeerAnswer>(bytes);
-    decode_as::<PeerAnswerRequest>(bytes);
-    decode_as::<PeerEntries>(bytes);
-    decode_as::<PeerHello>(bytes);
-    decode_as::<PeerSnapshot>(bytes);
-    decode_as::<ReadAnswer>(bytes);
-    decode_as::<Vec<TaskReport>>(bytes);
-    decode_as::<TaskStart>(bytes);
-    decode_as::<VmList>(bytes);
+    try_decode::<ActionRequest>(bytes);
+    try_decode::<AppendAnswer>(bytes);
+    try_decode::<AppendRequest>(bytes);
+    try_decode::<PeerAnswer>(bytes);
+    try_decode::<PeerAnswerRequest>(bytes);
+    try_decode::<PeerEntries>(bytes);
+    try_decode::<PeerHello>(bytes);
+    try_decode::<PeerSnapshot>(bytes);
+    try_decode::<ReadAnswer>(bytes);
+    try_decode::<Vec<TaskReport>>(bytes);
+    try_decode::<TaskStart>(bytes);
+    try_decode::<VmList>(bytes);
     true
 }
 
-/// A node that met a record it cannot read would stop folding, and with it every node.
+/// Guards against a malformed record that stops the fold on every node.
 #[test]
-fn records_of_any_bytes() {
-    run(1, &inputs(records()), |bytes| {
+fn random_records() {
+    check_all(1, &inputs(records()), |bytes| {
         let mut state = state();
         if let Ok(record) = decode_record(&bytes) {
             state.apply(state.offset() + 1, &record);
@@ -145,29 +145,29 @@
 }
 
 #[test]
-fn messages_of_any_bytes() {
-    run(2, &inputs(messages()), |bytes| decode_all_messages(&bytes));
+fn random_messages() {
+    check_all(2, &inputs(messages()), |bytes| decode_all_messages(&bytes));
 }
 
 #[test]
-fn snapshots_of_any_bytes() {
+fn random_snapshots() {
     let valid = vec![encode_snapshot(&state()).expect("small")];
-    run(3, &inputs(valid), |bytes| {
+    check_all(3, &inputs(valid), |bytes| {
         drop(decode_snapshot(&bytes));
         true
     });
 }
 
-/// A chunk that is not what its writer cut must not end up in a state.
+/// Guards against corrupted chunks that are assembled into a state.
 #[test]
-fn changed_chunks_make_no_state() {
+fn changed_chunks_are_not_assembled() {
     let state = state();
     let chunks = split_snapshot(&state, 7).expect("small");
     let valid: Vec<Vec<u8>> = chunks
         .iter()
         .map(|chunk| encode_chunk(chunk).expect("small"))
         .collect();
-    run(4, &inputs(valid), |bytes| {
+    check_all(4, &inputs(valid), |bytes| {
         let mut assembler = SnapshotAssembler::default();
         if let Ok(chunk) = decode_chunk(&bytes) {
             assembler.add(chunk);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn nested_values_end_in_an_error() {
+fn nested_values_are_rejected() {
     for bytes in nested() {
         assert!(decode_record(&bytes[..MAX_RECORD_BYTES]).is_err());
         assert!(decode_all_messages(&bytes));
@@ -185,10 +185,10 @@
     }
 }
 
-/// A zone fails and every VM is reported at once. If the record were larger than its bound it
-/// would be refused again and again, and the failed VMs would be taken for live.
+/// Guards against a report of a whole failed zone that exceeds the record limit: it could never
+/// be appended, and the failed VMs would stay live.
 #[test]
-fn fullest_report_fits_a_record() {
+fn largest_report_fits_in_a_record() {
     let reports = (0..MAX_REPORTS).map(report).collect();
     let bytes = encode_record(&record(RecordBody::Report { reports })).expect("within the bound");
     assert!(bytes.len() <= MAX_RECORD_BYTES);
--- a/crates/scenario/tests/decoders/resources.rs
+++ b/crates/scenario/tests/decoders/resources.rs
@@ -1,7 +1,7 @@
-//! Declarations as operators send them.
+//! Declarations of operators.
 
 use {
-    crate::inputs::{nested, run, texts},
+    crate::inputs::{check_all, nested, texts},
     lynxwheel_protocol::{Kind, parse_resource, parse_spec},
     serde_json::Value,
 };
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn declarations_of_any_text() {
-    run(5, &texts(&DECLARATIONS), |text| {
+fn random_declarations() {
+    check_all(5, &texts(&DECLARATIONS), |text| {
         parse(&text);
         true
     });
--- a/crates/scenario/tests/decoders/settings.rs
+++ b/crates/scenario/tests/decoders/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files.
 
 use {
-    crate::inputs::{nested, run, texts},
+    crate::inputs::{check_all, nested, texts},
     lynxwheel::Config,
 };
 
@@ -9,11 +9,11 @@
     operators = 127.0.0.1:2\npeers = 127.0.0.1:3\n[platform]\naddress = 127.0.0.1:4\n\
     stream = fleet\n[peers]\nnode-2 = 127.0.0.1:5\n[timing]\ntick_ms = 200\n[log]\nlevel = info\n";
 
-/// A broken file ends in reasons that name the file, never in a panic.
+/// Guards against panics and against errors that do not name the file.
 #[test]
-fn settings_of_any_text() {
+fn random_settings() {
     assert!(Config::parse("valid.ini", SETTINGS).is_ok());
-    run(6, &texts(&[SETTINGS]), |text| {
+    check_all(6, &texts(&[SETTINGS]), |text| {
         match Config::parse("any.ini", &text) {
             Ok(_) => true,
             Err(errors) => errors
--- a/crates/scenario/tests/stories.rs
+++ b/crates/scenario/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Every story in `scripts`, played against its expected output.
+//! Runs every script in `scripts` and compares its output with the expected one.
 
 use lynxwheel_scenario::Simulation;
 
@@ -6,20 +6,20 @@
     ($($name:ident)*) => {
         $(#[test] fn $name() {
             let path = concat!("tests/scripts/", stringify!($name));
-            goldenscript::run(&mut Simulation::new(), path).expect("the story's end");
+            goldenscript::run(&mut Simulation::new(), path).expect("the expected output");
         })*
 
-        /// A script that nobody plays proves nothing.
+        /// Guards against scripts that no test runs.
         #[test]
-        fn every_script_is_played() {
-            let mut played = vec![$(stringify!($name).to_owned()),*];
-            played.sort();
+        fn every_script_has_a_test() {
+            let mut tested = vec![$(stringify!($name).to_owned()),*];
+            tested.sort();
             let mut scripts: Vec<String> = std::fs::read_dir("tests/scripts")
                 .expect("scripts")
                 .map(|entry| entry.expect("entry").file_name().into_string().expect("UTF-8"))
                 .collect();
             scripts.sort();
-            assert_eq!(played, scripts);
+            assert_eq!(tested, scripts);
         }
     };
 }
