--- a/crates/scenario/tests/stories.rs
+++ b/crates/scenario/tests/stories.rs
@@ -25,45 +25,45 @@
 }
 
 stories! {
-    append_answer_lost
+    append_response_lost
     append_applied_late
-    bad_rack_is_left_alone
+    failed_rack_is_excluded
     budget_tightened
     cancellation_wave
     clock_ahead
     declared_size_is_wrong
     endpoint_leaves_before_dispatch
     job_fails_everywhere
-    job_fits_nowhere
-    jobs_keep_off_the_wave
-    list_read_by_a_woken_node
-    log_down_long
+    job_larger_than_any_worker
+    jobs_avoid_vms_of_a_wave
+    vm_list_read_by_a_stale_node
+    long_log_outage
     log_trimmed_under_reader
     move_hands_over_once
     move_no_longer_wanted
     no_endpoint_left
     node_from_old_snapshot
     node_frozen_before_action
-    node_killed_before_answer
+    node_killed_before_response
     quota_holds
     rack_fails_in_wave
     requests_beyond_the_slots
     slots_when_a_node_is_lost
-    snapshot_half_written
+    incomplete_snapshot
     snapshots_interleaved
-    task_lease_lapses
+    task_lease_expires
     two_operators
     two_planners
     two_versions
-    urgent_work_makes_room
-    vm_back_with_new_life
+    urgent_job_preempts_batch_job
+    request_for_a_replaced_vm
     vm_fails_while_neighbours_drain
     vm_list_behind
     wave_aborted
-    wave_forecast_is_honest
+    forecast_shows_missed_deadline
     wave_halts_on_failures
     wave_paused
-    worker_fails_everything
+    worker_fails_every_task
     zone_cut_from_log
     zone_cut_from_peers
 }
