--- a/crates/scenario/tests/stories.rs
+++ b/crates/scenario/tests/scripts.rs
@@ -2,7 +2,7 @@
 
 use lynxwheel_scenario::Simulation;
 
-macro_rules! stories {
+macro_rules! scripts {
     ($($name:ident)*) => {
         $(#[test] fn $name() {
             let path = concat!("tests/scripts/", stringify!($name));
@@ -24,7 +24,7 @@
     };
 }
 
-stories! {
+scripts! {
     append_response_lost
     append_applied_late
     failed_rack_is_excluded
