--- a/crates/engine/tests/shortage.rs
+++ b/crates/engine/tests/shortage.rs
@@ -1,13 +1,13 @@
-//! Who gets the VMs when there are too few for all that waits.
+//! Distribution of VMs between pools when there are too few.
 
 mod common;
 
 use {
-    common::{Fleet, POOL, pool, queue, spare, step},
+    common::{Fleet, POOL, pool, queue, standby_vm, step},
     lynxwheel_engine::{Event, FleetConfig, JobSpec, Queue, StepSpec},
 };
 
-/// Another pool with a queue of its own.
+/// Another pool with its own queue.
 const OTHER: &str = "crews";
 
 fn other_queue() -> Queue {
@@ -45,20 +45,19 @@
     fleet.submit_to(queue, number, spec);
 }
 
-/// Returns the pools to which VMs were ordered, in that order.
+/// Returns the pools into which VMs were ordered, in order.
 fn ordered(fleet: &Fleet) -> Vec<&str> {
     fleet.moves().into_iter().map(|(_, pool)| pool).collect()
 }
 
-/// A pool has fallen behind: its jobs are late whatever is done, and there are many of them. It took
-/// every VM, so that the jobs of the pool whose turn came next were late, too.
+/// Guards against a pool with late work taking the VMs that others need to be on time.
 #[test]
 fn late_work_takes_no_vm_from_work_that_can_be_on_time() {
     let mut fleet = two_pools();
     submit(&mut fleet, 1, queue(), 60);
     fleet.advance(4_000);
     submit(&mut fleet, 2, other_queue(), 8);
-    fleet.handle(Event::VmsListed(vec![spare("vm-1")]));
+    fleet.handle(Event::VmsListed(vec![standby_vm("vm-1")]));
     fleet.advance(100);
     assert_eq!(ordered(&fleet), [OTHER]);
 }
@@ -69,13 +68,15 @@
     submit(&mut fleet, 1, queue(), 60);
     fleet.advance(4_000);
     submit(&mut fleet, 2, other_queue(), 8);
-    fleet.handle(Event::VmsListed(vec![spare("vm-1"), spare("vm-2")]));
+    fleet.handle(Event::VmsListed(vec![
+        standby_vm("vm-1"),
+        standby_vm("vm-2"),
+    ]));
     fleet.advance(100);
     assert_eq!(ordered(&fleet), [OTHER, POOL]);
 }
 
-/// Long-running tasks have lost their VMs. They were handed in long ago, and counted as late they
-/// waited until no quick job was left.
+/// Guards against treating long-running tasks as late.
 #[test]
 fn long_running_work_is_never_late() {
     let mut fleet = two_pools();
@@ -86,7 +87,7 @@
     submit_step(&mut fleet, 1, queue(), long_running);
     fleet.advance(4_000);
     submit(&mut fleet, 2, other_queue(), 8);
-    fleet.handle(Event::VmsListed(vec![spare("vm-1")]));
+    fleet.handle(Event::VmsListed(vec![standby_vm("vm-1")]));
     fleet.advance(100);
     assert_eq!(ordered(&fleet), [POOL]);
 }
