--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -32,7 +32,7 @@
     },
     /// Stops a VM for a time.
     FailVm {
-        /// VM.
+        /// Name of the VM.
         vm: String,
         /// Time until its restart, in milliseconds; it never restarts without one.
         #[arg(key)]
@@ -40,27 +40,27 @@
     },
     /// Makes a VM unreachable while it continues to run.
     CutVm {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Stops every VM of a rack.
     FailRack {
-        /// Rack.
+        /// Name of the rack.
         rack: String,
     },
     /// Makes a VM announce that it will leave.
     LeaveVm {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Makes every task on a VM fail.
     FailTasks {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Shows the state of a VM in the platform.
     ShowMachine {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Starts a node from an empty state or from a stored snapshot.
@@ -99,16 +99,16 @@
     },
     /// Reads one chunk of a stored snapshot, or all chunks.
     ReadChunk {
-        /// Name.
+        /// Name of the snapshot.
         name: String,
-        /// Position of the chunk.
+        /// Index of the chunk.
         index: Option<usize>,
     },
     /// Corrupts a chunk of a stored snapshot.
     SpoilChunk {
-        /// Name.
+        /// Name of the snapshot.
         name: String,
-        /// Position of the chunk.
+        /// Index of the chunk.
         index: usize,
     },
     /// Replaces the state of a node by the latest complete snapshot that it read, if not older.
@@ -117,7 +117,7 @@
     Retry,
     /// Declares a pool with VMs numbered from `vm-0`, and observes them.
     Fleet {
-        /// Pool.
+        /// Name of the pool.
         pool: String,
         /// Number of VMs, which is also the promised size of the pool.
         #[arg(key)]
@@ -125,13 +125,13 @@
         /// VMs that must stay available.
         #[arg(key)]
         floor: u32,
-        /// Zones at once.
+        /// Maximum number of zones under maintenance at the same time.
         #[arg(key)]
         zones: Option<u32>,
     },
     /// Declares a pool.
     Pool {
-        /// Name.
+        /// Name of the pool.
         name: String,
         /// Promised number of VMs.
         #[arg(key)]
@@ -139,32 +139,32 @@
         /// VMs that must stay available.
         #[arg(key)]
         floor: u32,
-        /// Zones at once.
+        /// Maximum number of zones under maintenance at the same time.
         #[arg(key)]
         zones: Option<u32>,
-        /// Revision expected.
+        /// Expected current revision.
         #[arg(key)]
         if_revision: Option<u64>,
     },
     /// Declares the pool of a VM.
     Vm {
-        /// VM.
+        /// Name of the VM.
         name: String,
-        /// Pool.
+        /// Name of the pool.
         #[arg(key)]
         pool: String,
-        /// Revision expected.
+        /// Expected current revision.
         #[arg(key)]
         if_revision: Option<u64>,
     },
     /// Declares a wave.
     Wave {
-        /// Name.
+        /// Name of the wave.
         name: String,
-        /// Pool.
+        /// Name of the pool.
         #[arg(key)]
         pool: String,
-        /// Goal.
+        /// Goal of the wave.
         #[arg(key)]
         goal: Option<GoalName>,
         /// Time until its deadline, in milliseconds.
@@ -173,7 +173,7 @@
     },
     /// Declares a team.
     Team {
-        /// Name.
+        /// Name of the team.
         name: String,
         /// Quota, in thousandths of a core.
         #[arg(key)]
@@ -181,12 +181,12 @@
     },
     /// Declares a job.
     Job {
-        /// Name.
+        /// Name of the job.
         name: String,
-        /// Pool.
+        /// Name of the pool.
         #[arg(key)]
         pool: String,
-        /// Team.
+        /// Name of the team.
         #[arg(key)]
         team: String,
         /// Demand, in thousandths of a core.
@@ -228,33 +228,33 @@
     },
     /// Claims a VM for a wave or for a move to a pool.
     Claim {
-        /// VM.
+        /// Name of the VM.
         vm: String,
-        /// Wave.
+        /// Name of the wave.
         #[arg(key)]
         wave: Option<String>,
-        /// Pool.
+        /// Name of the pool.
         #[arg(key)]
         pool: Option<String>,
     },
     /// Rechecks the budget before the action, with the fencing number that the node last knew.
     Begin {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Takes over a claim.
     TakeOver {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Releases a claim.
     Release {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Completes a maintenance claim.
     Done {
-        /// VM.
+        /// Name of the VM.
         vm: String,
         /// Whether the action succeeded.
         #[arg(key)]
@@ -262,51 +262,51 @@
     },
     /// Completes a move.
     HandOver {
-        /// VM.
+        /// Name of the VM.
         vm: String,
     },
     /// Requests an action from the platform, with the fencing number that the node last knew.
     Act {
-        /// VM.
+        /// Name of the VM.
         vm: String,
         /// Name of the action.
         action: ActionName,
     },
     /// Starts an attempt of a job on a given VM.
     StartJob {
-        /// Job.
+        /// Name of the job.
         job: String,
-        /// VM.
+        /// Name of the VM.
         #[arg(key)]
         vm: String,
     },
     /// Requests the start of the attempt of a job from its worker.
     StartTask {
-        /// Job.
+        /// Name of the job.
         job: String,
     },
     /// Requests a stop with a checkpoint of the attempt of a job from its worker.
     StopTask {
-        /// Job.
+        /// Name of the job.
         job: String,
     },
     /// Reports the end of the attempt of a job: as its worker reports it, or as lost.
     EndJob {
-        /// Job.
+        /// Name of the job.
         job: String,
-        /// Outcome.
+        /// How the attempt ended.
         outcome: OutcomeName,
     },
     /// Gives up a job.
     GiveUp {
-        /// Job.
+        /// Name of the job.
         job: String,
-        /// Reason.
+        /// Reason shown to operators.
         reason: String,
     },
     /// Reports the resource usage of the attempt of a job.
     Usage {
-        /// Job.
+        /// Name of the job.
         job: String,
         /// Usage, in thousandths of a core.
         #[arg(key)]
@@ -314,7 +314,7 @@
     },
     /// Excludes a VM from new starts of jobs.
     Quarantine {
-        /// VM.
+        /// Name of the VM.
         vm: String,
         /// Duration, in milliseconds.
         #[arg(key)]
@@ -322,12 +322,12 @@
     },
     /// Records the intent to run a non-idempotent request.
     Intent {
-        /// Key.
+        /// Idempotency key.
         key: u128,
     },
     /// Records the outcome of a non-idempotent request.
     Outcome {
-        /// Key.
+        /// Idempotency key.
         key: u128,
         /// HTTP status of the response; none means that the outcome is unknown.
         #[arg(key)]
@@ -335,7 +335,7 @@
     },
     /// Chooses an endpoint of a pool by the routing decision.
     Route {
-        /// Pool.
+        /// Name of the pool.
         pool: String,
         /// Seed that decides between equally loaded endpoints.
         #[arg(key, optional)]
@@ -345,7 +345,7 @@
     Dispatch,
     /// Shows whether admission lets a request wait for a slot.
     Admit {
-        /// Class.
+        /// Priority class.
         class: ClassName,
         /// Number of waiting requests.
         #[arg(key)]
@@ -368,7 +368,7 @@
     },
     /// Shows how the slots of an endpoint are distributed among nodes.
     DealSlots {
-        /// VM of the endpoint.
+        /// Name of the VM of the endpoint.
         vm: String,
         /// Nodes that are assumed to be alive.
         nodes: Vec<String>,
@@ -378,32 +378,32 @@
     },
     /// Raises the version of the fold.
     RaiseVersion {
-        /// Version.
+        /// New version of the fold.
         fold_version: u32,
     },
     /// Shows the state of a pool on a node.
     ShowPool {
-        /// Pool.
+        /// Name of the pool.
         name: String,
     },
     /// Shows the state of a VM on a node.
     ShowVm {
-        /// VM.
+        /// Name of the VM.
         name: String,
     },
     /// Shows the forecast of a wave.
     ShowForecast {
-        /// Wave.
+        /// Name of the wave.
         name: String,
     },
     /// Shows the state of a job on a node.
     ShowJob {
-        /// Job.
+        /// Name of the job.
         name: String,
     },
     /// Shows the state of an idempotency key on a node.
     ShowKey {
-        /// Key.
+        /// Idempotency key.
         key: u128,
     },
     /// Shows the offset of each node.
--- a/crates/scenario/src/node.rs
+++ b/crates/scenario/src/node.rs
@@ -92,14 +92,14 @@
     }
 
     /// Folds the entries after the last folded one; never skips a gap.
-    pub(crate) fn fold(&mut self, answer: &ReadAnswer) -> Result<Vec<FoldedRecord>, Trimmed> {
-        if self.state.offset() + 1 < answer.earliest_offset {
+    pub(crate) fn fold(&mut self, response: &ReadAnswer) -> Result<Vec<FoldedRecord>, Trimmed> {
+        if self.state.offset() + 1 < response.earliest_offset {
             return Err(Trimmed {
-                earliest_offset: answer.earliest_offset,
+                earliest_offset: response.earliest_offset,
             });
         }
         let mut folded = Vec::new();
-        for entry in &answer.entries {
+        for entry in &response.entries {
             if entry.offset != self.state.offset() + 1 {
                 continue;
             }
--- a/crates/scenario/src/simulation.rs
+++ b/crates/scenario/src/simulation.rs
@@ -155,11 +155,11 @@
             if !node.can_follow() {
                 continue;
             }
-            let answer =
+            let response =
                 self.platform
                     .log
                     .read(STREAM, node.state().offset() + 1, MAX_READ_ENTRIES);
-            let Ok(folded) = node.fold(&answer) else {
+            let Ok(folded) = node.fold(&response) else {
                 continue;
             };
             if id.is_some_and(|id| id.incarnation == node.incarnation) {
@@ -176,22 +176,22 @@
         if node.is_cut_from_log || self.platform.faults.log_down {
             return Ok("the log does not answer".into());
         }
-        let answer = self
+        let response = self
             .platform
             .log
             .read(STREAM, node.state().offset() + 1, MAX_READ_ENTRIES);
-        match node.fold(&answer) {
+        match node.fold(&response) {
             Ok(_) => Ok(format!("at {}", node.state().offset())),
             Err(trimmed) => Ok(trimmed.to_string()),
         }
     }
 
     fn check(&mut self) -> Result<(), Box<dyn Error>> {
-        let answer = self
+        let response = self
             .platform
             .log
             .read(STREAM, self.audit.next_offset(), MAX_READ_ENTRIES);
-        for entry in &answer.entries {
+        for entry in &response.entries {
             self.audit.check_entry(entry)?;
         }
         for node in &self.nodes {
--- a/crates/scenario/src/steps.rs
+++ b/crates/scenario/src/steps.rs
@@ -113,7 +113,7 @@
         show::pool(self.node(name)?, pool)
     }
 
-    /// Records the claim of a node on a VM, which it relies on until it makes the next step on it.
+    /// Records the claim on a VM as its holder knows it after proposing a step on it.
     pub(crate) fn record_claim(&mut self, name: &str, vm: &str) -> Result<(), Box<dyn Error>> {
         let node = self.node_mut(name)?;
         let claim = node.state().vms().get(vm).and_then(|vm| vm.claim.as_ref());
@@ -174,9 +174,9 @@
         let offset = self.node(peer)?.state().offset();
         let own = self.node(name)?.state().offset();
         let count = usize::try_from(offset.saturating_sub(own)).unwrap_or(usize::MAX);
-        let answer = self.platform.log.read(STREAM, own + 1, count);
+        let response = self.platform.log.read(STREAM, own + 1, count);
         let node = self.node_mut(name)?;
-        match node.fold(&answer) {
+        match node.fold(&response) {
             Ok(_) => Ok(format!("at {}", node.state().offset())),
             Err(trimmed) => Ok(trimmed.to_string()),
         }
--- a/crates/standin/src/log_service.rs
+++ b/crates/standin/src/log_service.rs
@@ -46,14 +46,14 @@
                 entries: Vec::new(),
             };
         };
-        let mut answer = ReadAnswer {
+        let mut response = ReadAnswer {
             earliest_offset: stream.trimmed_to + 1,
             next_offset: stream.next_offset(),
             entries: Vec::new(),
         };
-        if from >= answer.earliest_offset {
-            let skip = usize::try_from(from - answer.earliest_offset).unwrap_or(usize::MAX);
-            answer.entries = stream
+        if from >= response.earliest_offset {
+            let skip = usize::try_from(from - response.earliest_offset).unwrap_or(usize::MAX);
+            response.entries = stream
                 .entries
                 .iter()
                 .skip(skip)
@@ -65,7 +65,7 @@
                 })
                 .collect();
         }
-        answer
+        response
     }
 
     /// Drops the entries before offset `before`.
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -222,14 +222,14 @@
         if let Some(response) = injected_fault(shared).await {
             return response;
         }
-        let answer = shared.platform().log.read(name, from, max);
-        let has_entries = !answer.entries.is_empty() || from < answer.earliest_offset;
+        let response = shared.platform().log.read(name, from, max);
+        let has_entries = !response.entries.is_empty() || from < response.earliest_offset;
         if has_entries
             || tokio::time::timeout_at(until, entries_appended)
                 .await
                 .is_err()
         {
-            return message_answer(&answer);
+            return message_answer(&response);
         }
     }
 }
@@ -251,7 +251,7 @@
     }
     let bytes = match collect_body(request.into_body(), MAX_BODY_BYTES).await {
         Ok(bytes) => bytes,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let Ok(message) = decode_message::<AppendRequest>(&bytes) else {
         return error_answer(StatusCode::BAD_REQUEST, "malformed append request");
@@ -273,7 +273,7 @@
             message,
             late_ms,
         ));
-        return error_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
+        return error_answer(StatusCode::GATEWAY_TIMEOUT, "no response in time");
     }
     let first_offset = shared.platform().log.append(name, message.entries);
     shared.entries_appended.notify_waiters();
@@ -284,7 +284,7 @@
         is_lost
     };
     if is_lost {
-        return error_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
+        return error_answer(StatusCode::GATEWAY_TIMEOUT, "no response in time");
     }
     message_answer(&AppendAnswer { first_offset })
 }
@@ -298,7 +298,7 @@
 async fn perform_action(shared: &Shared, name: &str, request: Request<Incoming>) -> Response<Body> {
     let action: ActionRequest = match decode_body(request).await {
         Ok(action) => action,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let mut platform = shared.platform();
     let reboot_ms = platform.reboot_ms;
@@ -314,7 +314,7 @@
 async fn start_task(shared: &Shared, name: &str, request: Request<Incoming>) -> Response<Body> {
     let start: TaskStart = match decode_body(request).await {
         Ok(start) => start,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let mut platform = shared.platform();
     let fails = platform.has_failing_tasks(name);
@@ -370,7 +370,7 @@
 async fn set_faults(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
     let bytes = match collect_body(request.into_body(), MAX_BODY_BYTES).await {
         Ok(bytes) => bytes,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     match serde_json::from_slice::<Faults>(&bytes) {
         Ok(faults) => {
