--- a/crates/controller/src/delegate_pool.rs
+++ b/crates/controller/src/delegate_pool.rs
@@ -15,7 +15,7 @@
     kameo::actor::ActorRef,
     log::{info, warn},
     lynxwheel_engine::{EndpointAddress, EndpointKey, Event},
-    lynxwheel_transport::{Client, Clients},
+    lynxwheel_transport::{Client, ClientPool},
     std::{
         net::SocketAddr,
         sync::{Arc, Mutex, PoisonError},
@@ -66,7 +66,7 @@
     epoch: u64,
     own_address: SocketAddr,
     actor: ActorRef<OwnerActor>,
-    clients: Arc<Clients>,
+    clients: Arc<ClientPool>,
     assignments: EndpointAssignments,
     /// Sorted by address.
     delegates: Vec<Delegate>,
@@ -81,7 +81,7 @@
         epoch: u64,
         own_address: SocketAddr,
         actor: ActorRef<OwnerActor>,
-        clients: Arc<Clients>,
+        clients: Arc<ClientPool>,
         assignments: EndpointAssignments,
     ) -> Self {
         Self {
@@ -256,7 +256,7 @@
             calls,
         };
         let response = client
-            .exchange_compact(DELEGATE_CALLS_PATH, &request, limit)
+            .post_compact_message(DELEGATE_CALLS_PATH, &request, limit)
             .await;
         let message = match response {
             Ok(DelegateReply::Accepted) => continue,
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -9,7 +9,8 @@
     log::{debug, info},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
-        MAX_REPORTS, PoolName, RecordBody, VmEntry, VmList, VmListState, VmName, VmPhase, VmReport,
+        MAX_REPORTS_PER_RECORD, PoolName, RecordBody, VmEntry, VmList, VmListState, VmName,
+        VmPhase, VmReport,
     },
     lynxwheel_state::{FleetState, VmState},
     lynxwheel_transport::Client,
@@ -89,7 +90,7 @@
     }
     *last_period = period;
     let timeout = Duration::from_millis(LIST_TIMEOUT_MS);
-    match platform.fetch::<VmList>("/vms", timeout).await {
+    match platform.get_message::<VmList>("/vms", timeout).await {
         Ok(list) => Some(list),
         Err(error) => {
             debug!(event = "vm_list_failed"; "{error}");
@@ -264,7 +265,7 @@
     reports.sort();
     // After the failure of an availability zone all reports in one record would exceed its size
     // limit.
-    for reports in reports.chunks(MAX_REPORTS) {
+    for reports in reports.chunks(MAX_REPORTS_PER_RECORD) {
         info!(event = "vm_reports", count = reports.len(), offset = node.state().offset();
             "reporting changes of VMs");
         let reports = reports.to_vec();
--- a/crates/coordination/src/reader.rs
+++ b/crates/coordination/src/reader.rs
@@ -9,7 +9,7 @@
     },
     kameo::actor::ActorRef,
     log::{error, warn},
-    lynxwheel_protocol::ReadAnswer,
+    lynxwheel_protocol::ReadResponse,
     std::time::Duration,
 };
 
@@ -73,7 +73,7 @@
 
 /// Checks a response and forwards its entries to the fold.
 async fn forward_entries(
-    response: ReadAnswer,
+    response: ReadResponse,
     next_offset: &mut u64,
     node: &Node,
     fold: &ActorRef<Fold>,
--- a/crates/gateway/tests/at_most_once.rs
+++ b/crates/gateway/tests/at_most_once.rs
@@ -9,11 +9,11 @@
     lynxwheel_gateway::{
         DID_NOT_RUN_HEADER, ISSUED_HEADER, KeyAge, check_key_age, uuid_v7_timestamp_ms,
     },
-    lynxwheel_transport::Answer,
+    lynxwheel_transport::ClientResponse,
     std::time::Duration,
 };
 
-fn reason(answer: &Answer) -> String {
+fn reason(answer: &ClientResponse) -> String {
     let value: serde_json::Value = serde_json::from_slice(&answer.body).expect("a refusal");
     value["reason"].as_str().unwrap_or_default().to_owned()
 }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -11,7 +11,7 @@
         LONG_RUNNING_PAYLOAD, QueueSpec, api_key_header, decode_job_state, encode_job, is_count,
         timeout_header,
     },
-    lynxwheel_transport::{Answer, ClientRequest, Clients},
+    lynxwheel_transport::{ClientPool, ClientRequest, ClientResponse},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -48,7 +48,7 @@
     queues: Arc<[QueueSpec]>,
     accounts: Arc<Accounts>,
     checker: Arc<Checker>,
-    clients: Arc<Clients>,
+    clients: Arc<ClientPool>,
 }
 
 impl Callers {
@@ -65,7 +65,7 @@
             queues: queues.into(),
             accounts,
             checker,
-            clients: Arc::new(Clients::new(MAX_CONNECTIONS)),
+            clients: Arc::new(ClientPool::new(MAX_CONNECTIONS)),
         }
     }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    async fn call(&self, node: usize, request: &ClientRequest) -> Option<Answer> {
+    async fn call(&self, node: usize, request: &ClientRequest) -> Option<ClientResponse> {
         let timeout = Duration::from_millis(TIMEOUT_MS + TIMEOUT_MARGIN_MS);
         let client = self.clients.get(self.nodes[node]);
         client.call(request, timeout).await.ok()
