--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,4 +1,5 @@
-//! Node of the fleet controller on the users' platform.
+//! Node of the fleet controller on the users' platform, run by `lynxwheel serve`. The node that
+//! `lynxwheel run` starts is in `lynxwheel_coordination` and `lynxwheel_gateway`.
 //!
 //! Every node serves callers. One of them owns the fleet at a time: it makes the decisions and
 //! calls endpoints and platform services. The owner is elected through a log in the platform's
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,5 +1,5 @@
-//! Coordination of a lynxwheel node: reads and appends the log, tracks peers, plans placements and
-//! executes actions.
+//! Coordination of a node that `lynxwheel run` starts: reads and appends the log, tracks peers, plans
+//! placements and executes actions. The node of `lynxwheel serve` is in `lynxwheel_controller`.
 //!
 //! ```no_run
 //! use lynxwheel_coordination::{Node, NodeIdentity, NodeSettings};
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,9 @@
 //! State machine that schedules jobs on a fleet of VMs.
 //!
-//! The crate has no clock and performs no I/O. Its owner passes in events with the current time,
-//! stores the records of each batch and executes the released effects.
+//! It makes the decisions of the owner in `lynxwheel_controller`; the nodes of `lynxwheel run` use
+//! `lynxwheel_state` and `lynxwheel_decisions` instead. The crate has no clock and performs no I/O.
+//! Its owner passes in events with the current time, stores the records of each batch and executes
+//! the released effects.
 //!
 //! ```
 //! use lynxwheel_engine::{Engine, EngineSettings, Event, FleetConfig, JobSpec, Now, Queue, StepSpec};
