--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -70,7 +70,7 @@
 
 impl MetricsHandle {
     /// Creates a handle from a function that renders the metrics and one that drains histogram
-    /// samples, which would otherwise accumulate while nobody scrapes.
+    /// samples, which would otherwise accumulate while the metrics are not scraped.
     #[must_use]
     pub fn new(
         render: impl Fn() -> String + Send + Sync + 'static,
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes the VM that suits the work of a pool best.
+    /// Takes the VM that best matches the work of a pool.
     fn take_spare(
         &self,
         loads: &[PoolLoad],
--- a/crates/engine/src/vms.rs
+++ b/crates/engine/src/vms.rs
@@ -137,7 +137,7 @@
             return;
         };
         // Only the incarnation that was on the VM when the order was given ends with it. A retry is
-        // also reported as done after the VM has come back with a new incarnation.
+        // also reported as done after the VM has started a new incarnation.
         let endpoint = self.vms[index].ordered_endpoint;
         match outcome {
             VmOutcome::Done => {
--- a/crates/engine/src/waves.rs
+++ b/crates/engine/src/waves.rs
@@ -477,22 +477,22 @@
         if spec.max_unavailable == 0 {
             return true;
         }
-        let away = job
+        let unavailable_count = job
             .tasks()
             .filter(|(name, _)| name.is_sibling(task) && name.index != task.index)
             .filter(|(_, other)| {
                 !other.attempts.iter().any(|attempt| {
                     // The last report only counts while the endpoint is reachable.
                     let endpoint = self.endpoints.get(attempt.endpoint);
-                    let is_sound = endpoint.is_registered
+                    let is_available = endpoint.is_registered
                         && !endpoint.has_ended
                         && !endpoint.is_draining
                         && endpoint.failed_calls == 0;
-                    is_sound && attempt.percent >= 100 && !attempt.is_stopping
+                    is_available && attempt.percent >= 100 && !attempt.is_stopping
                 })
             })
             .count();
-        away < usize::from(spec.max_unavailable)
+        unavailable_count < usize::from(spec.max_unavailable)
     }
 }
 
--- a/crates/engine/tests/demand.rs
+++ b/crates/engine/tests/demand.rs
@@ -105,7 +105,7 @@
         StepSpec { required_label: "b".into(), ..step(2) },
         vec![standby_vm("vm-a", "a", "r1", 0), standby_vm("vm-b", "b", "r1", 0)] => ["vm-b"];
 
-    /// Guards against a pool that takes in all VMs for work that none of them can run.
+    /// Guards against a pool that takes all VMs for work that none of them can run.
     label_of_no_vm_orders_none:
         StepSpec { required_label: "c".into(), ..step(60) },
         vec![standby_vm("vm-a", "a", "r1", 0), standby_vm("vm-b", "b", "r1", 0)] => [] as [&str; 0];
--- a/crates/engine/tests/waves.rs
+++ b/crates/engine/tests/waves.rs
@@ -250,7 +250,15 @@
     fleet.advance(1_500);
     fleet.handle(wave_in(&["vm-2"], 1, 60.0));
     fleet.advance(1_000);
-    assert_eq!(fleet.endpoints[1].running.len(), 2, "one is away");
+    assert_eq!(
+        fleet.endpoints[1].running.len(),
+        2,
+        "one task is unavailable"
+    );
     fleet.advance(4_500);
-    assert_eq!(fleet.endpoints[1].running.len(), 3, "and back in time");
+    assert_eq!(
+        fleet.endpoints[1].running.len(),
+        3,
+        "the task runs again in time"
+    );
 }
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -51,7 +51,7 @@
     pub wanted_pool: PoolName,
     /// Revision of the declaration.
     pub revision: u64,
-    /// Incarnation of the machine, counted by the platform; 0 before the first report.
+    /// Incarnation of the VM, counted by the platform; 0 before the first report.
     pub incarnation: u64,
     /// Availability zone.
     pub zone: ZoneName,
