--- a/crates/coordination/src/actions.rs
+++ b/crates/coordination/src/actions.rs
@@ -150,8 +150,8 @@
             .get("/healthz", timeout)
             .await
         {
-            Ok(answer) => {
-                serde_json::from_slice::<Load>(&answer.body).is_ok_and(|load| load.in_progress == 0)
+            Ok(health) => {
+                serde_json::from_slice::<Load>(&health.body).is_ok_and(|load| load.in_progress == 0)
             }
             Err(_) => false,
         }
--- a/crates/coordination/src/peer_server.rs
+++ b/crates/coordination/src/peer_server.rs
@@ -26,9 +26,9 @@
     /// Handles a peer's hello or its request for entries or a snapshot.
     pub async fn handle_peer_request(&self, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
-            (&Method::POST, HELLO_PATH) => self.answer_hello(request).await,
-            (&Method::GET, ENTRIES_PATH) => self.answer_entries(&request),
-            (&Method::GET, SNAPSHOT_PATH) => self.answer_snapshot(),
+            (&Method::POST, HELLO_PATH) => self.handle_hello(request).await,
+            (&Method::GET, ENTRIES_PATH) => self.handle_entries(&request),
+            (&Method::GET, SNAPSHOT_PATH) => self.handle_snapshot(),
             _ => error_response(StatusCode::NOT_FOUND, "no such path"),
         }
     }
@@ -62,10 +62,10 @@
         self.peers().update(hello, self.clock().now_ms());
     }
 
-    async fn answer_hello(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle_hello(&self, request: Request<Incoming>) -> Response<Body> {
         let bytes = match collect_body(request.into_body(), MAX_HELLO_BYTES).await {
             Ok(bytes) => bytes,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         match decode_message::<PeerHello>(&bytes) {
             Ok(hello) => {
@@ -76,7 +76,7 @@
         }
     }
 
-    fn answer_entries(&self, request: &Request<Incoming>) -> Response<Body> {
+    fn handle_entries(&self, request: &Request<Incoming>) -> Response<Body> {
         let query = request.uri().query().unwrap_or_default();
         let from = query
             .strip_prefix("from=")
@@ -89,7 +89,7 @@
         }
     }
 
-    fn answer_snapshot(&self) -> Response<Body> {
+    fn handle_snapshot(&self) -> Response<Body> {
         if self.has_diverged() {
             return error_response(StatusCode::SERVICE_UNAVAILABLE, "the state has diverged");
         }
--- a/crates/gateway/tests/at_most_once.rs
+++ b/crates/gateway/tests/at_most_once.rs
@@ -13,8 +13,8 @@
     std::time::Duration,
 };
 
-fn reason(answer: &ClientResponse) -> String {
-    let value: serde_json::Value = serde_json::from_slice(&answer.body).expect("a refusal");
+fn reason(response: &ClientResponse) -> String {
+    let value: serde_json::Value = serde_json::from_slice(&response.body).expect("a refusal");
     value["reason"].as_str().unwrap_or_default().to_owned()
 }
 
@@ -24,8 +24,8 @@
 async fn duplicate_on_another_node_gets_the_first_response() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let request = renewal("lotion-1", "size=2000");
-    let first = fleet.nodes[0].call(&request).await.expect("an answer");
-    let second = fleet.nodes[1].call(&request).await.expect("an answer");
+    let first = fleet.nodes[0].call(&request).await.expect("a response");
+    let second = fleet.nodes[1].call(&request).await.expect("a response");
     assert_response_of(&first, "lotion-1");
     assert_eq!(first.body, second.body);
     assert_eq!(second.status, StatusCode::OK);
@@ -40,8 +40,8 @@
     let request = renewal("lotion-2", "ms=400");
     let (first, second) =
         tokio::join!(fleet.nodes[0].call(&request), fleet.nodes[1].call(&request));
-    assert_response_of(&first.expect("an answer"), "lotion-2");
-    assert_response_of(&second.expect("an answer"), "lotion-2");
+    assert_response_of(&first.expect("a response"), "lotion-2");
+    assert_response_of(&second.expect("a response"), "lotion-2");
     assert_eq!(fleet.runs("lotion-2").len(), 1);
 }
 
@@ -56,7 +56,7 @@
         .call(&request, Duration::from_millis(200))
         .await;
     assert!(disconnected.is_err(), "the caller must have disconnected");
-    let second = fleet.nodes[0].call(&request).await.expect("an answer");
+    let second = fleet.nodes[0].call(&request).await.expect("a response");
     assert_response_of(&second, "lotion-3");
     assert_eq!(fleet.runs("lotion-3").len(), 1);
 }
@@ -75,7 +75,7 @@
         platform.faults.late_ms = 1_200;
     });
     let request = renewal("lotion-4", "");
-    let first = fleet.nodes[0].call(&request).await.expect("an answer");
+    let first = fleet.nodes[0].call(&request).await.expect("a response");
     assert_eq!(first.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(first.header(DID_NOT_RUN_HEADER), Some("true"));
     fleet
@@ -85,15 +85,15 @@
     wait_until("the late intent is in the log", || state().key_count() > 0).await;
     let mut last = None;
     for _ in 0..100 {
-        let answer = fleet.nodes[1].call(&request).await.expect("an answer");
-        let is_ok = answer.status == StatusCode::OK;
-        last = Some(answer);
+        let response = fleet.nodes[1].call(&request).await.expect("a response");
+        let is_ok = response.status == StatusCode::OK;
+        last = Some(response);
         if is_ok {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_response_of(&last.expect("an answer"), "lotion-4");
+    assert_response_of(&last.expect("a response"), "lotion-4");
     assert_eq!(fleet.runs("lotion-4").len(), 1);
 }
 
@@ -112,16 +112,16 @@
     fleet.nodes[0].kill();
     // The runtime drops its tasks in any order, so the handler may still respond that the outcome
     // is unknown.
-    if let Ok(answer) = call.await.expect("no panic") {
-        assert_eq!(reason(&answer), "outcome_unknown");
-        assert_eq!(answer.header(DID_NOT_RUN_HEADER), None);
+    if let Ok(response) = call.await.expect("no panic") {
+        assert_eq!(reason(&response), "outcome_unknown");
+        assert_eq!(response.header(DID_NOT_RUN_HEADER), None);
     }
     fleet.restart(0).await;
     for node in &fleet.nodes {
-        let answer = node.call(&request).await.expect("an answer");
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-        assert_eq!(reason(&answer), "outcome_unknown");
-        assert_eq!(answer.header(DID_NOT_RUN_HEADER), None);
+        let response = node.call(&request).await.expect("a response");
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+        assert_eq!(reason(&response), "outcome_unknown");
+        assert_eq!(response.header(DID_NOT_RUN_HEADER), None);
     }
     assert_eq!(fleet.runs("lotion-5").len(), 1);
 }
@@ -133,9 +133,9 @@
     let fleet = Fleet::start(FleetOptions::default()).await;
     let request = renewal("lotion-6", "break=1&size=100000");
     for node in &fleet.nodes {
-        let answer = node.call(&request).await.expect("an answer");
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-        assert_eq!(answer.header(DID_NOT_RUN_HEADER), None);
+        let response = node.call(&request).await.expect("a response");
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+        assert_eq!(response.header(DID_NOT_RUN_HEADER), None);
     }
     assert_eq!(fleet.runs("lotion-6").len(), 1);
 }
@@ -148,9 +148,9 @@
     let retention_ms = fleet.nodes[0].node.state().key_retention_ms();
     let issued_ms = Clock::system().now_ms() - retention_ms;
     let request = renewal("lotion-7", "").with_header(ISSUED_HEADER, issued_ms.to_string());
-    let answer = fleet.nodes[0].call(&request).await.expect("an answer");
-    assert_eq!(reason(&answer), "key_too_old");
-    assert_eq!(answer.header(DID_NOT_RUN_HEADER), None);
+    let response = fleet.nodes[0].call(&request).await.expect("a response");
+    assert_eq!(reason(&response), "key_too_old");
+    assert_eq!(response.header(DID_NOT_RUN_HEADER), None);
     assert_eq!(fleet.runs("lotion-7").len(), 0);
 }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -341,9 +341,9 @@
         .with_header(REQUEST_ID_HEADER, key)
 }
 
-/// Checks that an answer is complete and belongs to the request with this id.
-pub fn assert_response_of(answer: &ClientResponse, id: &str) {
-    let text = String::from_utf8_lossy(&answer.body);
-    assert_eq!(answer.status, StatusCode::OK, "{text}");
+/// Checks that a response is complete and belongs to the request with this id.
+pub fn assert_response_of(response: &ClientResponse, id: &str) {
+    let text = String::from_utf8_lossy(&response.body);
+    assert_eq!(response.status, StatusCode::OK, "{text}");
     assert!(text.starts_with(&format!("request={id} ")), "{text}");
 }
--- a/crates/gateway/tests/malformed.rs
+++ b/crates/gateway/tests/malformed.rs
@@ -20,11 +20,11 @@
     let mut stream = TcpStream::connect(address).await.expect("connect");
     let text = format!("{head}{body}");
     stream.write_all(text.as_bytes()).await.expect("write");
-    let mut answer = Vec::new();
-    let read = timeout(common::TIMEOUT, stream.read_to_end(&mut answer));
+    let mut response = Vec::new();
+    let read = timeout(common::TIMEOUT, stream.read_to_end(&mut response));
     // The connection may be reset after the response.
     drop(read.await.expect("the connection must be closed"));
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 fn smuggled_request() -> &'static str {
@@ -35,10 +35,10 @@
     ($($(#[$doc:meta])* $name:ident: $head:expr, $body:expr => $status:expr;)*) => {
         $($(#[$doc])* #[tokio::test(flavor = "multi_thread")] async fn $name() {
             let fleet = Fleet::start(FleetOptions { nodes: 1, ..FleetOptions::default() }).await;
-            let answer = exchange(&fleet, &$head, &$body).await;
+            let response = exchange(&fleet, &$head, &$body).await;
             let status = format!("HTTP/1.1 {}", $status);
-            assert!(answer.starts_with(&status), "{answer}");
-            assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
+            assert!(response.starts_with(&status), "{response}");
+            assert_eq!(response.matches("HTTP/1.1").count(), 1, "{response}");
             assert_eq!(fleet.platform.runs().len(), 0, "nothing may have run");
         })*
     };
@@ -83,8 +83,8 @@
     .await;
     let first = format!("{HEAD}content-length: 0\r\n\r\n");
     let second = format!("{HEAD}transfer-encoding: chunked\r\ncontent-length: 4\r\n\r\n");
-    let answer = exchange(&fleet, &format!("{first}{second}"), smuggled_request()).await;
-    assert_eq!(answer.matches("HTTP/1.1").count(), 2, "{answer}");
+    let response = exchange(&fleet, &format!("{first}{second}"), smuggled_request()).await;
+    assert_eq!(response.matches("HTTP/1.1").count(), 2, "{response}");
     assert_eq!(fleet.platform.runs().len(), 2);
 }
 
@@ -105,7 +105,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(
         !gateway.endpoint_loads().is_empty(),
-        "the answer must not fit the buffers"
+        "the response must not fit the buffers"
     );
     common::wait_until("the slot is free", || gateway.endpoint_loads().is_empty()).await;
     drop(stream);
--- a/crates/gateway/tests/refusals.rs
+++ b/crates/gateway/tests/refusals.rs
@@ -30,11 +30,11 @@
             return;
         }
         head.clear();
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{HEALTH_BODY}",
             HEALTH_BODY.len()
         );
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
@@ -79,8 +79,8 @@
     })
     .await;
     let request = ClientRequest::new(Method::GET, format!("/{SERVICE}/map"));
-    let answer = fleet.nodes[0].call(&request).await.expect("an answer");
-    let text = String::from_utf8_lossy(&answer.body).into_owned();
-    assert_ne!(answer.status, StatusCode::OK, "{text}");
-    assert_eq!(answer.header(DID_NOT_RUN_HEADER), None, "{text}");
+    let response = fleet.nodes[0].call(&request).await.expect("a response");
+    let text = String::from_utf8_lossy(&response.body).into_owned();
+    assert_ne!(response.status, StatusCode::OK, "{text}");
+    assert_eq!(response.header(DID_NOT_RUN_HEADER), None, "{text}");
 }
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -19,11 +19,13 @@
 }
 
 async fn get_map(node: &TestNode, id: &str, query: &str) -> ClientResponse {
-    node.call(&map_request(id, query)).await.expect("an answer")
+    node.call(&map_request(id, query))
+        .await
+        .expect("a response")
 }
 
-fn did_not_run(answer: &ClientResponse) -> bool {
-    answer.header(DID_NOT_RUN_HEADER) == Some("true")
+fn did_not_run(response: &ClientResponse) -> bool {
+    response.header(DID_NOT_RUN_HEADER) == Some("true")
 }
 
 /// Under excess load on all nodes an endpoint must never get more requests at once than it has
@@ -74,8 +76,8 @@
         let id = format!("map-{index}");
         assert_response_of(&get_map(node, &id, "size=20000").await, &id);
         let key = format!("lotion-{index}");
-        let answer = node.call(&renewal(&key, "")).await.expect("an answer");
-        assert_response_of(&answer, &key);
+        let response = node.call(&renewal(&key, "")).await.expect("a response");
+        assert_response_of(&response, &key);
         assert_eq!(fleet.runs(&key).len(), 1);
     }
 }
@@ -123,12 +125,12 @@
         let fleet = Arc::clone(&fleet);
         let id = format!("billing-{caller}");
         let request = map_request(&id, "ms=100").with_header(CLASS_HEADER, "batch");
-        callers.spawn(async move { fleet.nodes[0].call(&request).await.expect("an answer") });
+        callers.spawn(async move { fleet.nodes[0].call(&request).await.expect("a response") });
     }
     wait_until("batch work runs", || !fleet.platform.runs().is_empty()).await;
     let notice = map_request("notice", "").with_header(CLASS_HEADER, "urgent");
     assert_response_of(
-        &fleet.nodes[0].call(&notice).await.expect("an answer"),
+        &fleet.nodes[0].call(&notice).await.expect("a response"),
         "notice",
     );
     while callers.join_next().await.is_some() {}
@@ -153,9 +155,9 @@
     wait_until("a second request runs", || fleet.platform.runs().len() == 2).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     let request = map_request("late", "").with_header(DEADLINE_HEADER, "300");
-    let answer = fleet.nodes[0].call(&request).await.expect("an answer");
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(did_not_run(&answer) && answer.header("retry-after").is_some());
+    let response = fleet.nodes[0].call(&request).await.expect("a response");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(did_not_run(&response) && response.header("retry-after").is_some());
     assert!(
         fleet
             .platform
@@ -163,7 +165,7 @@
             .iter()
             .all(|run| run.request_id != "late")
     );
-    let text = String::from_utf8_lossy(&answer.body).into_owned();
+    let text = String::from_utf8_lossy(&response.body).into_owned();
     assert!(text.contains("before the deadline"), "{text}");
     while callers.join_next().await.is_some() {}
 }
@@ -180,9 +182,9 @@
     let mut refused = 0;
     for number in 0..30 {
         let request = map_request(&format!("flood-{number}"), "").with_header(TEAM_HEADER, "flood");
-        let answer = fleet.nodes[0].call(&request).await.expect("an answer");
-        if answer.status == StatusCode::TOO_MANY_REQUESTS {
-            assert!(did_not_run(&answer) && answer.header("retry-after").is_some());
+        let response = fleet.nodes[0].call(&request).await.expect("a response");
+        if response.status == StatusCode::TOO_MANY_REQUESTS {
+            assert!(did_not_run(&response) && response.header("retry-after").is_some());
             refused += 1;
         }
     }
@@ -190,7 +192,7 @@
     assert_eq!(fleet.platform.runs().len(), 30 - refused);
     let request = map_request("dispatch", "").with_header(TEAM_HEADER, "crews");
     assert_response_of(
-        &fleet.nodes[0].call(&request).await.expect("an answer"),
+        &fleet.nodes[0].call(&request).await.expect("a response"),
         "dispatch",
     );
 }
@@ -256,9 +258,9 @@
     };
     set_leaving(true);
     for number in 0..5 {
-        let answer = get_map(&fleet.nodes[0], &format!("map-{number}"), "").await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(did_not_run(&answer));
+        let response = get_map(&fleet.nodes[0], &format!("map-{number}"), "").await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(did_not_run(&response));
     }
     set_leaving(false);
     let until = tokio::time::Instant::now() + common::TIMEOUT;
@@ -282,11 +284,11 @@
     let request = ClientRequest::new(Method::PUT, format!("/{SERVICE}/file?size=2000000"))
         .with_header("x-request-id", "file")
         .with_body(body);
-    let answer = fleet.nodes[0].call(&request).await.expect("an answer");
-    assert_response_of(&answer, "file");
-    let text = String::from_utf8_lossy(&answer.body);
+    let response = fleet.nodes[0].call(&request).await.expect("a response");
+    assert_response_of(&response, "file");
+    let text = String::from_utf8_lossy(&response.body);
     assert!(text.contains("bytes=3000000"), "{}", &text[..60]);
-    assert!(answer.body.len() > 2_000_000);
+    assert!(response.body.len() > 2_000_000);
     let gateway = &fleet.nodes[0].gateway;
     wait_until("the slot is free", || gateway.endpoint_loads().is_empty()).await;
 }
@@ -296,10 +298,10 @@
 async fn truncated_response_closes_the_callers_connection() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let request = map_request("map", "break=1&size=100000");
-    let answer = fleet.nodes[0].call(&request).await;
+    let response = fleet.nodes[0].call(&request).await;
     assert!(
-        answer.is_err(),
-        "a truncated response looks complete: {answer:?}"
+        response.is_err(),
+        "a truncated response looks complete: {response:?}"
     );
 }
 
