--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,8 @@
 //! The request path of a lynxwheel node: admission, routing, retries and at-most-once execution.
 //!
+//! It serves callers of `lynxwheel run`; those of `lynxwheel serve` are served by
+//! `lynxwheel_controller`.
+//!
 //! ```no_run
 //! use lynxwheel_coordination::{Node, NodeIdentity, NodeSettings};
 //! use lynxwheel_gateway::Gateway;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,8 @@
 //! Small in-memory stand-ins of the platform and the endpoints, for tests and development.
 //!
+//! They serve nodes of `lynxwheel run`. The stand-ins for `lynxwheel serve` are in
+//! `lynxwheel_platform_standin`.
+//!
 //! ```
 //! use lynxwheel_standin::LogService;
 //!
