--- a/crates/lynxctl/src/declarations.rs
+++ b/crates/lynxctl/src/declarations.rs
@@ -1,8 +1,7 @@
-//! Declarations as operators keep them in version control: INI files.
+//! Declaration files, in INI format.
 //!
-//! A section is a resource, `[KIND NAME]`, and its keys are the fields of the kind as the API
-//! names them, such as `budget.min_available = 70%`. INI fits: a declaration is a flat list of a
-//! dozen fields, and it is the format of the settings. Lists are separated by commas.
+//! A section `[KIND NAME]` declares a resource. Its keys are the API's field paths of that kind,
+//! such as `budget.min_available = 70%`; lists are separated by commas.
 
 use {
     ini::{Ini, ParseOption, Properties},
@@ -13,25 +12,25 @@
     std::{error, fmt, fs, path::Path},
 };
 
-/// Bytes of one file at most.
+/// Maximum size of one file, in bytes.
 pub const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Files of one directory at most.
+/// Maximum number of files in a directory.
 pub const MAX_FILES: usize = 1_024;
 
-/// Extension of files of declarations.
+/// File extension of declaration files.
 const EXTENSION: &str = "ini";
 
-/// One mistake in the declarations.
+/// One error in the declarations.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct DeclarationError {
     /// File.
     pub file: String,
-    /// Section; empty when the file as a whole is meant.
+    /// Section; empty when the error concerns the whole file.
     pub section: String,
-    /// Key; empty when the section as a whole is meant.
+    /// Key; empty when the error concerns the whole section.
     pub key: String,
-    /// What is wrong.
+    /// Reason.
     pub reason: String,
 }
 
@@ -50,7 +49,7 @@
 
 impl error::Error for DeclarationError {}
 
-/// A declared resource and where it stands.
+/// A declared resource and its file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Declaration {
     /// Resource.
@@ -60,7 +59,7 @@
 }
 
 impl Declaration {
-    /// Describes a mistake that only the fleet's state shows.
+    /// Returns an error of this declaration that was found by a check against the fleet.
     #[must_use]
     pub fn error(&self, error: &FieldError) -> DeclarationError {
         let reference = self.resource.reference();
@@ -73,13 +72,13 @@
     }
 }
 
-/// Reads a file, or every `.ini` file of a directory by name; sorted in dependency order.
+/// Loads a file, or every `.ini` file of a directory, sorted in dependency order.
 ///
 /// # Errors
 ///
-/// Returns every mistake found in any file.
+/// Returns every error found in any file.
 pub fn load(path: &Path) -> Result<Vec<Declaration>, Vec<DeclarationError>> {
-    let whole = |reason: String| {
+    let path_error = |reason: String| {
         vec![DeclarationError {
             file: path.display().to_string(),
             section: String::new(),
@@ -87,12 +86,12 @@
             reason,
         }]
     };
-    let files = files_of(path).map_err(|error| whole(error.to_string()))?;
+    let files = list_files(path).map_err(|error| path_error(error.to_string()))?;
     if files.is_empty() {
-        return Err(whole("holds no .ini file".into()));
+        return Err(path_error("holds no .ini file".into()));
     }
     if files.len() > MAX_FILES {
-        return Err(whole(format!("holds more than {MAX_FILES} files")));
+        return Err(path_error(format!("holds more than {MAX_FILES} files")));
     }
     let mut reader = Reader::default();
     for file in &files {
@@ -101,18 +100,19 @@
     reader.finish()
 }
 
-/// Reads declarations from a text; `file` is named in errors.
+/// Parses declarations; `file` is the name that errors show.
 ///
 /// # Errors
 ///
-/// Returns every mistake found.
+/// Returns every error found.
 pub fn parse(file: &str, text: &str) -> Result<Vec<Declaration>, Vec<DeclarationError>> {
     let mut reader = Reader::default();
     reader.read_text(file, text);
     reader.finish()
 }
 
-fn files_of(path: &Path) -> std::io::Result<Vec<std::path::PathBuf>> {
+/// Returns the file itself, or the declaration files of a directory sorted by name.
+fn list_files(path: &Path) -> std::io::Result<Vec<std::path::PathBuf>> {
     if !fs::metadata(path)?.is_dir() {
         return Ok(vec![path.into()]);
     }
@@ -130,7 +130,7 @@
     Ok(files)
 }
 
-/// Declarations and mistakes so far.
+/// Declarations and errors found so far.
 #[derive(Default)]
 struct Reader {
     declarations: Vec<Declaration>,
@@ -142,12 +142,12 @@
         let file = path.display().to_string();
         match read_bounded(path) {
             Ok(text) => self.read_text(&file, &text),
-            Err(reason) => self.bad(&file, "", "", reason),
+            Err(reason) => self.add_error(&file, "", "", reason),
         }
     }
 
     fn read_text(&mut self, file: &str, text: &str) {
-        // Backslashes and quotes are kept, so that a text means what it shows.
+        // Backslashes and quotes are literal.
         let option = ParseOption {
             enabled_escape: false,
             enabled_quote: false,
@@ -155,44 +155,44 @@
         };
         let ini = match Ini::load_from_str_opt(text, option) {
             Ok(ini) => ini,
-            Err(error) => return self.bad(file, "", "", error.to_string()),
+            Err(error) => return self.add_error(file, "", "", error.to_string()),
         };
         for (section, properties) in &ini {
             match section {
                 Some(section) => self.read_section(file, section, properties),
                 None if properties.is_empty() => {}
-                None => self.bad(file, "", "", "keys stand before the first section"),
+                None => self.add_error(file, "", "", "keys stand before the first section"),
             }
         }
     }
 
     fn read_section(&mut self, file: &str, section: &str, properties: &Properties) {
-        let (kind, name) = match resource_of(section) {
-            Ok(found) => found,
-            Err(reason) => return self.bad(file, section, "", reason),
+        let (kind, name) = match parse_section(section) {
+            Ok(parsed) => parsed,
+            Err(reason) => return self.add_error(file, section, "", reason),
         };
-        let mut is_good = true;
+        let mut is_valid = true;
         let mut spec = Map::new();
         let mut seen: Vec<&str> = Vec::new();
         for (key, text) in properties {
             if seen.contains(&key) {
-                self.bad(file, section, key, "is given twice");
-                is_good = false;
+                self.add_error(file, section, key, "is given twice");
+                is_valid = false;
             }
             seen.push(key);
-            if let Some(field) = field_of(kind, key) {
-                put_in(&mut spec, key, json_of(field.field_type, text));
+            if let Some(field) = find_field(kind, key) {
+                insert_value(&mut spec, key, to_json(field.field_type, text));
             } else {
-                self.bad(file, section, key, "no such key");
-                is_good = false;
+                self.add_error(file, section, key, "no such key");
+                is_valid = false;
             }
         }
         match parse_spec(kind, name, &Value::Object(spec)) {
-            Ok(resource) if is_good => self.add(file, section, resource),
+            Ok(resource) if is_valid => self.add(file, section, resource),
             Ok(_) => {}
             Err(errors) => {
                 for error in errors {
-                    self.bad(file, section, &error.field, error.reason);
+                    self.add_error(file, section, &error.field, error.reason);
                 }
             }
         }
@@ -200,16 +200,16 @@
 
     fn add(&mut self, file: &str, section: &str, resource: Resource) {
         let reference = resource.reference();
-        let row = self
+        let search = self
             .declarations
             .binary_search_by_key(&reference, |known| known.resource.reference());
-        match row {
-            Ok(row) => {
-                let reason = format!("is declared in {} too", self.declarations[row].file);
-                self.bad(file, section, "", reason);
+        match search {
+            Ok(index) => {
+                let reason = format!("is declared in {} too", self.declarations[index].file);
+                self.add_error(file, section, "", reason);
             }
-            Err(row) => self.declarations.insert(
-                row,
+            Err(index) => self.declarations.insert(
+                index,
                 Declaration {
                     resource,
                     file: file.into(),
@@ -218,7 +218,7 @@
         }
     }
 
-    fn bad(&mut self, file: &str, section: &str, key: &str, reason: impl Into<String>) {
+    fn add_error(&mut self, file: &str, section: &str, key: &str, reason: impl Into<String>) {
         self.errors.push(DeclarationError {
             file: file.into(),
             section: section.into(),
@@ -244,7 +244,8 @@
     fs::read_to_string(path).map_err(|error| error.to_string())
 }
 
-fn resource_of(section: &str) -> Result<(Kind, &str), String> {
+/// Parses the kind and the name in a section header.
+fn parse_section(section: &str) -> Result<(Kind, &str), String> {
     let (kind, name) = section
         .split_once(' ')
         .ok_or("a section is [KIND NAME], such as [pool notices]")?;
@@ -256,14 +257,15 @@
     Ok((kind, name))
 }
 
-/// Finds a field by its key; the name stands in the section.
-fn field_of(kind: Kind, key: &str) -> Option<&'static Field> {
+/// Finds a field by its key; the name is not a key, as the section header has it.
+fn find_field(kind: Kind, key: &str) -> Option<&'static Field> {
     fields(kind)
         .iter()
         .find(|field| field.path == key && key != "name")
 }
 
-fn put_in(spec: &mut Map<String, Value>, path: &str, value: Value) {
+/// Inserts a value at a path of at most two parts.
+fn insert_value(spec: &mut Map<String, Value>, path: &str, value: Value) {
     match path.split_once('.') {
         Some((group, key)) => {
             let group = spec.entry(group).or_insert_with(|| json!({}));
@@ -273,8 +275,9 @@
     }
 }
 
-/// Returns the JSON of a text; a text that does not fit stays a text, which validation refuses.
-fn json_of(field_type: FieldType, text: &str) -> Value {
+/// Converts the text of a field to JSON; text of another type stays a string, which the validation
+/// rejects.
+fn to_json(field_type: FieldType, text: &str) -> Value {
     let text = text.trim();
     let number = |text: &str| text.trim().parse::<u64>().ok();
     match field_type {
@@ -300,7 +303,7 @@
     }
 }
 
-/// Returns the text of a field's value, as a file would give it.
+/// Formats the value of a field in the syntax of declaration files.
 #[must_use]
 pub fn format_value(value: &Value) -> String {
     match value {
@@ -318,7 +321,8 @@
     }
 }
 
-/// Returns the fields of a resource with their values as text, without the name.
+/// Returns the fields of a resource except the name, with values in the syntax of declaration
+/// files.
 #[must_use]
 pub fn field_texts(resource: &Resource) -> Vec<(&'static str, String)> {
     let document = json!(resource);
