--- a/crates/lynxctl/src/apply.rs
+++ b/crates/lynxctl/src/apply.rs
@@ -1,4 +1,4 @@
-//! Bringing the fleet's declarations to those of the files.
+//! Comparison of declaration files with the fleet, and their application.
 
 use {
     crate::{
@@ -10,39 +10,39 @@
     std::fmt::Write,
 };
 
-/// What is to be done with one resource.
+/// Change of one resource.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlanStep {
     /// Declaration.
     pub declaration: Declaration,
-    /// Revision seen; 0 when it does not exist.
+    /// Current revision of the resource; 0 when it does not exist.
     pub revision: u64,
-    /// Fields that change.
+    /// Changed fields.
     pub changes: Vec<FieldChange>,
 }
 
 /// Change of one field.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FieldChange {
-    /// Field.
+    /// Path of the field.
     pub field: &'static str,
-    /// Value in force; nothing for a new resource.
+    /// Current value; `None` for a new resource.
     pub from: Option<String>,
     /// Value in the file.
     pub to: String,
 }
 
-/// What is to be done, in dependency order.
+/// Changes that apply the files to the fleet, in dependency order.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Plan {
     /// Resources to declare.
     pub steps: Vec<PlanStep>,
-    /// Number of resources that are as the files say.
+    /// Number of resources that match the files already.
     pub unchanged: usize,
 }
 
 impl Plan {
-    /// Returns the plan as text, one line for a resource and one for each field.
+    /// Returns the plan as text, with a line for each resource and each changed field.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
@@ -67,7 +67,7 @@
     }
 }
 
-/// Compares files with the fleet; both sorted by reference.
+/// Compares declarations with the resources of the fleet, both sorted by reference.
 #[must_use]
 pub fn diff_declarations(declarations: &[Declaration], fleet: &[ResourceView]) -> Plan {
     let mut plan = Plan::default();
@@ -102,11 +102,11 @@
         .collect()
 }
 
-/// Makes the plan against the fleet as it is now, and checks all of it before anything is sent.
+/// Compares declarations with the current fleet and validates every change without applying it.
 ///
 /// # Errors
 ///
-/// Fails with every mistake that the fleet's state shows.
+/// Fails when the fleet cannot be read, or with every error that the validation finds.
 pub async fn build_plan(
     client: &ApiClient,
     declarations: &[Declaration],
@@ -117,20 +117,21 @@
     }
     let plan = diff_declarations(declarations, &fleet);
     let mut errors = Vec::new();
-    let is_in = |reference: &ResourceRef| {
+    let is_in_fleet = |reference: &ResourceRef| {
         let row = fleet.binary_search_by(|view| view.resource.reference().cmp(reference));
         row.is_ok()
     };
     for step in &plan.steps {
         let needs = step.declaration.resource.needs();
         let missing = needs.iter().filter(|need| {
-            let row = declarations.binary_search_by(|own| own.resource.reference().cmp(need));
-            row.is_err() && !is_in(need)
+            let row = declarations
+                .binary_search_by(|declaration| declaration.resource.reference().cmp(need));
+            row.is_err() && !is_in_fleet(need)
         });
         let missing = missing.map(|need| step.declaration.error(&missing_error(step, need)));
         let missing: Vec<_> = missing.collect();
-        if missing.is_empty() && needs.iter().all(is_in) {
-            errors.extend(trial_errors(client, step).await?);
+        if missing.is_empty() && needs.iter().all(is_in_fleet) {
+            errors.extend(dry_run_errors(client, step).await?);
         }
         errors.extend(missing);
     }
@@ -148,15 +149,15 @@
     }
 }
 
-/// Asks a server whether it would take a step; what it needs exists already.
-async fn trial_errors(
+/// Returns the errors that a server finds in a dry run of a step whose dependencies exist.
+async fn dry_run_errors(
     client: &ApiClient,
     step: &PlanStep,
 ) -> Result<Vec<DeclarationError>, CtlError> {
-    let trial = client
+    let result = client
         .put(&step.declaration.resource, step.revision, true)
         .await;
-    match trial {
+    match result {
         Ok(_) => Ok(Vec::new()),
         Err(CtlError::Refused { problem, .. }) if problem.reason == ProblemReason::Invalid => {
             let errors = problem.errors.iter();
@@ -173,22 +174,23 @@
     }
 }
 
-/// Carries a plan out; `progress` is told of each resource.
+/// Applies a plan in order and reports each applied resource to `progress`.
 ///
 /// # Errors
 ///
-/// Stops at the first resource that is not taken, and says what was applied and what not.
+/// Stops at the first resource that fails, with the resources that were applied and those that
+/// were not.
 pub async fn apply_plan(
     client: &ApiClient,
     plan: &Plan,
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<(), CtlError> {
-    for (row, step) in plan.steps.iter().enumerate() {
+    for (index, step) in plan.steps.iter().enumerate() {
         let resource = &step.declaration.resource;
         match client.put(resource, step.revision, false).await {
-            Ok(answer) => progress(&format!(
+            Ok(response) => progress(&format!(
                 "applied {} at revision {}",
-                answer.reference, answer.revision
+                response.reference, response.revision
             )),
             Err(cause) => {
                 let references = |steps: &[PlanStep]| {
@@ -196,9 +198,9 @@
                     resources.map(Resource::reference).collect()
                 };
                 return Err(CtlError::ApplyInterrupted {
-                    applied: references(&plan.steps[..row]),
+                    applied: references(&plan.steps[..index]),
                     failed: resource.reference(),
-                    not_applied: references(&plan.steps[row + 1..]),
+                    not_applied: references(&plan.steps[index + 1..]),
                     cause: Box::new(cause),
                 });
             }
--- a/crates/lynxctl/src/error.rs
+++ b/crates/lynxctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and its exit code.
+//! Errors of commands and their exit codes.
 
 use {
     crate::declarations::DeclarationError,
@@ -7,66 +7,66 @@
     std::{error, fmt, net::SocketAddr},
 };
 
-/// Exit codes, the same for every command.
+/// Description of the exit codes, which all commands share.
 pub const EXIT_CODES: &str = "Exit codes: 0 done; 1 refused; 2 bad command line; 3 bad declarations or \
      token; 4 no server answered or the log takes no records; 5 outcome of a write unknown; 6 \
      another operator was faster; 7 not ready in time, or never will be; 8 diff found differences";
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug)]
 pub enum CtlError {
-    /// The declarations have mistakes; nothing was applied.
+    /// The declarations have errors; nothing was applied.
     Declarations(Vec<DeclarationError>),
-    /// The token or a server's address cannot be used.
+    /// The token, the servers or the request are not valid; nothing was sent.
     InvalidSetup {
-        /// What is wrong.
+        /// Reason.
         reason: String,
     },
-    /// No server answered; a write was not sent.
+    /// No server responded; a write was not sent.
     Unreachable {
-        /// Last failure.
+        /// Last error.
         source: TransportError,
     },
-    /// A write was sent and no answer came.
+    /// A write was sent without a response; it may or may not take effect.
     NoResponse {
-        /// Failure.
+        /// Error of the connection.
         source: TransportError,
     },
-    /// The server refused.
+    /// The server refused the request.
     Refused {
-        /// What was asked for.
+        /// Request, such as `get pool/maps`.
         what: String,
-        /// Why.
+        /// Problem that the server reported.
         problem: Box<Problem>,
     },
-    /// The answer is not what the API promises.
+    /// The response does not conform to the API.
     InvalidResponse {
         /// Server.
         peer: SocketAddr,
-        /// What is wrong.
+        /// Reason.
         reason: String,
     },
-    /// Applying stopped in the middle.
+    /// Some resources were applied before one failed.
     ApplyInterrupted {
-        /// Resources that were applied.
+        /// Applied resources.
         applied: Vec<ResourceRef>,
-        /// Resource at which it stopped.
+        /// Resource that failed.
         failed: ResourceRef,
-        /// Resources that were not applied.
+        /// Resources after the failed one, which were not applied.
         not_applied: Vec<ResourceRef>,
-        /// Why.
+        /// Error of the failed resource.
         cause: Box<Self>,
     },
-    /// What was declared does not hold.
+    /// A resource is not ready.
     NotReady {
         /// Resource.
         reference: ResourceRef,
-        /// Why.
+        /// Reason.
         reason: String,
     },
     /// The files and the fleet differ.
     Differs {
-        /// The differences.
+        /// Differences, in readable form.
         text: String,
     },
 }
@@ -147,6 +147,7 @@
     }
 }
 
+/// Writes a problem with its field errors, dependents and retry delay.
 fn write_refusal(formatter: &mut fmt::Formatter<'_>, what: &str, problem: &Problem) -> fmt::Result {
     write!(formatter, "{what}: {}", problem.detail)?;
     for error in &problem.errors {
