--- a/crates/lynxctl/src/client.rs
+++ b/crates/lynxctl/src/client.rs
@@ -1,4 +1,4 @@
-//! The resource API as the operators' command sees it.
+//! Client of the resource API.
 
 use {
     crate::error::CtlError,
@@ -19,39 +19,39 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// Time that one call may take; longer than a node waits for its log.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for one call; longer than a node waits for its log.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time without any line, bookmarks included, after which a watch is taken for dead.
-const WATCH_SILENCE: Duration = Duration::from_secs(20);
+/// Time without an event or bookmark after which a watch counts as broken.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time for which the outcome of a write is asked for again and again.
-const LOOK_UP_LIMIT: Duration = Duration::from_secs(20);
+/// Time limit for polling the outcome of a write.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two such questions.
-const LOOK_UP_PAUSE: Duration = Duration::from_millis(250);
+/// Interval at which the outcome of a write is polled.
+const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Resources asked for with one page.
-const PAGE: usize = 1_000;
+/// Maximum number of resources in a page of a list.
+const PAGE_SIZE: usize = 1_000;
 
-/// Times that a list is begun anew when its pages cannot be joined.
-const LIST_ATTEMPTS: usize = 5;
+/// Maximum attempts of a list whose continuation expires.
+const MAX_LIST_ATTEMPTS: usize = 5;
 
-/// Bytes of one line of a watch at most.
+/// Maximum size of one event of a watch, in bytes.
 const MAX_LINE_BYTES: usize = 1024 * 1024;
 
-/// Client of the resource API at several servers.
+/// Client of the resource API that fails over between several servers.
 #[derive(Debug)]
 pub struct ApiClient {
     servers: Vec<Client>,
-    /// The server that answered last; pages and watches go on there.
+    /// Index of the server that responded last, which is tried first.
     preferred: AtomicUsize,
     token: Option<String>,
     has_seen_stale_node: AtomicBool,
 }
 
 impl ApiClient {
-    /// Creates a client of these servers, which are tried in turn.
+    /// Creates a client of `servers`, which are tried in order.
     #[must_use]
     pub fn new(servers: &[SocketAddr]) -> Self {
         Self {
@@ -72,46 +72,46 @@
         self
     }
 
-    /// Tells whether a node that answered did not know that it is current.
+    /// Returns whether any response came from a node that may be behind the log.
     #[must_use]
     pub fn has_seen_stale_node(&self) -> bool {
         self.has_seen_stale_node.load(Ordering::Relaxed)
     }
 
-    /// Returns a resource, or nothing when it is not declared.
+    /// Returns a resource, or `None` when it is not declared.
     ///
     /// # Errors
     ///
-    /// Fails when no server answers or the server refuses.
+    /// Fails when no server responds or the server refuses the request.
     pub async fn get(&self, reference: &ResourceRef) -> Result<Option<ResourceView>, CtlError> {
-        let (peer, answer) = self
+        let (peer, response) = self
             .call(&self.request(Method::GET, path(reference)))
             .await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        if response.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        decode(&format!("get {reference}"), peer, &answer).map(Some)
+        decode(&format!("get {reference}"), peer, &response).map(Some)
     }
 
-    /// Returns why a resource stands where it does.
+    /// Returns the explanation of a resource's state.
     ///
     /// # Errors
     ///
     /// Fails as [`ApiClient::get`] does, or when the resource is not declared.
     pub async fn explain(&self, reference: &ResourceRef) -> Result<ExplanationView, CtlError> {
         let path = format!("{}/explanation", path(reference));
-        let (peer, answer) = self.call(&self.request(Method::GET, path)).await?;
-        decode(&format!("explain {reference}"), peer, &answer)
+        let (peer, response) = self.call(&self.request(Method::GET, path)).await?;
+        decode(&format!("explain {reference}"), peer, &response)
     }
 
-    /// Returns every resource of a kind.
+    /// Returns all resources of a kind.
     ///
     /// # Errors
     ///
     /// Fails as [`ApiClient::get`] does.
     pub async fn list(&self, kind: Kind) -> Result<ResourceList, CtlError> {
-        for _ in 0..LIST_ATTEMPTS {
-            if let Some(list) = self.pages(kind).await? {
+        for _ in 0..MAX_LIST_ATTEMPTS {
+            if let Some(list) = self.try_list(kind).await? {
                 return Ok(list);
             }
         }
@@ -122,34 +122,35 @@
         })
     }
 
-    /// Joins the pages of a list; nothing when they cannot be joined any more.
-    async fn pages(&self, kind: Kind) -> Result<Option<ResourceList>, CtlError> {
+    /// Reads all pages of a list; returns `None` when the continuation has expired.
+    async fn try_list(&self, kind: Kind) -> Result<Option<ResourceList>, CtlError> {
         let mut whole: Option<ResourceList> = None;
-        let mut place = String::new();
+        let mut cursor = String::new();
         loop {
-            let path = format!("/v1/{kind}?limit={PAGE}{place}");
-            let (peer, answer) = self.call(&self.request(Method::GET, path)).await?;
-            if answer.status == StatusCode::GONE {
+            let path = format!("/v1/{kind}?limit={PAGE_SIZE}{cursor}");
+            let (peer, response) = self.call(&self.request(Method::GET, path)).await?;
+            if response.status == StatusCode::GONE {
                 return Ok(None);
             }
-            let mut page: ResourceList = decode(&format!("list {kind}"), peer, &answer)?;
+            let mut page: ResourceList = decode(&format!("list {kind}"), peer, &response)?;
             let next = page.continue_at.take();
             match &mut whole {
                 Some(whole) => whole.items.append(&mut page.items),
                 None => whole = Some(page),
             }
             match next {
-                Some(next) => place = format!("&continue={next}"),
+                Some(next) => cursor = format!("&continue={next}"),
                 None => return Ok(whole),
             }
         }
     }
 
-    /// Declares a resource that is at `revision`; 0 when it does not exist.
+    /// Declares a resource whose current revision is `revision`; 0 when it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails as [`ApiClient::get`] does, or when the outcome stays unknown.
+    /// Fails as [`ApiClient::get`] does, when the resource has another revision or when the
+    /// outcome remains unknown.
     pub async fn put(
         &self,
         resource: &Resource,
@@ -157,12 +158,12 @@
         dry_run: bool,
     ) -> Result<WriteAnswer, CtlError> {
         let reference = resource.reference();
-        let trial = if dry_run { "?dry_run=true" } else { "" };
+        let query = if dry_run { "?dry_run=true" } else { "" };
         let body = serde_json::to_vec(resource).map_err(|error| CtlError::InvalidSetup {
             reason: error.to_string(),
         })?;
         let request = self
-            .request(Method::PUT, format!("{}{trial}", path(&reference)))
+            .request(Method::PUT, format!("{}{query}", path(&reference)))
             .with_header("if-match", revision.to_string())
             .with_body(body);
         self.write(&format!("declare {reference}"), &reference, &request)
@@ -180,26 +181,26 @@
             .await
     }
 
-    /// Asks what became of a write.
+    /// Returns the outcome of a write.
     ///
     /// # Errors
     ///
     /// Fails as [`ApiClient::get`] does.
     pub async fn operation(&self, id: OperationId) -> Result<OperationView, CtlError> {
         let path = format!("/v1/operations/{id}");
-        let (peer, answer) = self.call(&self.request(Method::GET, path)).await?;
-        decode(&format!("look up {id}"), peer, &answer)
+        let (peer, response) = self.call(&self.request(Method::GET, path)).await?;
+        decode(&format!("look up {id}"), peer, &response)
     }
 
-    /// Returns the latest writes of all nodes, the last one first.
+    /// Returns the latest writes of all nodes, the most recent first.
     ///
     /// # Errors
     ///
     /// Fails as [`ApiClient::get`] does.
     pub async fn operations(&self) -> Result<OperationList, CtlError> {
         let request = self.request(Method::GET, "/v1/operations".into());
-        let (peer, answer) = self.call(&request).await?;
-        decode("list operations", peer, &answer)
+        let (peer, response) = self.call(&request).await?;
+        decode("list operations", peer, &response)
     }
 
     /// Opens a watch of one resource.
@@ -209,9 +210,9 @@
     /// Fails as [`ApiClient::get`] does.
     pub async fn watch(&self, reference: &ResourceRef) -> Result<WatchStream, CtlError> {
         let path = format!("/v1/{}?watch=true&name={}", reference.kind, reference.name);
-        let mut last = None;
-        for row in self.order() {
-            let server = &self.servers[row];
+        let mut last_error = None;
+        for index in self.server_order() {
+            let server = &self.servers[index];
             let mut request = Request::builder()
                 .method(Method::GET)
                 .uri(&path)
@@ -224,38 +225,38 @@
                 .map_err(|error| CtlError::InvalidSetup {
                     reason: error.to_string(),
                 })?;
-            match server.send(request, Instant::now() + CALL_LIMIT).await {
+            match server.send(request, Instant::now() + CALL_TIMEOUT).await {
                 Ok(response) if response.status() == StatusCode::OK => {
-                    self.preferred.store(row, Ordering::Relaxed);
+                    self.preferred.store(index, Ordering::Relaxed);
                     return Ok(WatchStream {
                         body: response.into_body(),
-                        bytes: Vec::new(),
+                        buffer: Vec::new(),
                     });
                 }
-                Ok(response) => return Err(refusal_of(server.peer(), response).await),
-                Err(error) => last = Some(error),
+                Ok(response) => return Err(read_refusal(server.peer(), response).await),
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(unreachable(last))
+        Err(unreachable(last_error))
     }
 
-    /// Sends a write; when the server does not know its outcome yet, asks until it is known.
+    /// Sends a write, and polls its outcome when the server does not know it yet.
     async fn write(
         &self,
         what: &str,
         reference: &ResourceRef,
         request: &ClientRequest,
     ) -> Result<WriteAnswer, CtlError> {
-        let (peer, answer) = self.call(request).await?;
-        let refused = match decode::<WriteAnswer>(what, peer, &answer) {
+        let (peer, response) = self.call(request).await?;
+        let refusal = match decode::<WriteAnswer>(what, peer, &response) {
             Err(error) => error,
-            written => return written,
+            result => return result,
         };
-        let Some(id) = refused.operation() else {
-            return Err(refused);
+        let Some(id) = refusal.operation() else {
+            return Err(refusal);
         };
-        let until = Instant::now() + LOOK_UP_LIMIT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + OUTCOME_TIMEOUT;
+        while Instant::now() < deadline {
             match self.operation(id).await.map(|view| view.outcome) {
                 Ok(OperationOutcome::Accepted { offset }) => {
                     return Ok(WriteAnswer {
@@ -273,9 +274,9 @@
                 }
                 Ok(OperationOutcome::NotSeen | OperationOutcome::TooOld) | Err(_) => {}
             }
-            sleep(LOOK_UP_PAUSE).await;
+            sleep(OUTCOME_POLL_INTERVAL).await;
         }
-        Err(refused)
+        Err(refusal)
     }
 
     fn request(&self, method: Method, path: String) -> ClientRequest {
@@ -286,58 +287,61 @@
         }
     }
 
-    /// Sends a request to the first server that takes it.
+    /// Sends a request to the first reachable server.
     ///
-    /// A write that may have been sent is not sent to another server: both could apply it, and
-    /// the second answer would hide the first.
+    /// A write that may have been sent is not retried at another server: both could apply it, and
+    /// the second response would hide the first.
     async fn call(&self, request: &ClientRequest) -> Result<(SocketAddr, Answer), CtlError> {
-        let mut last = None;
-        for row in self.order() {
-            let server = &self.servers[row];
-            match server.call(request, CALL_LIMIT).await {
-                Ok(answer) => {
-                    self.preferred.store(row, Ordering::Relaxed);
-                    if answer.header(CURRENT_HEADER) == Some("false") {
+        let mut last_error = None;
+        for index in self.server_order() {
+            let server = &self.servers[index];
+            match server.call(request, CALL_TIMEOUT).await {
+                Ok(response) => {
+                    self.preferred.store(index, Ordering::Relaxed);
+                    if response.header(CURRENT_HEADER) == Some("false") {
                         self.has_seen_stale_node.store(true, Ordering::Relaxed);
                     }
-                    return Ok((server.peer(), answer));
+                    return Ok((server.peer(), response));
                 }
                 Err(source) if source.may_have_run && request.method != Method::GET => {
                     return Err(CtlError::NoResponse { source });
                 }
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(unreachable(last))
+        Err(unreachable(last_error))
     }
 
-    /// Returns the servers' rows, the preferred one first.
-    fn order(&self) -> impl Iterator<Item = usize> {
+    /// Returns the indices of the servers, the preferred one first.
+    fn server_order(&self) -> impl Iterator<Item = usize> {
         let count = self.servers.len();
         let first = self.preferred.load(Ordering::Relaxed);
-        (0..count).map(move |step| (first + step) % count)
+        (0..count).map(move |offset| (first + offset) % count)
     }
 }
 
-/// Open watch, read line by line.
+/// An open watch, as a stream of JSON lines.
 pub struct WatchStream {
     body: Body,
-    bytes: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl WatchStream {
-    /// Returns the next event; nothing when the stream is over and must be opened anew.
+    /// Returns the next event, or `None` when the stream has ended and the watch must be reopened.
     pub async fn next(&mut self) -> Option<WatchEvent> {
         loop {
-            if let Some(end) = self.bytes.iter().position(|byte| *byte == b'\n') {
-                let line: Vec<u8> = self.bytes.drain(..=end).collect();
+            if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+                let line: Vec<u8> = self.buffer.drain(..=end).collect();
                 return serde_json::from_slice(&line).ok();
             }
-            if self.bytes.len() > MAX_LINE_BYTES {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return None;
             }
-            let frame = timeout(WATCH_SILENCE, self.body.frame()).await.ok()??;
-            self.bytes.extend_from_slice(&frame.ok()?.into_data().ok()?);
+            let frame = timeout(WATCH_IDLE_TIMEOUT, self.body.frame())
+                .await
+                .ok()??;
+            self.buffer
+                .extend_from_slice(&frame.ok()?.into_data().ok()?);
         }
     }
 }
@@ -346,8 +350,9 @@
     format!("/v1/{}/{}", reference.kind, reference.name)
 }
 
-fn unreachable(last: Option<TransportError>) -> CtlError {
-    match last {
+/// Returns the error for a request that no server took, with the last connection error.
+fn unreachable(last_error: Option<TransportError>) -> CtlError {
+    match last_error {
         Some(source) => CtlError::Unreachable { source },
         None => CtlError::InvalidSetup {
             reason: "no server given".into(),
@@ -355,9 +360,10 @@
     }
 }
 
-async fn refusal_of(peer: SocketAddr, response: http::Response<Body>) -> CtlError {
+/// Reads the problem in the response to a watch.
+async fn read_refusal(peer: SocketAddr, response: http::Response<Body>) -> CtlError {
     match response.into_body().collect().await {
-        Ok(collected) => refusal("watch", peer, &collected.to_bytes()),
+        Ok(collected) => decode_refusal("watch", peer, &collected.to_bytes()),
         Err(error) => CtlError::InvalidResponse {
             peer,
             reason: error.to_string(),
@@ -365,7 +371,8 @@
     }
 }
 
-fn refusal(what: &str, peer: SocketAddr, body: &[u8]) -> CtlError {
+/// Decodes the problem in a response.
+fn decode_refusal(what: &str, peer: SocketAddr, body: &[u8]) -> CtlError {
     match serde_json::from_slice::<Problem>(body) {
         Ok(problem) => CtlError::Refused {
             what: what.into(),
@@ -381,12 +388,12 @@
 fn decode<T: DeserializeOwned>(
     what: &str,
     peer: SocketAddr,
-    answer: &Answer,
+    response: &Answer,
 ) -> Result<T, CtlError> {
-    if answer.status != StatusCode::OK {
-        return Err(refusal(what, peer, &answer.body));
+    if response.status != StatusCode::OK {
+        return Err(decode_refusal(what, peer, &response.body));
     }
-    serde_json::from_slice(&answer.body).map_err(|error| CtlError::InvalidResponse {
+    serde_json::from_slice(&response.body).map_err(|error| CtlError::InvalidResponse {
         peer,
         reason: error.to_string(),
     })
