--- a/crates/lynxctl/src/steer.rs
+++ b/crates/lynxctl/src/changes.rs
@@ -1,7 +1,7 @@
-//! Changes of one declaration: waves and moves.
+//! Commands that change one declaration: waves and VM moves.
 
 use {
-    crate::{client::ApiClient, commands::declared, error::CtlError, wait},
+    crate::{client::ApiClient, commands::get_declared, error::CtlError, watch},
     lynxwheel_protocol::{
         Kind, PoolName, Problem, ProblemReason, Resource, ResourceRef, VmName, VmSpec, WaveAction,
         WaveGoal, WaveName, WaveSpec,
@@ -9,7 +9,7 @@
     std::time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// Kinds whose resources use a pool's VMs.
+/// Kinds whose resources run on the VMs of a pool.
 const POOL_USERS: [Kind; 2] = [Kind::Service, Kind::Job];
 
 /// Declares a new wave.
@@ -30,40 +30,40 @@
         due_before_ms: due_before_ms.unwrap_or_else(now_ms),
         deadline_ms: 0,
     });
-    let answer = client.put(&resource, 0, false).await?;
+    let response = client.put(&resource, 0, false).await?;
     Ok(format!(
         "wave {wave} started at revision {}",
-        answer.revision
+        response.revision
     ))
 }
 
-/// Changes what a wave does now.
+/// Sets the goal of a wave.
 pub(crate) async fn set_goal(
     client: &ApiClient,
     wave: &WaveName,
     goal: WaveGoal,
 ) -> Result<String, CtlError> {
     let reference = ResourceRef::new(Kind::Wave, wave.as_str());
-    let mut view = declared(client, &reference).await?;
+    let mut view = get_declared(client, &reference).await?;
     if let Resource::Wave(spec) = &mut view.resource {
         if spec.goal == goal {
             return Ok(format!("wave {wave} was told so before"));
         }
         spec.goal = goal;
     }
-    let answer = client.put(&view.resource, view.revision, false).await?;
-    let told = match goal {
+    let response = client.put(&view.resource, view.revision, false).await?;
+    let effect = match goal {
         WaveGoal::Run => "goes on",
         WaveGoal::Pause => "claims nothing new",
         WaveGoal::Abort => "is given up",
     };
     Ok(format!(
-        "wave {wave} {told} from revision {}",
-        answer.revision
+        "wave {wave} {effect} from revision {}",
+        response.revision
     ))
 }
 
-/// Declares another pool for a VM, and waits for the move if asked to.
+/// Declares another pool for a VM and, with `wait_s`, waits until the move is complete.
 pub(crate) async fn move_vm(
     client: &ApiClient,
     vm: &VmName,
@@ -72,38 +72,37 @@
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<String, CtlError> {
     let reference = ResourceRef::new(Kind::Vm, vm.as_str());
-    let view = declared(client, &reference).await?;
+    let view = get_declared(client, &reference).await?;
     let resource = Resource::Vm(VmSpec {
         name: vm.clone(),
         pool: pool.clone(),
     });
-    let mut told = format!("VM {vm} is to be in pool {pool} already");
+    let mut message = format!("VM {vm} is to be in pool {pool} already");
     if view.resource != resource {
-        let answer = client.put(&resource, view.revision, false).await?;
-        told = format!(
+        let response = client.put(&resource, view.revision, false).await?;
+        message = format!(
             "VM {vm} is to move to pool {pool} from revision {}",
-            answer.revision
+            response.revision
         );
     }
     let Some(wait_s) = wait_s else {
-        return Ok(told);
+        return Ok(message);
     };
-    progress(&told);
-    let limit = Duration::from_secs(wait_s);
-    wait::follow(client, &reference, true, limit, progress).await
+    progress(&message);
+    let timeout = Duration::from_secs(wait_s);
+    watch::watch_resource(client, &reference, true, timeout, progress).await
 }
 
-/// Refuses a pool that serves anything as the target of a drain.
-///
-/// A drained VM there would get work at once, which is the opposite of what was asked for.
+/// Rejects a pool that a service or job uses as the target of a drain: the drained VM would get
+/// new work there.
 pub(crate) async fn check_unused(client: &ApiClient, pool: &PoolName) -> Result<(), CtlError> {
-    declared(client, &ResourceRef::new(Kind::Pool, pool.as_str())).await?;
+    get_declared(client, &ResourceRef::new(Kind::Pool, pool.as_str())).await?;
     for kind in POOL_USERS {
         for view in client.list(kind).await?.items {
-            let uses = view.resource.needs();
-            let is_user = uses
+            let dependencies = view.resource.needs();
+            let is_user = dependencies
                 .iter()
-                .any(|need| need.kind == Kind::Pool && need.name == pool.as_str());
+                .any(|used| used.kind == Kind::Pool && used.name == pool.as_str());
             if is_user {
                 let detail = format!("pool {pool} is used by {}", view.resource.reference());
                 return Err(CtlError::Refused {
--- a/crates/lynxctl/src/commands.rs
+++ b/crates/lynxctl/src/commands.rs
@@ -1,13 +1,14 @@
-//! What each command does.
+//! Execution of the commands.
 
 use {
     crate::{
         apply::{apply_plan, build_plan},
+        changes,
         cli::{Cli, Command, Connection, LocalCommand, Output, RemoteCommand, WaveCommand},
         client::ApiClient,
         declarations::load,
         error::CtlError,
-        output, steer, wait,
+        output, watch,
     },
     clap::CommandFactory,
     lynxwheel_protocol::{Problem, ProblemReason, ResourceRef, ResourceView, WaveGoal},
@@ -15,14 +16,14 @@
     std::{env, fs, time::Duration},
 };
 
-/// Variable with the access token.
+/// Environment variable with the access token.
 pub const TOKEN_VARIABLE: &str = "LYNXCTL_TOKEN";
 
-/// Carries a command out and returns what it prints; `progress` is told what happens meanwhile.
+/// Executes a command and returns its output; `progress` receives messages in the meantime.
 ///
 /// # Errors
 ///
-/// Fails when the command could not be carried out, or what it asked for does not hold.
+/// Fails when the command cannot be executed, or a resource is not in the requested state.
 pub async fn run(cli: &Cli, progress: &(dyn Fn(&str) + Sync)) -> Result<String, CtlError> {
     let command = match &cli.command {
         Command::Remote(command) => command,
@@ -30,14 +31,14 @@
         Command::Local(_) => return Ok(String::new()),
     };
     let client = connect(&cli.connection)?;
-    let told = run_with(&client, cli, command, progress).await;
+    let result = run_remote(&client, cli, command, progress).await;
     if client.has_seen_stale_node() {
         progress("a node that answered does not know that it is current; it may show the past");
     }
-    told
+    result
 }
 
-async fn run_with(
+async fn run_remote(
     client: &ApiClient,
     cli: &Cli,
     command: &RemoteCommand,
@@ -66,25 +67,25 @@
         }
         RemoteCommand::Get { kind, name: None } => {
             let list = client.list(*kind).await?;
-            Ok(shown(cli, &list, || output::format_list(&list.items)))
+            Ok(show(cli, &list, || output::format_list(&list.items)))
         }
         RemoteCommand::Get {
             kind,
             name: Some(name),
         } => {
-            let view = declared(client, &ResourceRef::new(*kind, name)).await?;
-            Ok(shown(cli, &view, || {
+            let view = get_declared(client, &ResourceRef::new(*kind, name)).await?;
+            Ok(show(cli, &view, || {
                 output::format_list(std::slice::from_ref(&view))
             }))
         }
         RemoteCommand::Describe(args) => {
-            let view = declared(client, &args.reference()).await?;
-            Ok(shown(cli, &view, || output::format_resource(&view)))
+            let view = get_declared(client, &args.reference()).await?;
+            Ok(show(cli, &view, || output::format_resource(&view)))
         }
         RemoteCommand::Explain(args) => {
-            let view = declared(client, &args.reference()).await?;
+            let view = get_declared(client, &args.reference()).await?;
             let explained = client.explain(&args.reference()).await?;
-            Ok(shown(cli, &explained, || {
+            Ok(show(cli, &explained, || {
                 format!(
                     "{}\n\n{}",
                     explained.explanation,
@@ -97,45 +98,52 @@
             until_ready,
             timeout_s,
         } => {
-            let limit = Duration::from_secs(*timeout_s);
-            wait::follow(client, &resource.reference(), *until_ready, limit, progress).await
+            let timeout = Duration::from_secs(*timeout_s);
+            watch::watch_resource(
+                client,
+                &resource.reference(),
+                *until_ready,
+                timeout,
+                progress,
+            )
+            .await
         }
         RemoteCommand::Delete(args) => {
-            let answer = client.delete(&args.reference()).await?;
+            let response = client.delete(&args.reference()).await?;
             Ok(format!(
                 "{} withdrawn at revision {}",
-                answer.reference, answer.revision
+                response.reference, response.revision
             ))
         }
-        RemoteCommand::Wave(command) => wave(client, command).await,
+        RemoteCommand::Wave(command) => run_wave_command(client, command).await,
         RemoteCommand::Move { vm, pool, wait_s } => {
-            steer::move_vm(client, vm, pool, *wait_s, progress).await
+            changes::move_vm(client, vm, pool, *wait_s, progress).await
         }
         RemoteCommand::Drain { vm, into, wait_s } => {
-            steer::check_unused(client, into).await?;
-            steer::move_vm(client, vm, into, *wait_s, progress).await
+            changes::check_unused(client, into).await?;
+            changes::move_vm(client, vm, into, *wait_s, progress).await
         }
         RemoteCommand::Operation { id: None } => {
             let list = client.operations().await?;
-            Ok(shown(cli, &list, || output::format_operations(&list.items)))
+            Ok(show(cli, &list, || output::format_operations(&list.items)))
         }
         RemoteCommand::Operation { id: Some(id) } => {
             let view = client.operation(*id).await?;
-            Ok(shown(cli, &view, || output::format_operation(&view)))
+            Ok(show(cli, &view, || output::format_operation(&view)))
         }
     }
 }
 
-async fn wave(client: &ApiClient, command: &WaveCommand) -> Result<String, CtlError> {
+async fn run_wave_command(client: &ApiClient, command: &WaveCommand) -> Result<String, CtlError> {
     match command {
         WaveCommand::Start {
             wave,
             pools,
             due_before_ms,
-        } => steer::start_wave(client, wave, pools, *due_before_ms).await,
-        WaveCommand::Pause { wave } => steer::set_goal(client, wave, WaveGoal::Pause).await,
-        WaveCommand::Resume { wave } => steer::set_goal(client, wave, WaveGoal::Run).await,
-        WaveCommand::Abort { wave } => steer::set_goal(client, wave, WaveGoal::Abort).await,
+        } => changes::start_wave(client, wave, pools, *due_before_ms).await,
+        WaveCommand::Pause { wave } => changes::set_goal(client, wave, WaveGoal::Pause).await,
+        WaveCommand::Resume { wave } => changes::set_goal(client, wave, WaveGoal::Run).await,
+        WaveCommand::Abort { wave } => changes::set_goal(client, wave, WaveGoal::Abort).await,
     }
 }
 
@@ -152,8 +160,8 @@
     Ok(ApiClient::new(&connection.servers).with_token(token))
 }
 
-/// Returns a resource, or the failure that it is not declared.
-pub(crate) async fn declared(
+/// Returns a resource, or an error when it is not declared.
+pub(crate) async fn get_declared(
     client: &ApiClient,
     reference: &ResourceRef,
 ) -> Result<ResourceView, CtlError> {
@@ -169,7 +177,8 @@
         })
 }
 
-fn shown<T: Serialize>(cli: &Cli, value: &T, table: impl FnOnce() -> String) -> String {
+/// Formats a value as a table or as JSON, as the command line asks for.
+fn show<T: Serialize>(cli: &Cli, value: &T, table: impl FnOnce() -> String) -> String {
     match cli.output {
         Output::Table => table(),
         Output::Json => {
--- a/crates/lynxctl/src/lib.rs
+++ b/crates/lynxctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command as a library.
+//! Library of `lynxctl`, the command-line client for operators.
 //!
 //! ```
 //! let text = "[pool notices]\nsize = 10\nbudget.min_available = 70%\n";
@@ -12,13 +12,13 @@
 pub mod cli;
 
 mod apply;
+mod changes;
 mod client;
 mod commands;
 mod declarations;
 mod error;
 mod output;
-mod steer;
-mod wait;
+mod watch;
 
 pub use apply::{FieldChange, Plan, PlanStep, apply_plan, build_plan, diff_declarations};
 pub use client::{ApiClient, WatchStream};
--- a/crates/lynxctl/src/main.rs
+++ b/crates/lynxctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The command-line client for operators.
 
 use {
     clap::Parser,
--- a/crates/lynxctl/src/output.rs
+++ b/crates/lynxctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Human-readable output of resources and operations.
 
 use {
     crate::declarations::field_texts,
@@ -7,9 +7,9 @@
 };
 
 /// Spaces between two columns.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
-/// Lays rows out in columns; the last column is not padded.
+/// Formats rows as aligned columns; the last column is not padded.
 #[must_use]
 pub fn format_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|cell| cell.chars().count()).collect();
@@ -28,18 +28,18 @@
     let mut line = String::new();
     for (cell, width) in row.iter().zip(widths) {
         // Writing to a string cannot fail.
-        let _ = write!(line, "{cell:<width$}", width = width + GAP);
+        let _ = write!(line, "{cell:<width$}", width = width + COLUMN_GAP);
     }
     line.trim_end().into()
 }
 
-/// Returns the first condition, which tells whether what was declared holds.
+/// Returns the first condition, which tells whether the fleet matches the declaration.
 #[must_use]
 pub fn ready_condition(view: &ResourceView) -> Option<&Condition> {
     view.conditions.first()
 }
 
-/// Lists resources.
+/// Formats resources as a table.
 #[must_use]
 pub fn format_list(views: &[ResourceView]) -> String {
     let rows: Vec<Vec<String>> = views
@@ -59,7 +59,8 @@
     format_table(&["NAME", "REVISION", "READY", "REASON"], &rows)
 }
 
-/// Shows a resource in full, its declaration as a file would give it.
+/// Formats a resource with its declaration, conditions and status; the declaration has the syntax
+/// of a declaration file.
 #[must_use]
 pub fn format_resource(view: &ResourceView) -> String {
     let reference = view.resource.reference();
@@ -80,7 +81,7 @@
     text
 }
 
-/// Shows what holds of a resource, and why.
+/// Formats the conditions of a resource as a table.
 #[must_use]
 pub fn format_conditions(view: &ResourceView) -> String {
     let rows: Vec<Vec<String>> = view
@@ -97,7 +98,7 @@
     format_table(&["CONDITION", "HOLDS", "REASON"], &rows)
 }
 
-/// Shows an operation.
+/// Formats the outcome of an operation.
 #[must_use]
 pub fn format_operation(view: &OperationView) -> String {
     let mut text = format_outcome(view);
@@ -107,7 +108,7 @@
     text
 }
 
-/// Lists operations.
+/// Formats operations as a table.
 #[must_use]
 pub fn format_operations(views: &[OperationView]) -> String {
     let rows: Vec<Vec<String>> = views
