--- a/crates/engine/tests/delays.rs
+++ b/crates/engine/tests/delays.rs
@@ -1,9 +1,9 @@
-//! Histories in which everything is late: orders, answers, reports, and the owner itself.
+//! Simulations with delayed orders, answers, reports and owners.
 //!
-//! An order may arrive seconds after its caller was told that it got no answer, answers overtake each
-//! other, and the owner falls seconds behind its mailbox while endpoints go on. Whatever it believes
-//! meanwhile, no task has two runs under way at once, nothing starts after an end of it was taken note
-//! of, neither room nor an account's quota is overdrawn, and every job comes to its end.
+//! Orders may arrive seconds after their call timed out, answers may overtake each other, and the
+//! owner may fall seconds behind its mailbox. In all cases no task has two active runs, no done
+//! task starts again, neither endpoint capacity nor account quotas are exceeded, and every job
+//! ends.
 
 mod common;
 
@@ -25,27 +25,27 @@
 
 const CORES: u64 = 4;
 
-/// Client accounts with the cores that each may have running at once; 0 is no limit. Jobs are theirs by
-/// turns.
+/// Client accounts with their quotas in cores, where 0 means unlimited. Jobs are assigned in turn.
 const ACCOUNTS: [(&str, u64); 3] = [("", 0), ("maps", 4), ("post", 7)];
 
-/// Time in which work is handed in, in milliseconds.
+/// Period in which jobs are submitted, in milliseconds.
 const BUSY_MS: u64 = 20_000;
 
-/// Time after which everything has to have come to its end, in milliseconds.
+/// Time by which every job must have ended, in milliseconds.
 const END_MS: u64 = 90_000;
 
-/// Time after which a caller is told that a call got no answer, in milliseconds.
+/// Timeout of a call, in milliseconds.
 const CALL_MS: u64 = 500;
 
-/// What happens at some time.
+/// Scheduled occurrence.
 #[derive(Debug)]
-enum Due {
-    /// A call arrives at an endpoint; the time by which its caller gave up.
+enum Scheduled {
+    /// A call arrives at an endpoint; with the time at which the caller times out.
     Arrival(Effect, u64),
-    /// A renewal has waited for long enough.
+    /// An endpoint answers a renewal: endpoint, acknowledged end, time at which the caller times
+    /// out.
     Report(u32, u64, u64),
-    /// The owner learns something.
+    /// The owner receives an event.
     Event(Event),
     /// A run ends.
     End(usize, TaskRef, u32),
@@ -59,17 +59,17 @@
     task: TaskRef,
     run: u32,
     begun_ms: u64,
-    takes_ms: u64,
+    duration_ms: u64,
 }
 
-/// An endpoint as the platform describes it.
+/// Simulated endpoint.
 #[derive(Debug, Default)]
 struct FakeEndpoint {
     key: u32,
     running: Vec<Running>,
     ended: Vec<EndedTask>,
     ends: u64,
-    /// Runs that were stopped or have ended here: no run up to these begins any more.
+    /// Stopped and ended runs; neither these nor earlier runs of the task may start again.
     ended_runs: Vec<(TaskRef, u32)>,
     lease_until_ms: u64,
 }
@@ -101,8 +101,8 @@
     engine: Engine,
     random: ChaCha8Rng,
     now_ms: u64,
-    /// What is due, unsorted: time, and order of its kind.
-    due: Vec<(u64, u64, Due)>,
+    /// Scheduled occurrences, unsorted: time, sequence number, occurrence.
+    due: Vec<(u64, u64, Scheduled)>,
     next_order: u64,
     endpoints: Vec<FakeEndpoint>,
     mailbox: VecDeque<Event>,
@@ -110,7 +110,7 @@
     in_flight: Option<Batch>,
     stored: Vec<Record>,
     jobs: u64,
-    /// Tasks of which an end as done was taken note of.
+    /// Tasks whose completion was acknowledged.
     done: Vec<TaskRef>,
     longest_stall_ms: u64,
 }
@@ -154,7 +154,7 @@
         for number in 0..ENDPOINTS {
             world.list(number);
         }
-        world.after(0, Due::Tick);
+        world.after(0, Scheduled::Tick);
         world
     }
 
@@ -193,12 +193,12 @@
         });
     }
 
-    fn after(&mut self, ms: u64, due: Due) {
+    fn after(&mut self, ms: u64, due: Scheduled) {
         self.next_order += 1;
         self.due.push((self.now_ms + ms, self.next_order, due));
     }
 
-    /// Draws how long something is under way: mostly some milliseconds, at times seconds.
+    /// Draws a transmission delay: mostly a few milliseconds, occasionally seconds.
     fn delay_ms(&mut self) -> u64 {
         match self.random.random_range(0..40) {
             0 => self.random.random_range(300..4_000),
@@ -207,7 +207,7 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         while self.now_ms < START_MS + END_MS {
             let next = self
                 .due
@@ -218,7 +218,7 @@
                 .expect("ticks");
             let (at_ms, _, due) = self.due.swap_remove(next);
             self.now_ms = at_ms;
-            self.happen(due);
+            self.process(due);
             self.serve_mailbox();
         }
         for job in 1..=self.jobs {
@@ -230,10 +230,10 @@
         }
     }
 
-    fn happen(&mut self, due: Due) {
+    fn process(&mut self, due: Scheduled) {
         match due {
-            Due::Event(event) => self.mailbox.push_back(event),
-            Due::Stored => {
+            Scheduled::Event(event) => self.mailbox.push_back(event),
+            Scheduled::Stored => {
                 let batch = self.in_flight.take().expect("a batch");
                 for record in &batch.records {
                     self.stored.retain(|known| known.key != record.key);
@@ -242,28 +242,28 @@
                 let effects = self.engine.committed(batch, self.now());
                 self.send(effects);
             }
-            Due::Tick => {
+            Scheduled::Tick => {
                 self.mailbox.push_back(Event::Tick);
                 self.lapse();
-                self.draw();
-                self.after(100, Due::Tick);
+                self.apply_random_events();
+                self.after(100, Scheduled::Tick);
             }
-            Due::End(index, task, run) => {
+            Scheduled::End(index, task, run) => {
                 let kind = match self.random.random_range(0..25) {
                     0 => EndKind::Failed,
                     _ => EndKind::Done,
                 };
                 self.endpoints[index].end(task, run, kind);
             }
-            Due::Arrival(effect, given_up_ms) => self.arrive(effect, given_up_ms),
-            Due::Report(key, acknowledged, given_up_ms) => {
-                self.report(key, acknowledged, given_up_ms);
+            Scheduled::Arrival(effect, timeout_ms) => self.arrive(effect, timeout_ms),
+            Scheduled::Report(key, acknowledged, timeout_ms) => {
+                self.report(key, acknowledged, timeout_ms);
             }
         }
     }
 
-    /// Draws what else happens at a tick.
-    fn draw(&mut self) {
+    /// Draws random events of a tick.
+    fn apply_random_events(&mut self) {
         let is_busy = self.now_ms < START_MS + BUSY_MS;
         if is_busy && self.random.random_range(0..3) == 0 {
             self.jobs += 1;
@@ -325,7 +325,7 @@
             } else {
                 self.in_flight = Some(batch);
                 let ms = self.random.random_range(5..40);
-                self.after(ms, Due::Stored);
+                self.after(ms, Scheduled::Stored);
             }
         }
     }
@@ -334,28 +334,28 @@
         for effect in effects {
             if let Some((key, wait_ms)) = endpoint_of(&effect) {
                 let delay_ms = self.delay_ms();
-                let given_up_ms = self.now_ms + wait_ms + CALL_MS;
+                let timeout_ms = self.now_ms + wait_ms + CALL_MS;
                 if let Some(event) = unanswered(&effect, key) {
-                    // Learnt when the call is given up, unless an answer came before.
-                    self.after(wait_ms + CALL_MS, Due::Event(event));
+                    // Delivered when the call times out, unless an answer arrives before.
+                    self.after(wait_ms + CALL_MS, Scheduled::Event(event));
                 }
-                self.after(delay_ms, Due::Arrival(effect, given_up_ms));
+                self.after(delay_ms, Scheduled::Arrival(effect, timeout_ms));
             }
         }
     }
 
-    /// Lets the caller learn an answer, unless it has given the call up by then.
-    fn answer(&mut self, event: Event, given_up_ms: u64) {
+    /// Delivers an answer, unless the call has timed out by then.
+    fn answer(&mut self, event: Event, timeout_ms: u64) {
         let delay_ms = self.delay_ms();
         let at_ms = self.now_ms + delay_ms;
-        if at_ms >= given_up_ms {
+        if at_ms >= timeout_ms {
             return;
         }
-        // The caller is told once: what it would learn when it gives up is taken back.
+        // The answer replaces the timeout.
         self.due.retain(|(due_ms, _, due)| {
-            !matches!(due, Due::Event(unanswered) if *due_ms == given_up_ms && is_same_call(unanswered, &event))
+            !matches!(due, Scheduled::Event(unanswered) if *due_ms == timeout_ms && is_same_call(unanswered, &event))
         });
-        self.after(delay_ms, Due::Event(event));
+        self.after(delay_ms, Scheduled::Event(event));
     }
 
     fn index_of(&self, key: u32) -> usize {
@@ -365,7 +365,7 @@
             .expect("a known endpoint")
     }
 
-    fn arrive(&mut self, effect: Effect, given_up_ms: u64) {
+    fn arrive(&mut self, effect: Effect, timeout_ms: u64) {
         match effect {
             Effect::Start(order) => {
                 let outcome = self.start(&order);
@@ -375,7 +375,7 @@
                     run: order.run,
                     outcome,
                 };
-                self.answer(event, given_up_ms);
+                self.answer(event, timeout_ms);
             }
             Effect::Stop {
                 endpoint,
@@ -393,7 +393,7 @@
                     run,
                     outcome: CallOutcome::Done(self.now_ms),
                 };
-                self.answer(event, given_up_ms);
+                self.answer(event, timeout_ms);
             }
             Effect::Renew {
                 endpoint,
@@ -407,7 +407,7 @@
                 self.acknowledge(index, acknowledged);
                 let waits = self.endpoints[index].ended.is_empty();
                 let ms = if waits { wait_ms } else { 0 };
-                self.after(ms, Due::Report(endpoint, acknowledged, given_up_ms));
+                self.after(ms, Scheduled::Report(endpoint, acknowledged, timeout_ms));
             }
             _ => {}
         }
@@ -415,11 +415,11 @@
 
     fn acknowledge(&mut self, index: usize, acknowledged: u64) {
         let endpoint = &mut self.endpoints[index];
-        let noted = endpoint
+        let completed = endpoint
             .ended
             .iter()
             .filter(|ended| ended.number <= acknowledged && ended.kind == EndKind::Done);
-        self.done.extend(noted.map(|ended| ended.task));
+        self.done.extend(completed.map(|ended| ended.task));
         endpoint.ended.retain(|ended| ended.number > acknowledged);
     }
 
@@ -477,18 +477,18 @@
                 "{task} runs twice: {run} on {index} and {twice:?} on {other}"
             );
         }
-        let takes_ms = self.random.random_range(200..2_500);
+        let duration_ms = self.random.random_range(200..2_500);
         self.endpoints[index].running.push(Running {
             task,
             run,
             begun_ms: now_ms,
-            takes_ms,
+            duration_ms,
         });
-        self.after(takes_ms, Due::End(index, task, run));
+        self.after(duration_ms, Scheduled::End(index, task, run));
         CallOutcome::Done(now_ms)
     }
 
-    fn report(&mut self, key: u32, acknowledged: u64, given_up_ms: u64) {
+    fn report(&mut self, key: u32, acknowledged: u64, timeout_ms: u64) {
         let index = self.index_of(key);
         self.acknowledge(index, acknowledged);
         let now_ms = self.now_ms;
@@ -497,7 +497,7 @@
             task: known.task,
             run: known.run,
             checkpoint: "".into(),
-            percent: u32::try_from((now_ms - known.begun_ms) * 100 / known.takes_ms)
+            percent: u32::try_from((now_ms - known.begun_ms) * 100 / known.duration_ms)
                 .expect("a share"),
             usage: None,
         });
@@ -511,10 +511,10 @@
             endpoint: key,
             outcome: CallOutcome::Done(report),
         };
-        self.answer(event, given_up_ms);
+        self.answer(event, timeout_ms);
     }
 
-    /// Kills what runs where the lease is over; ends that were not taken note of may be repeated.
+    /// Ends the runs of endpoints whose lease has expired.
     fn lapse(&mut self) {
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
@@ -528,13 +528,13 @@
     }
 }
 
-/// Returns the account of a job, and its quota.
+/// Returns the account of a job and its quota.
 fn account_of(job: JobId) -> (&'static str, u64) {
     let number = u64::from_str_radix(job.as_str(), 16).expect("hexadecimal digits");
     ACCOUNTS[usize::try_from(number).expect("few jobs") % ACCOUNTS.len()]
 }
 
-/// Returns the endpoint that an effect calls, and for how long that may wait.
+/// Returns the endpoint that an effect calls, and how long the endpoint may hold the answer.
 fn endpoint_of(effect: &Effect) -> Option<(u32, u64)> {
     match effect {
         Effect::Start(order) => Some((order.endpoint, 0)),
@@ -546,7 +546,7 @@
     }
 }
 
-/// Returns what a caller learns when it gives a call up.
+/// Returns the event for a call that times out.
 fn unanswered(effect: &Effect, endpoint: u32) -> Option<Event> {
     match effect {
         Effect::Start(order) => Some(Event::Started {
@@ -615,7 +615,7 @@
         $(#[test] fn $name() {
             for seed in $seeds {
                 println!("seed {seed}");
-                World::new(seed, $longest_stall_ms).play();
+                World::new(seed, $longest_stall_ms).run();
             }
         })*
     };
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on the loopback interface that can disturb what passes through it.
+//! A loopback TCP proxy with fault injection.
 
 use {
     std::{io, net::SocketAddr, time::Duration},
@@ -10,33 +10,33 @@
     },
 };
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1_024;
+/// Size of the copy buffer.
+const CHUNK_BYTES: usize = 16 * 1_024;
 
-/// What is wrong with a link.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum LinkTrouble {
-    /// Nothing.
+pub enum LinkFault {
+    /// No fault.
     #[default]
     None,
-    /// Everything arrives this much later, in milliseconds.
+    /// Delays each chunk by this time, in milliseconds.
     Delayed(u64),
-    /// Connections are broken off, and new ones too.
+    /// Closes existing and new connections.
     Reset,
-    /// What is sent to the target vanishes; so does what is sent on connections from this time,
-    /// for as long as they live.
-    CutForward,
-    /// What the target sends vanishes, as above.
-    CutBack,
-    /// Nothing arrives either way, as above; new connections are accepted.
-    Silent,
+    /// Drops the data sent to the target. A connection on which data was dropped keeps dropping it
+    /// after the fault has ended.
+    DropToTarget,
+    /// Drops the data sent by the target, in the same way.
+    DropFromTarget,
+    /// Drops the data in both directions, in the same way; new connections are accepted.
+    DropBoth,
 }
 
-/// A proxy in front of one address.
+/// A TCP proxy for one target address.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
-    trouble: watch::Sender<LinkTrouble>,
+    fault: watch::Sender<LinkFault>,
 }
 
 #[derive(Clone, Copy, Eq, PartialEq)]
@@ -46,70 +46,74 @@
 }
 
 impl Direction {
-    fn is_cut_by(self, trouble: LinkTrouble) -> bool {
-        match trouble {
-            LinkTrouble::Silent => true,
-            LinkTrouble::CutForward => self == Self::Forward,
-            LinkTrouble::CutBack => self == Self::Back,
-            LinkTrouble::None | LinkTrouble::Delayed(_) | LinkTrouble::Reset => false,
+    fn is_dropped_by(self, fault: LinkFault) -> bool {
+        match fault {
+            LinkFault::DropBoth => true,
+            LinkFault::DropToTarget => self == Self::Forward,
+            LinkFault::DropFromTarget => self == Self::Back,
+            LinkFault::None | LinkFault::Delayed(_) | LinkFault::Reset => false,
         }
     }
 }
 
 impl Proxy {
-    /// Starts a proxy in front of `target`.
+    /// Starts a proxy for `target`.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be bound.
+    /// Returns an error if no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let trouble = watch::Sender::new(LinkTrouble::None);
-        tokio::spawn(accept(listener, target, trouble.subscribe()));
-        Ok(Self { address, trouble })
+        let fault = watch::Sender::new(LinkFault::None);
+        tokio::spawn(accept(listener, target, fault.subscribe()));
+        Ok(Self { address, fault })
     }
 
-    /// Returns the address to connect to.
+    /// Returns the address of the proxy.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Puts the link in trouble, or ends it.
-    pub fn set_trouble(&self, trouble: LinkTrouble) {
-        self.trouble.send_replace(trouble);
+    /// Sets the fault of the link.
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, trouble: watch::Receiver<LinkTrouble>) {
+async fn accept(listener: TcpListener, target: SocketAddr, fault: watch::Receiver<LinkFault>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        if *trouble.borrow() != LinkTrouble::Reset {
-            tokio::spawn(pass(stream, target, trouble.clone()));
+        if *fault.borrow() != LinkFault::Reset {
+            tokio::spawn(forward_connection(stream, target, fault.clone()));
         }
     }
 }
 
-/// Passes a connection on until one end closes it or it is reset.
-async fn pass(stream: TcpStream, target: SocketAddr, mut trouble: watch::Receiver<LinkTrouble>) {
+/// Forwards a connection until one end closes it or it is reset.
+async fn forward_connection(
+    stream: TcpStream,
+    target: SocketAddr,
+    mut fault: watch::Receiver<LinkFault>,
+) {
     let Ok(other) = TcpStream::connect(target).await else {
         return;
     };
-    // Both ends matter for small messages.
+    // Avoids delays of small messages; an error changes only the timing.
     drop((stream.set_nodelay(true), other.set_nodelay(true)));
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = other.into_split();
-    let forward = copy(from_caller, to_target, Direction::Forward, trouble.clone());
-    let back = copy(from_target, to_caller, Direction::Back, trouble.clone());
+    let forward = copy(from_caller, to_target, Direction::Forward, fault.clone());
+    let back = copy(from_target, to_caller, Direction::Back, fault.clone());
     tokio::select! {
         () = forward => {}
         () = back => {}
-        // Ends with the proxy, too.
-        _ = trouble.wait_for(|trouble| *trouble == LinkTrouble::Reset) => {}
+        // Also ends when the proxy is dropped.
+        _ = fault.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
 
@@ -117,27 +121,27 @@
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
     direction: Direction,
-    trouble: watch::Receiver<LinkTrouble>,
+    fault: watch::Receiver<LinkFault>,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    let mut is_cut = false;
+    let mut chunk = vec![0; CHUNK_BYTES];
+    let mut is_dropping = false;
     loop {
         let Ok(length) = from.read(&mut chunk).await else {
             return;
         };
-        let now = *trouble.borrow();
-        is_cut |= direction.is_cut_by(now);
+        let now = *fault.borrow();
+        is_dropping |= direction.is_dropped_by(now);
         if length == 0 {
-            if is_cut {
-                // The other end never learns of it.
+            if is_dropping {
+                // Keeps the other end open, as a network that drops packets does.
                 std::future::pending::<()>().await;
             }
             return;
         }
-        if is_cut {
+        if is_dropping {
             continue;
         }
-        if let LinkTrouble::Delayed(ms) = now {
+        if let LinkFault::Delayed(ms) = now {
             sleep(Duration::from_millis(ms)).await;
         }
         if to.write_all(&chunk[..length]).await.is_err() {
