--- a/crates/lynxctl/src/cli.rs
+++ b/crates/lynxctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command line of the operators' command.
+//! Command line of `lynxctl`.
 
 use {
     crate::{
@@ -206,10 +206,11 @@
     Kind::from_text(text).ok_or_else(|| format!("must be one of {}", kinds.join(", ")))
 }
 
-/// Carries a command out: results on standard output, progress and errors on standard error.
+/// Executes a command and returns the exit code; results go to standard output, progress and errors
+/// to standard error.
 #[must_use]
 pub fn execute(cli: &Cli) -> ExitCode {
-    // The tools bring runtimes of their own.
+    // The experiment and load commands start their own runtimes.
     match &cli.command {
         Command::Local(LocalCommand::Experiment(args)) => {
             return lynxwheel_experiment::execute(args);
@@ -232,7 +233,7 @@
             }
             ExitCode::SUCCESS
         }
-        // Differences are what `diff` was asked for, not a failure to tell them.
+        // Differences are the result of `diff`, so they go to standard output.
         Err(CtlError::Differs { text }) => {
             println!("{text}");
             ExitCode::from(CtlError::Differs { text }.exit_code())
