--- a/crates/lynxctl/tests/ctl/commands.rs
+++ b/crates/lynxctl/tests/ctl/commands.rs
@@ -1,7 +1,7 @@
-//! Commands against a running node.
+//! Tests of commands against a running node.
 
 use {
-    crate::common::{Fleet, files, wait_until},
+    crate::common::{Fleet, wait_until, write_files},
     insta::assert_snapshot,
     lynxwheel_protocol::{Kind, ResourceRef},
     lynxwheel_standin::Faults,
@@ -13,8 +13,8 @@
     [vm vm-0]\npool = notices\n[vm vm-1]\npool = notices\n\
     [vm vm-2]\npool = notices\n[vm vm-3]\npool = notices\n";
 
-/// Puts `N` in place of revisions, which depend on what the node reports in between.
-fn masked(text: &str) -> String {
+/// Replaces revisions with `N`, as they depend on the node's reports in the meantime.
+fn mask_revisions(text: &str) -> String {
     let mut lines = Vec::new();
     for line in text.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -30,10 +30,13 @@
     lines.join("\n")
 }
 
-async fn applied(name: &str) -> (Fleet, String) {
+/// Starts a fleet with the declarations in [`FLEET`] and waits until its VMs are available.
+async fn start_with_declarations(name: &str) -> (Fleet, String) {
     let fleet = Fleet::start(4).await;
-    let directory = files(name, &[("fleet.ini", FLEET)]).display().to_string();
-    fleet.done(&format!("apply -f {directory}")).await;
+    let directory = write_files(name, &[("fleet.ini", FLEET)])
+        .display()
+        .to_string();
+    fleet.ctl_ok(&format!("apply -f {directory}")).await;
     let node = fleet.daemon.node();
     wait_until("all VMs are available", || {
         node.state()
@@ -47,22 +50,22 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tables_and_descriptions() {
-    let (fleet, _) = applied("tables").await;
-    assert_snapshot!("get_pool", masked(&fleet.done("get pool").await));
+    let (fleet, _) = start_with_declarations("tables").await;
+    assert_snapshot!("get_pool", mask_revisions(&fleet.ctl_ok("get pool").await));
     assert_snapshot!(
         "describe_service",
-        masked(&fleet.done("describe service map").await)
+        mask_revisions(&fleet.ctl_ok("describe service map").await)
     );
-    assert_snapshot!("explain_vm", fleet.done("explain vm vm-0").await);
-    let json = fleet.done("get pool notices -o json").await;
+    assert_snapshot!("explain_vm", fleet.ctl_ok("explain vm vm-0").await);
+    let json = fleet.ctl_ok("get pool notices -o json").await;
     let view: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!(view["spec"]["size"], 4);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn diff_shows_what_apply_would_change() {
-    let (fleet, _) = applied("diff").await;
-    let changed = files(
+    let (fleet, _) = start_with_declarations("diff").await;
+    let changed = write_files(
         "diff-2",
         &[(
             "fleet.ini",
@@ -74,11 +77,10 @@
     assert_snapshot!(outcome.text);
 }
 
-/// One file of two is bad. If the good one were applied, the fleet would be between two versions
-/// of what is in version control.
+/// Guards against an apply that leaves the fleet between two versions of its declarations.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nothing_is_applied_when_anything_is_wrong() {
-    let (fleet, _) = applied("half").await;
+    let (fleet, _) = start_with_declarations("half").await;
     let wrong = [
         (
             "a.ini",
@@ -89,7 +91,7 @@
             "[vm vm-0]\npool = maps\n[service refunds]\npool = refunds\n",
         ),
     ];
-    let directory = files("half-2", &wrong);
+    let directory = write_files("half-2", &wrong);
     let outcome = fleet
         .ctl(&format!("apply -f {}", directory.display()))
         .await;
@@ -101,18 +103,18 @@
     assert_eq!(fleet.ctl("get pool billing").await.code, 1);
 }
 
-/// The log goes down in the middle of an apply. The operator must learn what was applied and what
-/// was not, and a second run must finish the rest.
+/// Guards against an interrupted apply that does not report what it applied, or that cannot be
+/// repeated.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn stop_in_the_middle_says_what_was_applied() {
     let fleet = Fleet::start(0).await;
-    let directory = files("middle", &[("fleet.ini", FLEET)]);
+    let directory = write_files("middle", &[("fleet.ini", FLEET)]);
     let declarations = lynxctl::load(&directory).expect("declarations");
     let client = lynxctl::ApiClient::new(&[fleet.daemon.operator_address()]);
     let plan = lynxctl::build_plan(&client, &declarations)
         .await
         .expect("plan");
-    let stopped = lynxctl::apply_plan(&client, &plan, &|line: &str| {
+    let error = lynxctl::apply_plan(&client, &plan, &|line: &str| {
         if line.contains("pool/spare") {
             let faults = Faults {
                 log_down: true,
@@ -125,8 +127,8 @@
     })
     .await
     .expect_err("the log is down");
-    assert_eq!(stopped.exit_code(), 4);
-    let text = stopped.to_string();
+    assert_eq!(error.exit_code(), 4);
+    let text = error.to_string();
     let lines: Vec<&str> = text
         .lines()
         .filter(|line| !line.contains("come back"))
@@ -138,16 +140,16 @@
     let again = format!("apply -f {}", directory.display());
     let node = fleet.daemon.node();
     wait_until("the node is current again", || node.is_current()).await;
-    // The appender refuses for a moment after a failure.
+    // The appender rejects proposals for a short time after a failure.
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
-    assert_eq!(fleet.done(&again).await, "5 applied, 2 unchanged");
+    assert_eq!(fleet.ctl_ok(&again).await, "5 applied, 2 unchanged");
 }
 
-/// Another operator changes the pool between the look and the write. The write must not undo it.
+/// Guards against an apply that overwrites a concurrent change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn apply_loses_to_a_faster_operator() {
-    let (fleet, _) = applied("race").await;
-    let directory = files(
+    let (fleet, _) = start_with_declarations("race").await;
+    let directory = write_files(
         "race-2",
         &[(
             "a.ini",
@@ -159,22 +161,28 @@
     let plan = lynxctl::build_plan(&client, &declarations)
         .await
         .expect("plan");
-    let faster = files(
+    let faster = write_files(
         "race-3",
         &[(
             "a.ini",
             "[pool notices]\nsize = 4\nbudget.min_available = 3\n",
         )],
     );
-    fleet.done(&format!("apply -f {}", faster.display())).await;
-    let stopped = lynxctl::apply_plan(&client, &plan, &|_| {})
+    fleet
+        .ctl_ok(&format!("apply -f {}", faster.display()))
+        .await;
+    let error = lynxctl::apply_plan(&client, &plan, &|_| {})
         .await
         .expect_err("lost");
-    assert_eq!(stopped.exit_code(), 6);
+    assert_eq!(error.exit_code(), 6);
     let pool = ResourceRef::new(Kind::Pool, "notices");
-    let view = client.get(&pool).await.expect("answer").expect("declared");
+    let view = client
+        .get(&pool)
+        .await
+        .expect("response")
+        .expect("declared");
     assert!(
-        stopped
+        error
             .to_string()
             .contains(&format!("is at revision {}", view.revision))
     );
@@ -182,38 +190,38 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn waves_are_started_and_steered() {
-    let (fleet, _) = applied("waves").await;
+    let (fleet, _) = start_with_declarations("waves").await;
     fleet
-        .done("wave start kernel --pools notices --due-before-ms 0")
+        .ctl_ok("wave start kernel --pools notices --due-before-ms 0")
         .await;
-    fleet.done("wave pause kernel").await;
+    fleet.ctl_ok("wave pause kernel").await;
     assert_eq!(
-        fleet.done("wave pause kernel").await,
+        fleet.ctl_ok("wave pause kernel").await,
         "wave kernel was told so before"
     );
-    fleet.done("wave resume kernel").await;
-    fleet.done("wave abort kernel").await;
-    let told = fleet.done("watch wave kernel --until-ready").await;
-    assert_eq!(told, "wave/kernel is ready: aborted with 0 VMs due");
+    fleet.ctl_ok("wave resume kernel").await;
+    fleet.ctl_ok("wave abort kernel").await;
+    let output = fleet.ctl_ok("watch wave kernel --until-ready").await;
+    assert_eq!(output, "wave/kernel is ready: aborted with 0 VMs due");
     assert_eq!(fleet.ctl("wave start kernel --pools notices").await.code, 6);
 }
 
-/// A wave stands still for hours. The operator needs to see that a budget holds it up, and whose.
+/// Guards against an explanation of a stalled wave that does not name the budget that blocks it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn wave_that_stands_still_says_which_budget_holds_it() {
-    let (fleet, directory) = applied("still").await;
+    let (fleet, directory) = start_with_declarations("still").await;
     let all = FLEET.replace("budget.min_available = 2", "budget.min_available = 4");
-    files("still", &[("fleet.ini", &all)]);
-    fleet.done(&format!("apply -f {directory}")).await;
-    fleet.done("wave start kernel --pools notices").await;
-    assert_snapshot!(fleet.done("explain wave kernel").await);
+    write_files("still", &[("fleet.ini", &all)]);
+    fleet.ctl_ok(&format!("apply -f {directory}")).await;
+    fleet.ctl_ok("wave start kernel --pools notices").await;
+    assert_snapshot!(fleet.ctl_ok("explain wave kernel").await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drained_vm_moves_into_the_spare_pool() {
-    let (fleet, _) = applied("drain").await;
-    let told = fleet.done("drain vm-0 --wait-s 50").await;
-    assert_eq!(told, "vm/vm-0 is ready: available");
+    let (fleet, _) = start_with_declarations("drain").await;
+    let output = fleet.ctl_ok("drain vm-0 --wait-s 50").await;
+    assert_eq!(output, "vm/vm-0 is ready: available");
     let state = fleet.daemon.node().state();
     assert_eq!(
         state.vms().get("vm-0").map(|vm| vm.pool.to_string()),
@@ -228,7 +236,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_is_still_needed_is_not_withdrawn() {
-    let (fleet, _) = applied("needed").await;
+    let (fleet, _) = start_with_declarations("needed").await;
     let outcome = fleet.ctl("delete pool notices").await;
     assert_eq!(outcome.code, 1);
     assert_snapshot!(outcome.text);
@@ -236,22 +244,22 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn wait_ends_with_its_time() {
-    let (fleet, directory) = applied("wait").await;
+    let (fleet, directory) = start_with_declarations("wait").await;
     let more = format!("{FLEET}[vm vm-9]\npool = notices\n");
-    files("wait", &[("fleet.ini", &more)]);
-    fleet.done(&format!("apply -f {directory}")).await;
+    write_files("wait", &[("fleet.ini", &more)]);
+    fleet.ctl_ok(&format!("apply -f {directory}")).await;
     let outcome = fleet.ctl("watch vm vm-9 --until-ready --timeout-s 1").await;
     assert_eq!(outcome.code, 7);
     assert_snapshot!(outcome.text);
     assert!(!outcome.progress.is_empty());
 }
 
-/// A write got no answer, so the operator has no operation to ask for; the list of the latest
-/// writes shows it.
+/// Guards against writes that cannot be looked up because the response with the operation id was
+/// lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn latest_writes_are_listed() {
-    let (fleet, _) = applied("operations").await;
-    let list = fleet.done("operation").await;
+    let (fleet, _) = start_with_declarations("operations").await;
+    let list = fleet.ctl_ok("operation").await;
     let resources: Vec<&str> = list
         .lines()
         .filter_map(|line| line.split_whitespace().nth(1))
@@ -262,14 +270,14 @@
         .nth(1)
         .and_then(|line| line.split_whitespace().next())
         .expect("an operation");
-    let told = fleet.done(&format!("operation {id}")).await;
-    assert!(told.starts_with("accepted at revision "), "{told}");
+    let output = fleet.ctl_ok(&format!("operation {id}")).await;
+    assert!(output.starts_with("accepted at revision "), "{output}");
 }
 
-/// A node that is cut from the log shows the past. An operator who is not told acts on it.
+/// Guards against outdated responses of a node without access to the log that are not marked.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn answer_of_a_node_that_is_behind_is_marked() {
-    let (fleet, _) = applied("behind").await;
+    let (fleet, _) = start_with_declarations("behind").await;
     assert_eq!(fleet.ctl("get pool notices").await.progress, [""; 0]);
     let faults = Faults {
         log_down: true,
--- a/crates/lynxctl/tests/ctl/common.rs
+++ b/crates/lynxctl/tests/ctl/common.rs
@@ -1,4 +1,4 @@
-//! A daemon and its platform within the test's process, and `lynxctl` against it.
+//! Test fixture that runs a daemon and a platform in-process, and `lynxctl` against them.
 
 use {
     clap::Parser,
@@ -14,8 +14,8 @@
     },
 };
 
-/// Time within which anything waited for must happen; far above what it takes.
-pub const LIMIT: Duration = Duration::from_mins(1);
+/// Time limit for each condition that is waited for.
+pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 pub struct Fleet {
     pub platform: PlatformServer,
@@ -45,37 +45,38 @@
         Self { platform, daemon }
     }
 
-    /// Runs `lynxctl` with these words; progress follows the result.
-    pub async fn ctl(&self, words: &str) -> Outcome {
+    /// Runs `lynxctl` with the given arguments against the daemon.
+    pub async fn ctl(&self, arguments: &str) -> Outcome {
         run(&format!(
-            "--server {} {words}",
+            "--server {} {arguments}",
             self.daemon.operator_address()
         ))
         .await
     }
 
-    /// Runs `lynxctl`, which must succeed, and returns what it printed.
-    pub async fn done(&self, words: &str) -> String {
-        let outcome = self.ctl(words).await;
-        assert_eq!(outcome.code, 0, "{words}: {}", outcome.text);
+    /// Runs `lynxctl`, asserts that it succeeds and returns its output.
+    pub async fn ctl_ok(&self, arguments: &str) -> String {
+        let outcome = self.ctl(arguments).await;
+        assert_eq!(outcome.code, 0, "{arguments}: {}", outcome.text);
         outcome.text
     }
 }
 
-/// What a command came to.
+/// Exit code, output and progress messages of a command.
 pub struct Outcome {
     pub code: u8,
     pub text: String,
     pub progress: Vec<String>,
 }
 
-pub async fn run(words: &str) -> Outcome {
-    let words = std::iter::once("lynxctl").chain(words.split_whitespace());
-    let cli = Cli::try_parse_from(words).expect("command line");
+/// Runs `lynxctl` with the given arguments.
+pub async fn run(arguments: &str) -> Outcome {
+    let arguments = std::iter::once("lynxctl").chain(arguments.split_whitespace());
+    let cli = Cli::try_parse_from(arguments).expect("command line");
     let progress = Mutex::new(Vec::new());
     let lock = || progress.lock().unwrap_or_else(PoisonError::into_inner);
-    let told = lynxctl::run(&cli, &|line: &str| lock().push(line.to_owned())).await;
-    let (code, text) = match told {
+    let result = lynxctl::run(&cli, &|line: &str| lock().push(line.to_owned())).await;
+    let (code, text) = match result {
         Ok(text) => (0, text),
         Err(error) => (CtlError::exit_code(&error), error.to_string()),
     };
@@ -87,18 +88,19 @@
     }
 }
 
-pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LIMIT;
-    while !holds() {
-        assert!(Instant::now() < until, "never: {what}");
+/// Waits until a condition is fulfilled, which the assertion calls `what`.
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Writes files into a fresh directory of the test.
-pub fn files(name: &str, files: &[(&str, &str)]) -> PathBuf {
+/// Writes files into an empty directory and returns its path.
+pub fn write_files(name: &str, files: &[(&str, &str)]) -> PathBuf {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // It may be left from an earlier run.
+    // An earlier run may have left the directory.
     drop(fs::remove_dir_all(&directory));
     fs::create_dir_all(&directory).expect("make a directory");
     for (file, text) in files {
--- a/crates/lynxctl/tests/ctl/declarations.rs
+++ b/crates/lynxctl/tests/ctl/declarations.rs
@@ -1,4 +1,4 @@
-//! Reading files of declarations.
+//! Tests of the parser for declaration files.
 
 use {
     insta::assert_snapshot,
@@ -8,21 +8,21 @@
     std::fmt::Write,
 };
 
-macro_rules! mistakes {
+macro_rules! invalid_declarations {
     ($($(#[$doc:meta])* $name:ident: $text:expr;)*) => {
         $($(#[$doc])* #[test] fn $name() {
-            let errors = parse("fleet.ini", $text).expect_err("mistakes");
+            let errors = parse("fleet.ini", $text).expect_err("errors");
             let errors: Vec<String> = errors.iter().map(DeclarationError::to_string).collect();
             assert_snapshot!(stringify!($name), errors.join("\n"));
         })*
     };
 }
 
-mistakes! {
-    /// Five mistakes in two resources. Told one by one, mending them takes five rounds.
+invalid_declarations! {
+    /// Guards against a parser that reports only the first of several errors.
     all_at_once: "[pool notices]\nsize = ten\nbudget.min_avail = 70%\n\
         [service map]\npool = notices\nslots_per_endpoint = 0\ndeadline_ms = -1\n";
-    /// An operator copies a section and forgets to rename it; the first must not win in silence.
+    /// Guards against a duplicated section that is silently ignored.
     declared_twice: "[vm vm-0]\npool = notices\n[vm vm-0]\npool = billing\n";
     key_given_twice: "[vm vm-0]\npool = notices\npool = billing\n";
     section_without_name: "[pool]\nsize = 3\n";
@@ -71,7 +71,7 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Any text either is declarations or has mistakes that are named with their file.
+    /// Any input is either valid or has errors that name the file.
     #[test]
     fn any_text_is_answered(text in "(?s).{0,400}") {
         if let Err(errors) = parse("fleet.ini", &text) {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Texts that look like declarations reach further than any text does. The mistakes told are
-    /// bounded by what was written and by the fields that a kind has.
+    /// Inputs with the structure of a declaration get past the syntax check; the number of their
+    /// errors is bounded by the fields of the kind.
     #[test]
     fn any_declaration_is_answered(
         kind in 0..Kind::ALL.len(),
--- a/crates/lynxctl/tests/ctl/examples.rs
+++ b/crates/lynxctl/tests/ctl/examples.rs
@@ -1,4 +1,4 @@
-//! The sample declarations in `examples/`, applied to a fleet.
+//! Tests that apply the sample declarations in `examples/` to a fleet.
 
 use {
     crate::common::{Fleet, wait_until},
@@ -21,11 +21,11 @@
             let vms = declarations.iter().filter(|own| own.resource.kind() == Kind::Vm).count();
             let fleet = Fleet::start(u32::try_from(vms).expect("few VMs")).await;
             let files = path.display();
-            let told = fleet.done(&format!("apply -f {files}")).await;
-            assert_eq!(told, format!("{} applied, 0 unchanged", declarations.len()));
-            let again = fleet.done(&format!("apply -f {files}")).await;
+            let output = fleet.ctl_ok(&format!("apply -f {files}")).await;
+            assert_eq!(output, format!("{} applied, 0 unchanged", declarations.len()));
+            let again = fleet.ctl_ok(&format!("apply -f {files}")).await;
             assert_eq!(again, format!("0 applied, {} unchanged", declarations.len()));
-            fleet.done(&format!("diff -f {files}")).await;
+            fleet.ctl_ok(&format!("diff -f {files}")).await;
             let node = fleet.daemon.node();
             wait_until("every pool keeps its budget", || {
                 let state = node.state();
@@ -34,7 +34,7 @@
             .await;
             for declaration in &declarations {
                 if let Resource::Service(spec) = &declaration.resource {
-                    fleet.done(&format!("watch service {} --until-ready", spec.name)).await;
+                    fleet.ctl_ok(&format!("watch service {} --until-ready", spec.name)).await;
                 }
             }
         })*
--- a/crates/lynxctl/tests/ctl/main.rs
+++ b/crates/lynxctl/tests/ctl/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' command.
+//! Tests of `lynxctl`.
 
 mod commands;
 mod common;
--- a/crates/lynxctl/tests/ctl/servers.rs
+++ b/crates/lynxctl/tests/ctl/servers.rs
@@ -1,24 +1,23 @@
-//! Several servers, of which some do not answer.
+//! Tests with several servers, of which some do not respond.
 
 use {
-    crate::common::{Fleet, LIMIT, files, run},
+    crate::common::{Fleet, WAIT_TIMEOUT, run, write_files},
     lynxwheel_protocol::{Kind, ResourceRef},
     std::net::{SocketAddr, TcpListener},
     tokio::{io::AsyncReadExt, time::timeout},
 };
 
-/// Returns an address at which nothing listens.
-fn closed() -> SocketAddr {
+/// Returns an address at which no process listens.
+fn closed_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     listener.local_addr().expect("address")
 }
 
-/// The first node was replaced a moment ago and refuses the connection. Nothing was sent, so the
-/// write may go to the next one.
+/// Guards against a command that fails because the first of several servers refuses the connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn write_goes_on_to_the_next_server_when_unsent() {
     let fleet = Fleet::start(0).await;
-    let directory = files(
+    let directory = write_files(
         "servers",
         &[(
             "a.ini",
@@ -27,7 +26,7 @@
     );
     let servers = format!(
         "--server {} --server {}",
-        closed(),
+        closed_address(),
         fleet.daemon.operator_address()
     );
     let outcome = run(&format!("{servers} apply -f {}", directory.display())).await;
@@ -39,16 +38,16 @@
 
 #[tokio::test]
 async fn no_server_at_all() {
-    let outcome = run(&format!("--server {} get pool", closed())).await;
+    let outcome = run(&format!("--server {} get pool", closed_address())).await;
     assert_eq!(outcome.code, 4, "{}", outcome.text);
 }
 
-/// A node takes a withdrawal and dies before it answers. The withdrawal may have been applied; sent
-/// to a second node, it would be refused as missing, and the operator would be told a falsehood.
+/// Guards against a write that is sent to a second server although the first may have applied it:
+/// the second would report a withdrawn resource as missing.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn write_that_may_have_been_sent_goes_to_no_other_server() {
     let fleet = Fleet::start(0).await;
-    let directory = files(
+    let directory = write_files(
         "sent",
         &[(
             "a.ini",
@@ -56,14 +55,14 @@
         )],
     );
     fleet
-        .done(&format!("apply -f {}", directory.display()))
+        .ctl_ok(&format!("apply -f {}", directory.display()))
         .await;
-    let dying = tokio::net::TcpListener::bind("127.0.0.1:0")
+    let failing_server = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("bind");
-    let address = dying.local_addr().expect("address");
-    let death = tokio::spawn(async move {
-        let (mut stream, _) = dying.accept().await.expect("accept");
+    let address = failing_server.local_addr().expect("address");
+    let failure = tokio::spawn(async move {
+        let (mut stream, _) = failing_server.accept().await.expect("accept");
         let mut bytes = [0; 16];
         stream
             .read_exact(&mut bytes)
@@ -76,11 +75,11 @@
     );
     let outcome = run(&format!("{servers} delete pool notices")).await;
     assert_eq!(outcome.code, 5, "{}", outcome.text);
-    timeout(LIMIT, death)
+    timeout(WAIT_TIMEOUT, failure)
         .await
         .expect("the end")
         .expect("the end");
     let client = lynxctl::ApiClient::new(&[fleet.daemon.operator_address()]);
     let pool = ResourceRef::new(Kind::Pool, "notices");
-    assert!(client.get(&pool).await.expect("answer").is_some());
+    assert!(client.get(&pool).await.expect("response").is_some());
 }
