--- a/crates/lynxwheel/tests/pages.rs
+++ b/crates/lynxwheel/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages against the code.
+//! Consistency of the documentation with the code.
 
 use {
     lynxwheel::{Config, KNOWN_KEYS, NAMED_SECTIONS},
@@ -11,9 +11,9 @@
 
 const PACKAGES: &str = "..";
 
-const STORIES: &str = "../scenario/tests/scripts";
+const SCRIPTS: &str = "../scenario/tests/scripts";
 
-/// Section and key of the settings.
+/// Section and key of a setting.
 #[derive(Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct SettingKey {
     section: String,
@@ -24,12 +24,12 @@
     fs::read_to_string(path).expect("the page")
 }
 
-/// Returns the words in backquotes.
+/// Returns the parts of a text that are in backquotes.
 fn quoted(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
 
-/// Returns the rows of the table that begins with `header`, as their cells.
+/// Returns the cells of each row of the table that starts with `header`.
 fn table<'a>(page: &'a str, header: &str) -> Vec<Vec<&'a str>> {
     let after = page.split(header).nth(1).expect("a table");
     after
@@ -40,7 +40,7 @@
         .collect()
 }
 
-/// An operator looks a key up that the page does not have, or sets one that is no longer known.
+/// Guards against settings without documentation, and documented ones that no longer exist.
 #[test]
 fn page_has_every_key_of_the_settings() {
     let page = page(OPERATIONS);
@@ -71,7 +71,7 @@
     assert_eq!(named, NAMED_SECTIONS);
 }
 
-/// An operator copies the page's example; apart from the token files it must be accepted.
+/// Guards against a documented example that the daemon rejects; the token files are replaced.
 #[test]
 fn example_of_the_page_is_accepted() {
     let page = page(OPERATIONS);
@@ -90,7 +90,7 @@
     assert_eq!(config.peers.len(), 2);
 }
 
-/// An alert waits for an event or metric that the code no longer writes.
+/// Guards against documented events and metrics that the code no longer has.
 #[test]
 fn events_and_metrics_of_the_page_exist() {
     let page = page(OPERATIONS);
@@ -107,7 +107,8 @@
     }
 }
 
-/// Somebody who checks a promise looks for a story or test that was renamed or taken out.
+/// Guards against documented guarantees whose script or test no longer exists, and scripts that no
+/// guarantee names.
 #[test]
 fn proofs_of_the_page_exist() {
     let page = page(PROOF);
@@ -117,38 +118,39 @@
         name.contains('_') && name.chars().all(|c| c.is_ascii_lowercase() || c == '_')
     });
     for name in names.filter(|name| *name != "key_keep_ms" && *name != "drain_ms") {
-        let is_story = Path::new(STORIES).join(name).exists();
+        let is_script = Path::new(SCRIPTS).join(name).exists();
         let is_test = tests.contains(&format!("fn {name}("));
-        assert!(is_story || is_test, "no story or test {name}");
+        assert!(is_script || is_test, "no script or test {name}");
     }
-    for story in fs::read_dir(STORIES).expect("stories") {
-        let name = story.expect("story").file_name();
+    for script in fs::read_dir(SCRIPTS).expect("scripts") {
+        let name = script.expect("script").file_name();
         let name = name.to_str().expect("UTF-8");
         assert!(
             quoted(proofs).any(|word| word == name),
-            "{name} proves nothing"
+            "no guarantee names {name}"
         );
     }
 }
 
-/// Returns the text of every file under `directory` of the packages.
+/// Returns the text of all files under `directory` in every package.
 fn sources(directory: &str) -> String {
     let mut text = String::new();
     for package in fs::read_dir(PACKAGES).expect("packages") {
         let path = package.expect("package").path().join(directory);
-        gather(&path, &mut text);
+        append_files(&path, &mut text);
     }
     text
 }
 
-fn gather(directory: &Path, text: &mut String) {
+/// Appends the text of all files under a directory.
+fn append_files(directory: &Path, text: &mut String) {
     let Ok(entries) = fs::read_dir(directory) else {
         return;
     };
     for entry in entries {
         let path = entry.expect("entry").path();
         if path.is_dir() {
-            gather(&path, text);
+            append_files(&path, text);
         } else {
             text.push_str(&fs::read_to_string(&path).expect("text"));
         }
--- a/crates/lynxwheel/tests/tokens.rs
+++ b/crates/lynxwheel/tests/tokens.rs
@@ -17,7 +17,7 @@
 macro_rules! refused {
     ($($(#[$doc:meta])* $name:ident: $operators:expr, $tokens:expr => $reason:expr;)*) => {
         $($(#[$doc])* #[test] fn $name() {
-            let errors = settings($operators, $tokens).expect_err("mistakes");
+            let errors = settings($operators, $tokens).expect_err("errors");
             let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
             assert_eq!(errors.join("\n"), concat!("node-1.ini: ", $reason));
         })*
@@ -25,14 +25,14 @@
 }
 
 refused! {
-    /// A node is set up in a hurry without tokens. Everybody who reaches it could withdraw pools.
+    /// Guards against an operator API that anybody on the network can use.
     open_to_strangers: "10.0.0.7:8081", "" => "section listen, key operators: without [tokens], \
         operators may listen on loopback addresses only";
     open_on_every_address: "0.0.0.0:0", "[tokens]\n" => "section listen, key operators: without \
         [tokens], operators may listen on loopback addresses only";
     unknown_role: "127.0.0.1:8081", "[tokens]\ndesk = write:0123456789abcdef\n" =>
         "section tokens, key desk: the role must be one of read, operate, administer";
-    /// The token itself must not get into logs with the error.
+    /// Guards against errors that reveal the token.
     no_role: "127.0.0.1:8081", "[tokens]\ndesk = 0123456789abcdef\n" =>
         "section tokens, key desk: must be role:token or role:@file";
     short_token: "127.0.0.1:8081", "[tokens]\ndesk = read:12345\n" =>
