--- a/crates/lynxwheel/benches/capacity.rs
+++ b/crates/lynxwheel/benches/capacity.rs
@@ -1,7 +1,7 @@
-//! What a node's control costs at a size: processor time, memory and bytes a second.
+//! CPU time, memory and network traffic of idle nodes, by the size of the fleet.
 //!
-//! Starts a platform and nodes as processes on loopback, declares a fleet and then measures while
-//! no caller asks for anything. Prints one JSON object for each size:
+//! Starts a platform and nodes as processes on loopback, declares a fleet and measures the nodes
+//! without requests of callers. Prints one JSON object for each size:
 //!
 //! ```text
 //! cargo bench --bench capacity -- --vms 350,700,1400 --nodes 9 --seconds 20
@@ -12,7 +12,7 @@
 
 use {
     clap::Parser,
-    common::{LIMIT, TestNode, TestPlatform, free_ports, start_node_with_tick},
+    common::{TestNode, TestPlatform, WAIT_TIMEOUT, free_ports, start_node_polling},
     lynxwheel_protocol::{
         Amount, Budget, Class, JobSpec, PoolSpec, Resource, Resources, TeamSpec, VmSpec,
     },
@@ -21,20 +21,20 @@
     tokio::time::{Instant, sleep},
 };
 
-/// VMs of one pool; 1,400 VMs make 290 pools.
+/// Number of VMs of a pool.
 const VMS_PER_POOL: u32 = 5;
 
-/// Clock ticks of a second in `/proc`.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Demand of one job.
+/// Resources that one job requests.
 const DEMAND: Resources = Resources {
     cores_milli: 1_000,
     memory_mib: 1_024,
     accelerators: 0,
 };
 
-/// Sizes to measure.
+/// Command-line arguments.
 #[derive(Debug, Parser)]
 struct Args {
     /// Numbers of VMs.
@@ -43,13 +43,13 @@
     /// Number of nodes.
     #[arg(long, default_value_t = 9)]
     nodes: usize,
-    /// Jobs for each VM; all but one wait, since their team's quota has room for one.
+    /// Jobs for each VM; the team's quota admits only one of them at a time.
     #[arg(long, default_value_t = 0)]
     jobs_per_vm: u32,
     /// Time to measure, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u32,
-    /// Pause between two looks at VMs and jobs, in milliseconds; 200 is the daemon's default.
+    /// Interval at which VMs and jobs are polled, in milliseconds; 200 is the daemon's default.
     #[arg(long, default_value_t = 200)]
     tick_ms: u64,
     /// Ignored; cargo passes it.
@@ -57,7 +57,7 @@
     bench: bool,
 }
 
-/// What one process has used so far.
+/// Resource usage of one process since its start.
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     cpu_s: f64,
@@ -78,7 +78,7 @@
     let ports = free_ports(args.nodes * 3);
     let address = platform.client.peer();
     let nodes: Vec<TestNode> = (0..args.nodes)
-        .map(|number| start_node_with_tick(address, &ports, number, "capacity", args.tick_ms))
+        .map(|number| start_node_polling(address, &ports, number, "capacity", args.tick_ms))
         .collect();
     for node in &nodes {
         node.wait_until_ready().await;
@@ -165,28 +165,28 @@
 async fn usages(nodes: &[TestNode]) -> Vec<Usage> {
     let mut usages = Vec::new();
     for node in nodes {
-        // The node closes connections that were idle for so long.
+        // The node has closed connections that were idle during the measurement.
         node.operators.close_idle();
-        let answer = node
+        let response = node
             .operators
-            .get("/metrics", LIMIT)
+            .get("/metrics", WAIT_TIMEOUT)
             .await
             .expect("metrics");
-        let text = String::from_utf8_lossy(&answer.body).into_owned();
+        let text = String::from_utf8_lossy(&response.body).into_owned();
         usages.push(Usage {
             cpu_s: cpu_s(node.process.id()),
             resident_mib: resident_mib(node.process.id()),
-            bytes: bytes(&text),
+            bytes: connection_bytes(&text),
         });
     }
     usages
 }
 
-/// Returns the processor time of a process in seconds.
+/// Returns the CPU time of a process, in seconds.
 fn cpu_s(process: u32) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).expect("stat");
     let fields = stat.rsplit(')').next().expect("fields after the name");
-    // Fields 14 and 15 of the file are the 12th and 13th after the name.
+    // User and system time are fields 14 and 15, the 12th and 13th after the name.
     let ticks = fields.split_whitespace().skip(11).take(2);
     ticks
         .map(|field| field.parse::<f64>().expect("ticks"))
@@ -194,7 +194,7 @@
         / TICKS_PER_S
 }
 
-/// Returns the resident memory of a process in mebibytes.
+/// Returns the resident memory of a process, in MiB.
 fn resident_mib(process: u32) -> f64 {
     let status = fs::read_to_string(format!("/proc/{process}/status")).expect("status");
     let line = status
@@ -205,8 +205,8 @@
     kib.parse::<f64>().expect("KiB") / 1_024.0
 }
 
-/// Adds up the bytes that crossed the node's connections.
-fn bytes(metrics: &str) -> f64 {
+/// Returns the bytes that crossed a node's connections, from its metrics.
+fn connection_bytes(metrics: &str) -> f64 {
     metrics
         .lines()
         .filter(|line| line.starts_with("lynxwheel_bytes_total"))
--- a/crates/lynxwheel/benches/distribution.rs
+++ b/crates/lynxwheel/benches/distribution.rs
@@ -1,8 +1,8 @@
-//! How long it takes until a change of configuration is in force at every node.
+//! Latency until a change of the declarations is visible at every node.
 //!
-//! Starts a platform and nodes as processes on loopback, declares changes one after another and in
-//! bursts at changing nodes, and asks every node until it shows each. Prints one JSON object for
-//! each condition:
+//! Starts a platform and nodes as processes on loopback, declares changes at the nodes in turn, one
+//! after another and in bursts, and polls every node until it shows them. Prints one JSON object
+//! for each condition:
 //!
 //! ```text
 //! cargo bench --bench distribution -- --nodes 9 --changes 40
@@ -25,28 +25,28 @@
     },
 };
 
-/// Time within which a change must be in force, in milliseconds.
-const GOAL_MS: f64 = 4_000.0;
+/// Target latency of a change, in milliseconds.
+const TARGET_MS: f64 = 4_000.0;
 
-/// Time after which a change is given up on.
-const GIVE_UP: Duration = Duration::from_secs(30);
+/// Time limit for a change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two questions to one node.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a node is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Pause between two changes.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// How long the log service is down.
+/// Duration of the log service's outage.
 const OUTAGE: Duration = Duration::from_secs(5);
 
-/// Appends that the service takes in a second after its outage.
+/// Appends per second that the log service accepts after its outage.
 const APPENDS_PER_S: u32 = 300;
 
-/// Time that one question may take.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What to measure.
+/// Command-line arguments.
 #[derive(Debug, Parser)]
 struct Args {
     /// Number of nodes.
@@ -60,12 +60,12 @@
     bench: bool,
 }
 
-/// Processes and the ports that replaced nodes take over.
+/// Processes of the fleet, and the ports, which restarted nodes use again.
 struct Fleet {
     platform: TestPlatform,
     ports: Vec<u16>,
     nodes: Vec<TestNode>,
-    next: u32,
+    next_team: u32,
 }
 
 fn main() {
@@ -85,7 +85,7 @@
         platform,
         ports,
         nodes,
-        next: 0,
+        next_team: 0,
     };
     for node in &fleet.nodes {
         node.wait_until_ready().await;
@@ -107,26 +107,31 @@
     async fn set_faults(&self, faults: &Value) {
         let body = serde_json::to_vec(faults).expect("encode");
         let request = ClientRequest::new(Method::PUT, "/faults").with_body(body);
-        let answer = self.platform.client.call(&request, CALL_LIMIT).await;
-        assert!(answer.is_ok_and(|answer| answer.status == 200), "faults");
+        let response = self.platform.client.call(&request, CALL_TIMEOUT).await;
+        assert!(
+            response.is_ok_and(|response| response.status == 200),
+            "faults"
+        );
     }
 
-    /// Measures changes with all nodes.
+    /// Measures changes while all nodes run.
     async fn run(&mut self, condition: &str, changes: u32, pause: Duration) {
         let operators = self.operators();
-        let times = self.spread(&operators, &operators, changes, pause).await;
+        let times = self
+            .measure_changes(&operators, &operators, changes, pause)
+            .await;
         report(condition, changes, operators.len(), times);
     }
 
-    /// Measures how long it takes after an outage until everything that was asked for meanwhile is
-    /// in force, while the service takes few appends.
+    /// Measures the time from the end of an outage until all changes that were requested during it
+    /// are visible, while the log service limits appends.
     async fn run_outage(&mut self, changes: u32) {
         self.set_faults(&json!({ "log_down": true })).await;
         let operators = self.operators();
         let mut asked = JoinSet::new();
         for change in 0..changes {
-            let name = format!("team-{}", self.next);
-            self.next += 1;
+            let name = format!("team-{}", self.next_team);
+            self.next_team += 1;
             let declared = operators[change as usize % operators.len()].clone();
             asked.spawn(async move {
                 declare(&declared, &name).await;
@@ -136,13 +141,13 @@
         sleep(OUTAGE).await;
         self.set_faults(&json!({ "appends_per_s": APPENDS_PER_S }))
             .await;
-        let mended = Instant::now();
+        let recovered = Instant::now();
         let mut times = Vec::new();
         while let Some(name) = asked.join_next().await {
             let name = name.expect("declared");
             let mut asking = JoinSet::new();
             for node in &operators {
-                asking.spawn(wait_for(node.clone(), name.clone(), mended));
+                asking.spawn(wait_for(node.clone(), name.clone(), recovered));
             }
             times.extend(asking.join_all().await);
         }
@@ -155,30 +160,31 @@
         );
     }
 
-    /// Measures changes while the last node is frozen, and how long it takes once it goes on.
+    /// Measures changes while the last node is frozen, and the time until it has caught up after it
+    /// resumes.
     async fn run_frozen(&mut self, changes: u32) {
         let all = self.operators();
         let (frozen, others) = all.split_last().expect("nodes");
         let last = self.nodes.len() - 1;
         self.nodes[last].process.signal("STOP");
-        let times = self.spread(others, others, changes, PAUSE).await;
+        let times = self.measure_changes(others, others, changes, PAUSE).await;
         report("one frozen, the others", changes, others.len(), times);
-        let name = format!("team-{}", self.next - 1);
+        let name = format!("team-{}", self.next_team - 1);
         self.nodes[last].process.signal("CONT");
         let time = wait_for(frozen.clone(), name, Instant::now()).await;
         report("one frozen, after its thaw", 1, 1, vec![time]);
     }
 
-    /// Measures changes while the last node is killed and started again; the time of the new one
-    /// counts from its start.
+    /// Measures changes while the last node is killed and restarted, and the times until it is
+    /// ready and until it has caught up.
     async fn run_restarting(&mut self, changes: u32) {
         let all = self.operators();
         let (_, others) = all.split_last().expect("nodes");
         let last = self.nodes.len() - 1;
         drop(self.nodes.pop());
-        let times = self.spread(others, others, changes, PAUSE).await;
+        let times = self.measure_changes(others, others, changes, PAUSE).await;
         report("one restarting, the others", changes, others.len(), times);
-        let name = format!("team-{}", self.next - 1);
+        let name = format!("team-{}", self.next_team - 1);
         let started = Instant::now();
         let address = self.platform.client.peer();
         let node = start_node(address, &self.ports, last, "distribution");
@@ -200,9 +206,9 @@
             .collect()
     }
 
-    /// Declares changes at changing nodes; returns the times from each acceptance to its being in
-    /// force at each node, in milliseconds.
-    async fn spread(
+    /// Declares changes at the nodes in turn; returns the times from the acceptance of each change
+    /// until each node shows it, in milliseconds.
+    async fn measure_changes(
         &mut self,
         declaring: &[Client],
         asked: &[Client],
@@ -211,8 +217,8 @@
     ) -> Vec<f64> {
         let mut waiting = JoinSet::new();
         for change in 0..changes {
-            let name = format!("team-{}", self.next);
-            self.next += 1;
+            let name = format!("team-{}", self.next_team);
+            self.next_team += 1;
             let declared = declaring[change as usize % declaring.len()].clone();
             let asked = asked.to_vec();
             waiting.spawn(async move {
@@ -229,7 +235,7 @@
     }
 }
 
-/// Declares a team until it is accepted, and returns when it was.
+/// Declares a team, retrying until it is accepted, and returns the time of acceptance.
 async fn declare(operators: &Client, name: &str) -> Instant {
     let resource = Resource::Team(TeamSpec {
         name: name.into(),
@@ -237,40 +243,41 @@
     });
     let body = serde_json::to_vec(&resource).expect("encode");
     let request = ClientRequest::new(Method::PUT, format!("/v1/team/{name}")).with_body(body);
-    let until = Instant::now() + GIVE_UP;
+    let deadline = Instant::now() + CHANGE_TIMEOUT;
     loop {
-        let answer = operators.call(&request, GIVE_UP).await;
-        if answer.is_ok_and(|answer| answer.status == 200) {
+        let response = operators.call(&request, CHANGE_TIMEOUT).await;
+        if response.is_ok_and(|response| response.status == 200) {
             return Instant::now();
         }
-        assert!(Instant::now() < until, "{name} was not accepted");
-        sleep(LOOK).await;
+        assert!(Instant::now() < deadline, "{name} was not accepted");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Asks a node until it shows the team; returns the time since `accepted` in milliseconds.
+/// Polls a node until it shows the team; returns the time since `accepted`, in milliseconds.
 async fn wait_for(operators: Client, name: String, accepted: Instant) -> f64 {
     let path = format!("/v1/team/{name}");
     loop {
-        let answer = operators.get(&path, CALL_LIMIT).await;
+        let response = operators.get(&path, CALL_TIMEOUT).await;
         let elapsed = accepted.elapsed();
-        let is_there = answer.is_ok_and(|answer| answer.status == 200);
-        if is_there || elapsed > GIVE_UP {
+        let is_there = response.is_ok_and(|response| response.status == 200);
+        if is_there || elapsed > CHANGE_TIMEOUT {
             return elapsed.as_secs_f64() * 1_000.0;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
+/// Prints the percentiles of the times as JSON.
 fn report(condition: &str, changes: u32, nodes: usize, mut times_ms: Vec<f64>) {
     times_ms.sort_by(f64::total_cmp);
     let at = |permille: usize| {
-        let row = (times_ms.len() * permille).div_ceil(1_000).max(1) - 1;
-        (times_ms[row] * 10.0).round() / 10.0
+        let index = (times_ms.len() * permille).div_ceil(1_000).max(1) - 1;
+        (times_ms[index] * 10.0).round() / 10.0
     };
     let late = times_ms
         .iter()
-        .filter(|time_ms| **time_ms > GOAL_MS)
+        .filter(|time_ms| **time_ms > TARGET_MS)
         .count();
     let line = json!({
         "condition": condition,
--- a/crates/lynxwheel/benches/membership.rs
+++ b/crates/lynxwheel/benches/membership.rs
@@ -1,7 +1,7 @@
-//! What membership and reading the log cost a node, against the number of nodes.
+//! Network traffic of membership and log reads per node, by the number of nodes.
 //!
-//! Starts a platform without VMs and nodes as processes on loopback, and measures while nothing
-//! happens. Prints one JSON object for each number of nodes:
+//! Starts a platform without VMs and the nodes as processes on loopback, and measures them idle.
+//! Prints one JSON object for each number of nodes:
 //!
 //! ```text
 //! cargo bench --bench membership -- --nodes 2,3,5,9 --seconds 20
@@ -12,20 +12,20 @@
 
 use {
     clap::Parser,
-    common::{LIMIT, TestNode, TestPlatform, free_ports, start_node_with_tick},
+    common::{TestNode, TestPlatform, WAIT_TIMEOUT, free_ports, start_node_polling},
     lynxwheel_protocol::{EndpointLoad, PeerHello, encode_message},
     serde_json::json,
     std::time::Duration,
     tokio::time::sleep,
 };
 
-/// Pause between looks at VMs; longer than the measurement.
-const TICK_MS: u64 = 3_600_000;
+/// Interval at which VMs are polled, in milliseconds; longer than the measurement.
+const POLL_INTERVAL_MS: u64 = 3_600_000;
 
-/// Time until nodes have joined and written their first snapshot, in seconds.
-const SETTLE_S: u64 = 15;
+/// Time for the nodes to join and write their first snapshot, in seconds.
+const WARM_UP_S: u64 = 15;
 
-/// What to measure.
+/// Command-line arguments.
 #[derive(Debug, Parser)]
 struct Args {
     /// Numbers of nodes.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Returns the sizes of the periodic message without and with loads of 50 endpoints.
+/// Returns the encoded sizes of the periodic hello, without loads and with those of 50 endpoints.
 fn message_sizes() -> serde_json::Value {
     let mut hello = PeerHello {
         node: "node-1".into(),
@@ -74,15 +74,15 @@
     let ports = free_ports(count * 3);
     let address = platform.client.peer();
     let nodes: Vec<TestNode> = (0..count)
-        .map(|number| start_node_with_tick(address, &ports, number, "membership", TICK_MS))
+        .map(|number| start_node_polling(address, &ports, number, "membership", POLL_INTERVAL_MS))
         .collect();
     for node in &nodes {
         node.wait_until_ready().await;
     }
-    sleep(Duration::from_secs(SETTLE_S)).await;
-    let before = all_bytes(&nodes).await;
+    sleep(Duration::from_secs(WARM_UP_S)).await;
+    let before = connection_bytes(&nodes).await;
     sleep(Duration::from_secs(seconds.into())).await;
-    let after = all_bytes(&nodes).await;
+    let after = connection_bytes(&nodes).await;
     let per_s: Vec<f64> = before
         .iter()
         .zip(&after)
@@ -98,15 +98,16 @@
     println!("{report}");
 }
 
-async fn all_bytes(nodes: &[TestNode]) -> Vec<f64> {
+/// Returns the bytes that crossed each node's connections, from its metrics.
+async fn connection_bytes(nodes: &[TestNode]) -> Vec<f64> {
     let mut all = Vec::new();
     for node in nodes {
-        let answer = node
+        let response = node
             .operators
-            .get("/metrics", LIMIT)
+            .get("/metrics", WAIT_TIMEOUT)
             .await
             .expect("metrics");
-        let text = String::from_utf8_lossy(&answer.body).into_owned();
+        let text = String::from_utf8_lossy(&response.body).into_owned();
         let bytes = text
             .lines()
             .filter(|line| line.starts_with("lynxwheel_bytes_total"))
--- a/crates/lynxwheel/tests/common/mod.rs
+++ b/crates/lynxwheel/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Processes of a small fleet for tests: a platform and nodes on loopback.
+//! Test fixture that runs a platform and nodes as processes on loopback.
 
-#![allow(dead_code, reason = "each test binary uses a part")]
+#![allow(dead_code, reason = "no test binary uses every item")]
 
 use {
     http::{Method, StatusCode},
@@ -23,19 +23,19 @@
     },
 };
 
-/// Time within which anything waited for must happen; far above what it takes.
-pub const LIMIT: Duration = Duration::from_mins(1);
+/// Time limit for each condition that is waited for.
+pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Time that one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(20);
+/// Time limit for one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that is ended with its handle.
+/// A `lynxwheel` process that is killed on drop.
 pub struct TestProcess {
     child: Child,
 }
 
 impl TestProcess {
-    /// Starts `lynxwheel` and returns it with the lines of its standard output.
+    /// Starts `lynxwheel` and returns the process with the lines of its standard output.
     fn start(arguments: &[&str]) -> (Self, mpsc::Receiver<String>) {
         let mut child = Command::new(env!("CARGO_BIN_EXE_lynxwheel"))
             .args(arguments)
@@ -44,21 +44,21 @@
             .expect("start lynxwheel");
         let stdout = child.stdout.take().expect("piped standard output");
         let (sender, lines) = mpsc::channel();
-        let path = scratch("logs").join(format!("{}.log", child.id()));
-        // Shown with a test that fails.
+        let path = create_directory("logs").join(format!("{}.log", child.id()));
+        // The test harness shows this line when a test fails.
         println!("{} writes to {}", arguments.join(" "), path.display());
         let mut log = fs::File::create(path).expect("make a log file");
         thread::spawn(move || {
             for line in BufReader::new(stdout).lines().map_while(Result::ok) {
                 writeln!(log, "{line}").expect("write the log");
-                // The output is read to its end, so that the process never blocks on it.
+                // Lines are read even without a receiver, so that the process never blocks.
                 drop(sender.send(line));
             }
         });
         (Self { child }, lines)
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -72,11 +72,11 @@
         assert!(status.success(), "kill -{name}");
     }
 
-    /// Tells whether the process has ended by itself, and with success.
+    /// Returns whether the process has exited.
     ///
     /// # Panics
     ///
-    /// Panics when it failed.
+    /// Panics when its exit code is not zero.
     pub fn has_ended(&mut self) -> bool {
         let status = self.child.try_wait().expect("wait for lynxwheel");
         status.is_some_and(|status| {
@@ -85,14 +85,14 @@
         })
     }
 
-    /// Waits for the process's own end and tells whether it was a success.
+    /// Waits until the process exits and returns whether its exit code is zero.
     pub fn wait(mut self) -> bool {
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("wait for lynxwheel") {
                 return status.success();
             }
-            assert!(Instant::now() < until, "lynxwheel did not end");
+            assert!(Instant::now() < deadline, "lynxwheel did not end");
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -100,20 +100,20 @@
 
 impl Drop for TestProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
 }
 
-/// A node's process and addresses.
+/// A node's process and clients of its listeners.
 pub struct TestNode {
     pub process: TestProcess,
     pub callers: Client,
     pub operators: Client,
 }
 
-/// A platform's process and address.
+/// A platform's process and a client of it.
 pub struct TestPlatform {
     _process: TestProcess,
     pub client: Client,
@@ -124,7 +124,9 @@
         let vms = vms.to_string();
         let (process, lines) =
             TestProcess::start(&["dev", "platform", "--listen", "127.0.0.1:0", "--vms", &vms]);
-        let line = lines.recv_timeout(LIMIT).expect("platform's address");
+        let line = lines
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("platform's address");
         let address = line
             .trim_start_matches("platform http://")
             .parse()
@@ -136,25 +138,25 @@
     }
 }
 
-/// Pause between two looks at VMs and jobs, in milliseconds.
-const TICK_MS: u64 = 50;
+/// Interval at which nodes poll VMs and jobs, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 50;
 
-/// Ports by which the choices of two test processes are apart.
+/// Distance between the first ports of test processes with adjacent ids.
 const PORTS_PER_PROCESS: u32 = 211;
 
-/// Ports for listeners: below those that the system gives to outgoing connections, which would
-/// otherwise take a port between its choice and the node's start.
-const PORTS: Range<u16> = 10_000..30_000;
+/// Ports for listeners, below the ephemeral range: an outgoing connection could take an ephemeral
+/// port before the node starts.
+const LISTENER_PORTS: Range<u16> = 10_000..30_000;
 
-/// Returns `count` free ports that no other test of this process gets.
+/// Returns `count` free ports that no other test in this process uses.
 pub fn free_ports(count: usize) -> Vec<u16> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let spread = process::id().wrapping_mul(PORTS_PER_PROCESS);
+    let first = process::id().wrapping_mul(PORTS_PER_PROCESS);
     let mut ports = Vec::new();
     while ports.len() < count {
         let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        let index = spread.wrapping_add(step) % u32::from(PORTS.end - PORTS.start);
-        let port = PORTS.start + u16::try_from(index).expect("within the range");
+        let index = first.wrapping_add(step) % u32::from(LISTENER_PORTS.end - LISTENER_PORTS.start);
+        let port = LISTENER_PORTS.start + u16::try_from(index).expect("within the range");
         if is_free(port) {
             ports.push(port);
         }
@@ -162,16 +164,15 @@
     ports
 }
 
-/// Tells whether nobody listens on a port.
+/// Returns whether no process listens on a port.
 ///
-/// Asked by connecting: a listener of our own, closed again, would stay open in the processes that
-/// other tests are just starting, until these run their program, and the node that gets the port
-/// would find it taken.
+/// Binding the port instead would be racy: a process that another test forks inherits the listener
+/// until it calls exec, and the node would find the port in use.
 fn is_free(port: u16) -> bool {
     TcpStream::connect(("127.0.0.1", port)).is_err()
 }
 
-/// Starts `count` nodes that know each other.
+/// Starts `count` nodes that are peers of each other.
 pub fn start_nodes(platform: SocketAddr, count: usize, directory: &str) -> Vec<TestNode> {
     let ports = free_ports(count * 3);
     (0..count)
@@ -179,24 +180,24 @@
         .collect()
 }
 
-/// Starts node `number` of those that share `ports`, three for each.
+/// Starts node `number` of a fleet; `ports` holds three ports for each node.
 pub fn start_node(platform: SocketAddr, ports: &[u16], number: usize, directory: &str) -> TestNode {
-    start_node_with_tick(platform, ports, number, directory, TICK_MS)
+    start_node_polling(platform, ports, number, directory, POLL_INTERVAL_MS)
 }
 
-/// Starts node `number` with a pause of `tick_ms` between looks at VMs and jobs.
-pub fn start_node_with_tick(
+/// Starts node `number`, which polls VMs and jobs every `poll_interval_ms`.
+pub fn start_node_polling(
     platform: SocketAddr,
     ports: &[u16],
     number: usize,
     directory: &str,
-    tick_ms: u64,
+    poll_interval_ms: u64,
 ) -> TestNode {
     let peers: Vec<SocketAddr> = ports
         .chunks(3)
         .map(|own| SocketAddr::from(([127, 0, 0, 1], own[2])))
         .collect();
-    start_node_with(platform, ports, &peers, number, directory, tick_ms)
+    start_node_with(platform, ports, &peers, number, directory, poll_interval_ms)
 }
 
 /// Starts node `number` that reaches the others at `peers`.
@@ -207,7 +208,7 @@
     number: usize,
     directory: &str,
 ) -> TestNode {
-    start_node_with(platform, ports, peers, number, directory, TICK_MS)
+    start_node_with(platform, ports, peers, number, directory, POLL_INTERVAL_MS)
 }
 
 fn start_node_with(
@@ -216,14 +217,14 @@
     peers: &[SocketAddr],
     number: usize,
     directory: &str,
-    tick_ms: u64,
+    poll_interval_ms: u64,
 ) -> TestNode {
     let own = &ports[number * 3..number * 3 + 3];
     let zone = number % 3 + 1;
     let mut settings = format!(
         "[node]\nname = node-{number}\nzone = zone-{zone}\n[listen]\ncallers = 127.0.0.1:{}\n\
          operators = 127.0.0.1:{}\npeers = 127.0.0.1:{}\n[platform]\naddress = {platform}\n\
-         [timing]\ntick_ms = {tick_ms}\nrank_delay_ms = 100\ndrain_ms = 1000\n[peers]\n",
+         [timing]\ntick_ms = {poll_interval_ms}\nrank_delay_ms = 100\ndrain_ms = 1000\n[peers]\n",
         own[0], own[1], own[2]
     );
     let peers: Vec<String> = (0..)
@@ -232,15 +233,15 @@
         .map(|(other, peer)| format!("node-{other} = {peer}"))
         .collect();
     settings += &peers.join("\n");
-    // Two runs of the tests at the same time must not write each other's settings.
+    // The process id keeps concurrent test runs from overwriting each other's settings.
     let directory = format!("{directory}-{}", process::id());
-    let path = scratch(&directory).join(format!("node-{number}.ini"));
+    let path = create_directory(&directory).join(format!("node-{number}.ini"));
     fs::write(&path, settings).expect("write settings");
     let (process, lines) =
         TestProcess::start(&["run", "--settings", path.to_str().expect("path in UTF-8")]);
-    let until = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !lines
-        .recv_timeout(until - Instant::now())
+        .recv_timeout(deadline - Instant::now())
         .expect("start")
         .contains("\"started\"")
     {}
@@ -252,23 +253,23 @@
     }
 }
 
-/// Returns a directory for a test's files.
-pub fn scratch(name: &str) -> PathBuf {
+/// Creates a directory for the files of a test.
+pub fn create_directory(name: &str) -> PathBuf {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::create_dir_all(&directory).expect("make a directory");
     directory
 }
 
 impl TestNode {
-    /// Waits until the node says that it is ready.
+    /// Waits until the node reports that it is ready.
     pub async fn wait_until_ready(&self) {
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let answer = self.callers.get("/readyz", CALL_LIMIT).await;
-            if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
+            let response = self.callers.get("/readyz", CALL_TIMEOUT).await;
+            if response.is_ok_and(|response| response.status == StatusCode::OK) {
                 return;
             }
-            assert!(Instant::now() < until, "the node is not ready");
+            assert!(Instant::now() < deadline, "the node is not ready");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -278,14 +279,14 @@
         let path = format!("/v1/{}/{}", resource.kind(), resource.name());
         let body = serde_json::to_vec(resource).expect("encode");
         let request = ClientRequest::new(Method::PUT, path).with_body(body);
-        let answer = self
+        let response = self
             .operators
-            .call(&request, CALL_LIMIT)
+            .call(&request, CALL_TIMEOUT)
             .await
-            .expect("answer");
-        let text = String::from_utf8_lossy(&answer.body);
+            .expect("response");
+        let text = String::from_utf8_lossy(&response.body);
         assert_eq!(
-            answer.status,
+            response.status,
             StatusCode::OK,
             "{}: {text}",
             resource.reference()
@@ -295,30 +296,37 @@
     /// Returns a resource with its status.
     pub async fn get(&self, reference: &str) -> Value {
         let path = format!("/v1/{reference}");
-        let answer = self.operators.get(&path, CALL_LIMIT).await.expect("answer");
-        serde_json::from_slice(&answer.body).expect("JSON")
+        let response = self
+            .operators
+            .get(&path, CALL_TIMEOUT)
+            .await
+            .expect("response");
+        serde_json::from_slice(&response.body).expect("JSON")
     }
 
-    /// Sends a caller's request.
+    /// Sends a request as a caller.
     pub async fn call(&self, request: &ClientRequest) -> Result<Answer, TransportError> {
-        self.callers.call(request, CALL_LIMIT).await
+        self.callers.call(request, CALL_TIMEOUT).await
     }
 
     /// Waits until the first condition of a resource holds.
     pub async fn wait_ready(&self, reference: &str) {
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let view = self.get(reference).await;
             if view["conditions"][0]["holds"] == Value::Bool(true) {
                 return;
             }
-            assert!(Instant::now() < until, "{reference} is not ready: {view}");
+            assert!(
+                Instant::now() < deadline,
+                "{reference} is not ready: {view}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
-/// Declares pool and service `maps` with the VMs from vm-0 on.
+/// Declares the pool and the service `maps` with `vms` VMs, of which `floor` must be available.
 pub async fn declare_maps(node: &TestNode, vms: u32, floor: u32) {
     node.wait_until_ready().await;
     node.declare(&Resource::Pool(PoolSpec {
--- a/crates/lynxwheel/tests/proof/checker.rs
+++ b/crates/lynxwheel/tests/proof/checker.rs
@@ -1,86 +1,87 @@
-//! Comparison of what the endpoints ran with what callers were told.
+//! Checks the responses to callers against the requests that the endpoints ran.
 
 use lynxwheel_standin::RunEntry;
 
-/// Requests that an endpoint serves at once.
+/// Concurrent requests per endpoint.
 const SLOTS: u32 = 8;
 
-/// What a caller was told about one attempt.
+/// Outcome of one attempt, as the caller sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
-    /// The whole answer to this very request.
+pub enum AttemptOutcome {
+    /// The complete response to this request.
     Answered,
-    /// That it did not run.
+    /// A response that says that the request did not run.
     DidNotRun,
-    /// Nothing, since the node was not there to take the request.
+    /// No connection to the node, so the request was not sent.
     NotReached,
-    /// Nothing certain: no answer, a broken one, or that nobody knows; with what it got.
+    /// No response, an incomplete one, or one with an unknown outcome; with the details.
     Unknown(String),
-    /// Another request's answer, or a part of one that was said to be whole.
+    /// The response to another request, or an incomplete one that claims to be complete.
     Wrong(String),
 }
 
-/// One attempt of a caller.
+/// An attempt of a caller and its outcome.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// Request, which all of its attempts share.
+pub struct AttemptRecord {
+    /// Name of the request, shared by all of its attempts.
     pub request: String,
-    /// Attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: usize,
-    /// What the caller was told.
-    pub verdict: Verdict,
+    /// Outcome.
+    pub outcome: AttemptOutcome,
 }
 
-impl Told {
-    /// Returns the id that the attempt carries.
+impl AttemptRecord {
+    /// Returns the request id of the attempt.
     pub fn id(&self) -> String {
         attempt_id(&self.request, self.attempt)
     }
 }
 
-/// Returns the id of an attempt.
+/// Returns the request id of an attempt.
 pub fn attempt_id(request: &str, attempt: usize) -> String {
     format!("{request}/{attempt}")
 }
 
-/// Tells whether `id` is the id of an attempt of `request`.
+/// Returns whether `id` belongs to an attempt of `request`.
 pub fn is_attempt_of(id: &str, request: &str) -> bool {
     id.strip_prefix(request)
         .is_some_and(|attempt| attempt.starts_with('/'))
 }
 
-/// Returns every broken promise.
-pub fn check(runs: &[RunEntry], told: &[Told]) -> Vec<String> {
-    let mut broken = doubled(runs);
+/// Returns all violated guarantees.
+pub fn check(runs: &[RunEntry], records: &[AttemptRecord]) -> Vec<String> {
+    let mut violations = duplicate_runs(runs);
     for run in runs.iter().filter(|run| run.in_progress > SLOTS) {
-        broken.push(format!("{} ran {} at once", run.vm, run.in_progress));
+        violations.push(format!("{} ran {} at once", run.vm, run.in_progress));
     }
-    for told in told {
-        let id = told.id();
-        match &told.verdict {
-            Verdict::Wrong(answer) => broken.push(format!("{id} got {answer}")),
-            Verdict::DidNotRun | Verdict::NotReached
+    for record in records {
+        let id = record.id();
+        match &record.outcome {
+            AttemptOutcome::Wrong(response) => violations.push(format!("{id} got {response}")),
+            AttemptOutcome::DidNotRun | AttemptOutcome::NotReached
                 if runs.iter().any(|run| run.request_id == id) =>
             {
-                broken.push(format!("{id} was told not to have run, and ran"));
+                violations.push(format!("{id} was told not to have run, and ran"));
             }
-            Verdict::Answered if !has_answer(runs, &told.request) => {
-                broken.push(format!("{id} was answered without a run"));
+            AttemptOutcome::Answered if !has_complete_run(runs, &record.request) => {
+                violations.push(format!("{id} was answered without a run"));
             }
             _ => {}
         }
     }
-    broken
+    violations
 }
 
-/// A second attempt may get the first one's answer, so any attempt's run will do.
-fn has_answer(runs: &[RunEntry], request: &str) -> bool {
+/// Returns whether any attempt of a request ran to its end; a retry may get the response of the
+/// first attempt.
+fn has_complete_run(runs: &[RunEntry], request: &str) -> bool {
     runs.iter()
         .any(|run| run.is_complete && is_attempt_of(&run.request_id, request))
 }
 
-/// Finds non-idempotent requests that ran more than once.
-fn doubled(runs: &[RunEntry]) -> Vec<String> {
+/// Returns the non-idempotent requests that ran more than once.
+fn duplicate_runs(runs: &[RunEntry]) -> Vec<String> {
     let mut names: Vec<&str> = runs
         .iter()
         .filter(|run| run.method == "POST")
--- a/crates/lynxwheel/tests/proof/fleet.rs
+++ b/crates/lynxwheel/tests/proof/fleet.rs
@@ -1,9 +1,11 @@
-//! A fleet of processes whose nodes reach the platform through relays.
+//! A fleet of processes whose nodes reach the platform and each other through relays.
 
 use {
     crate::{
-        checker::{Told, check, is_attempt_of},
-        common::{LIMIT, TestNode, TestPlatform, declare_maps, free_ports, start_node_with_peers},
+        checker::{AttemptRecord, check, is_attempt_of},
+        common::{
+            TestNode, TestPlatform, WAIT_TIMEOUT, declare_maps, free_ports, start_node_with_peers,
+        },
     },
     http::{Method, StatusCode},
     lynxwheel::audit,
@@ -18,21 +20,22 @@
     tokio::time::Instant,
 };
 
-/// VMs of the pool.
+/// Number of VMs of the pool.
 pub const VMS: u32 = 6;
 
-/// VMs that must stay available; fewer could be out by zones alone, which would hide the floor.
+/// Minimum number of available VMs; with a lower floor, the limit per availability zone alone would
+/// keep enough VMs available.
 const FLOOR: u32 = 5;
 
-/// Entries of one read.
+/// Maximum number of entries of a read.
 const MAX_READ: usize = 4_096;
 
 /// A platform, relays and nodes.
 pub struct Fleet {
     platform: TestPlatform,
-    /// Ways of the nodes to the platform.
+    /// Relay from each node to the platform.
     pub relays: Vec<Relay>,
-    /// Ways of the other nodes to each one.
+    /// Relay from the other nodes to each node.
     pub peer_relays: Vec<Relay>,
     pub nodes: Vec<TestNode>,
     ports: Vec<u16>,
@@ -40,7 +43,7 @@
 }
 
 impl Fleet {
-    /// Starts `count` nodes and declares pool and service `maps`.
+    /// Starts `count` nodes and declares the pool and the service `maps`.
     pub async fn start(count: usize, directory: &'static str) -> Self {
         let platform = TestPlatform::start(VMS);
         let ports = free_ports(count * 3);
@@ -73,27 +76,27 @@
         }
     }
 
-    /// Returns the callers' way to each node.
+    /// Returns clients of the nodes' listeners for callers.
     pub fn callers(&self) -> Vec<Client> {
         self.nodes.iter().map(|node| node.callers.clone()).collect()
     }
 
-    /// Kills a node as a machine that loses power would.
+    /// Kills a node without a graceful shutdown.
     pub fn kill(&mut self, number: usize) {
         self.nodes[number].process.signal("KILL");
     }
 
-    /// Stops a node as planned and waits for its end.
+    /// Shuts a node down gracefully and waits until it exits.
     pub async fn stop(&mut self, number: usize) {
         self.nodes[number].process.signal("TERM");
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !self.nodes[number].process.has_ended() {
-            assert!(Instant::now() < until, "the node did not end");
+            assert!(Instant::now() < deadline, "the node did not end");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Starts a node anew in the place of one that ended, and waits until it is ready.
+    /// Restarts a node that exited, and waits until it is ready.
     pub async fn restart(&mut self, number: usize) {
         let platform = self.relays[number].address();
         let peers: Vec<SocketAddr> = self.peer_relays.iter().map(Relay::address).collect();
@@ -106,8 +109,8 @@
     pub async fn set_faults(&self, faults: &Faults) {
         let body = serde_json::to_vec(faults).expect("encode");
         let request = ClientRequest::new(Method::PUT, "/faults").with_body(body);
-        let answer = self.platform.client.call(&request, LIMIT).await;
-        assert_eq!(answer.expect("answer").status, StatusCode::OK);
+        let response = self.platform.client.call(&request, WAIT_TIMEOUT).await;
+        assert_eq!(response.expect("response").status, StatusCode::OK);
     }
 
     /// Starts a wave over the pool.
@@ -123,48 +126,49 @@
         self.nodes[0].declare(&Resource::Wave(wave)).await;
     }
 
-    /// Waits until a wave has maintained at least `count` VMs, asking the last node.
+    /// Waits until a wave has maintained at least `count` VMs, according to the last node.
     pub async fn wait_done(&self, wave: &str, count: u64) {
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let node = self.nodes.last().expect("nodes");
         loop {
             let view = node.get(&format!("wave/{wave}")).await;
             if view["status"]["done"].as_u64() >= Some(count) {
                 return;
             }
-            assert!(Instant::now() < until, "the wave does not go on: {view}");
+            assert!(Instant::now() < deadline, "the wave does not go on: {view}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Returns the runs of the requests in question.
-    pub async fn runs_of(&self, told: &[&Told]) -> Vec<RunEntry> {
-        let is_meant = |run: &RunEntry| {
-            told.iter()
-                .any(|told| is_attempt_of(&run.request_id, &told.request))
+    /// Returns the runs of the given requests.
+    pub async fn runs_of(&self, records: &[&AttemptRecord]) -> Vec<RunEntry> {
+        let is_selected = |run: &RunEntry| {
+            records
+                .iter()
+                .any(|record| is_attempt_of(&run.request_id, &record.request))
         };
-        self.runs().await.into_iter().filter(is_meant).collect()
+        self.runs().await.into_iter().filter(is_selected).collect()
     }
 
     async fn runs(&self) -> Vec<RunEntry> {
-        let answer = self.platform.client.get("/runs", LIMIT).await;
-        serde_json::from_slice(&answer.expect("runs").body).expect("JSON")
+        let response = self.platform.client.get("/runs", WAIT_TIMEOUT).await;
+        serde_json::from_slice(&response.expect("runs").body).expect("JSON")
     }
 
-    /// Asserts that callers were told the truth and that the log shows no broken budget.
-    pub async fn assert_proper(&self, told: &[Told]) {
-        let broken = check(&self.runs().await, told);
-        assert!(broken.is_empty(), "{broken:#?}");
-        assert!(!told.is_empty());
+    /// Asserts that the outcomes match the runs and that the log shows no violated budget.
+    pub async fn assert_guarantees(&self, records: &[AttemptRecord]) {
+        let violations = check(&self.runs().await, records);
+        assert!(violations.is_empty(), "{violations:#?}");
+        assert!(!records.is_empty());
         for pool in audit(&self.log().await) {
             let lowest = pool.lowest_available;
             assert!(lowest >= FLOOR, "pool {} had {lowest}", pool.pool);
         }
     }
 
-    /// Waits until a VM is claimed and returns the number of the node that holds the claim.
+    /// Waits until a VM is claimed and returns the number of the claiming node.
     pub async fn wait_holder(&self) -> usize {
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let mut state = FleetState::new();
             for entry in self.log().await {
@@ -176,7 +180,7 @@
                 let number = claim.holder.as_str().trim_start_matches("node-");
                 return number.parse().expect("a node's number");
             }
-            assert!(Instant::now() < until, "no VM is claimed");
+            assert!(Instant::now() < deadline, "no VM is claimed");
         }
     }
 
@@ -185,11 +189,11 @@
         let list: VmList = self
             .platform
             .client
-            .fetch("/vms", LIMIT)
+            .fetch("/vms", WAIT_TIMEOUT)
             .await
             .expect("the VM list");
         for vm in list.vms {
-            assert_eq!(vm.incarnation, 2, "lives of {}", vm.name);
+            assert_eq!(vm.incarnation, 2, "incarnation of {}", vm.name);
         }
     }
 
@@ -199,16 +203,16 @@
         loop {
             let from = entries.last().map_or(1, |entry| entry.offset + 1);
             let path = format!("/streams/fleet?from={from}&max={MAX_READ}");
-            let answer: ReadAnswer = self
+            let response: ReadAnswer = self
                 .platform
                 .client
-                .fetch(&path, LIMIT)
+                .fetch(&path, WAIT_TIMEOUT)
                 .await
                 .expect("the log");
-            if answer.entries.is_empty() {
+            if response.entries.is_empty() {
                 return entries;
             }
-            entries.extend(answer.entries);
+            entries.extend(response.entries);
         }
     }
 }
--- a/crates/lynxwheel/tests/proof/load.rs
+++ b/crates/lynxwheel/tests/proof/load.rs
@@ -1,10 +1,10 @@
-//! Callers that ask for as long as a test lasts and note what they were told.
+//! Callers that send requests throughout a test and record the outcomes.
 
 use {
     crate::{
         balancer::Balancer,
-        checker::{Told, Verdict, attempt_id, is_attempt_of},
-        common::LIMIT,
+        checker::{AttemptOutcome, AttemptRecord, attempt_id, is_attempt_of},
+        common::WAIT_TIMEOUT,
     },
     http::{Method, StatusCode},
     lynxwheel_transport::{Answer, Client, ClientRequest},
@@ -18,31 +18,31 @@
     tokio::{task::JoinHandle, time::Instant},
 };
 
-/// Time that a caller waits for one answer.
-const WAIT: Duration = Duration::from_secs(5);
+/// Time limit for one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pause between two requests of a caller.
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// Connections of one caller to one node, its own, so that none is kept unused while a node
+/// Connections of one caller to one node; callers share none, so that none is idle while a node
 /// drains.
 const CONNECTIONS: usize = 1;
 
-/// Attempts of one request, each at the next node, as a caller behind the balancer makes them.
-const ATTEMPTS: usize = 3;
+/// Maximum attempts of one request, each at the next node that the load balancer selects.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Callers under way.
+/// A running group of callers.
 pub struct Load {
-    is_over: Arc<AtomicBool>,
-    answered: Arc<AtomicU64>,
-    callers: Vec<JoinHandle<Vec<Told>>>,
+    is_stopped: Arc<AtomicBool>,
+    response_count: Arc<AtomicU64>,
+    callers: Vec<JoinHandle<Vec<AttemptRecord>>>,
 }
 
 impl Load {
-    /// Starts callers; every second request is non-idempotent and carries a key.
+    /// Starts callers; every second request is non-idempotent and has an idempotency key.
     pub fn start(nodes: &[Client], callers: usize) -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
-        let answered = Arc::new(AtomicU64::new(0));
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let response_count = Arc::new(AtomicU64::new(0));
         let balancer = Balancer::start(nodes);
         let callers = (0..callers)
             .map(|number| {
@@ -53,37 +53,37 @@
                         .iter()
                         .map(|node| Client::new(node.peer(), CONNECTIONS))
                         .collect(),
-                    answered: Arc::clone(&answered),
-                    told: Vec::new(),
+                    response_count: Arc::clone(&response_count),
+                    records: Vec::new(),
                 };
-                tokio::spawn(caller.ask_until(Arc::clone(&is_over)))
+                tokio::spawn(caller.run_until(Arc::clone(&is_stopped)))
             })
             .collect();
         Self {
-            is_over,
-            answered,
+            is_stopped,
+            response_count,
             callers,
         }
     }
 
-    /// Waits until `count` more requests have been answered in full.
-    pub async fn wait_answered(&self, count: u64) {
-        let target = self.answered.load(Ordering::Relaxed) + count;
-        let until = Instant::now() + LIMIT;
-        while self.answered.load(Ordering::Relaxed) < target {
-            assert!(Instant::now() < until, "requests are no longer answered");
+    /// Waits until `count` more requests have a complete response.
+    pub async fn wait_for_responses(&self, count: u64) {
+        let target = self.response_count.load(Ordering::Relaxed) + count;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while self.response_count.load(Ordering::Relaxed) < target {
+            assert!(Instant::now() < deadline, "requests are no longer answered");
             tokio::time::sleep(PAUSE).await;
         }
     }
 
-    /// Ends the load and returns what the callers were told.
-    pub async fn stop(self) -> Vec<Told> {
-        self.is_over.store(true, Ordering::Relaxed);
-        let mut told = Vec::new();
+    /// Stops the callers and returns the records of all attempts.
+    pub async fn stop(self) -> Vec<AttemptRecord> {
+        self.is_stopped.store(true, Ordering::Relaxed);
+        let mut records = Vec::new();
         for caller in self.callers {
-            told.extend(caller.await.expect("no panic"));
+            records.extend(caller.await.expect("no panic"));
         }
-        told
+        records
     }
 }
 
@@ -91,27 +91,27 @@
     number: usize,
     balancer: Balancer,
     nodes: Vec<Client>,
-    answered: Arc<AtomicU64>,
-    told: Vec<Told>,
+    response_count: Arc<AtomicU64>,
+    records: Vec<AttemptRecord>,
 }
 
 impl Caller {
-    async fn ask_until(mut self, is_over: Arc<AtomicBool>) -> Vec<Told> {
+    async fn run_until(mut self, is_stopped: Arc<AtomicBool>) -> Vec<AttemptRecord> {
         let mut count = 0;
-        while !is_over.load(Ordering::Relaxed) {
-            self.ask(count).await;
+        while !is_stopped.load(Ordering::Relaxed) {
+            self.send_request(count).await;
             count += 1;
             tokio::time::sleep(PAUSE).await;
         }
-        self.told
+        self.records
     }
 
-    async fn ask(&mut self, count: usize) {
+    async fn send_request(&mut self, count: usize) {
         let is_idempotent = count.is_multiple_of(2);
         let name = format!("{}-{count}", self.number);
-        for attempt in 0..ATTEMPTS {
-            let row = self.balancer.choose(self.number + count + attempt);
-            let node = &self.nodes[row];
+        for attempt in 0..MAX_ATTEMPTS {
+            let index = self.balancer.choose(self.number + count + attempt);
+            let node = &self.nodes[index];
             let request = if is_idempotent {
                 ClientRequest::new(Method::GET, "/maps/work?ms=5&size=20000")
             } else {
@@ -119,54 +119,59 @@
                     .with_header("idempotency-key", format!("charge-{name}"))
                     .with_body(format!("charge {count}"))
             };
-            let told = ask_once(node, request, &name, attempt).await;
-            let verdict = told.verdict.clone();
-            self.told.push(told);
-            if verdict == Verdict::Answered {
-                self.answered.fetch_add(1, Ordering::Relaxed);
+            let record = send_attempt(node, request, &name, attempt).await;
+            let outcome = record.outcome.clone();
+            self.records.push(record);
+            if outcome == AttemptOutcome::Answered {
+                self.response_count.fetch_add(1, Ordering::Relaxed);
                 return;
             }
         }
     }
 }
 
-/// Asks once and judges the answer.
-pub async fn ask_once(node: &Client, request: ClientRequest, name: &str, attempt: usize) -> Told {
+/// Sends one attempt of a request and records its outcome.
+pub async fn send_attempt(
+    node: &Client,
+    request: ClientRequest,
+    name: &str,
+    attempt: usize,
+) -> AttemptRecord {
     let request = request.with_header("x-request-id", attempt_id(name, attempt));
-    let verdict = match node.call(&request, WAIT).await {
-        Ok(answer) => judge(&answer, name, &request),
-        Err(error) if !error.may_have_run => Verdict::NotReached,
-        Err(error) => Verdict::Unknown(error.to_string()),
+    let outcome = match node.call(&request, RESPONSE_TIMEOUT).await {
+        Ok(response) => check_response(&response, name, &request),
+        Err(error) if !error.may_have_run => AttemptOutcome::NotReached,
+        Err(error) => AttemptOutcome::Unknown(error.to_string()),
     };
-    Told {
+    AttemptRecord {
         request: name.into(),
         attempt,
-        verdict,
+        outcome,
     }
 }
 
-fn judge(answer: &Answer, name: &str, request: &ClientRequest) -> Verdict {
-    if answer.header("lynxwheel-did-not-run") == Some("true") {
-        return Verdict::DidNotRun;
+fn check_response(response: &Answer, name: &str, request: &ClientRequest) -> AttemptOutcome {
+    if response.header("lynxwheel-did-not-run") == Some("true") {
+        return AttemptOutcome::DidNotRun;
     }
-    let text = String::from_utf8_lossy(&answer.body);
-    if answer.status != StatusCode::OK {
-        return Verdict::Unknown(text.into_owned());
+    let text = String::from_utf8_lossy(&response.body);
+    if response.status != StatusCode::OK {
+        return AttemptOutcome::Unknown(text.into_owned());
     }
     let line = text.lines().next().unwrap_or_default();
     let padding = text.len().saturating_sub(line.len() + 1);
     let id = line.strip_prefix("request=").unwrap_or_default();
-    let is_own =
+    let is_matching =
         is_attempt_of(id, name) && line.ends_with(&format!("bytes={}", request.body.len()));
-    if is_own && padding == size_of(&request.path) {
-        Verdict::Answered
+    if is_matching && padding == requested_padding(&request.path) {
+        AttemptOutcome::Answered
     } else {
-        Verdict::Wrong(format!("{line} and {padding} bytes"))
+        AttemptOutcome::Wrong(format!("{line} and {padding} bytes"))
     }
 }
 
-/// Returns the padding that a path asks for, in bytes.
-fn size_of(path: &str) -> usize {
+/// Returns the padding that a path requests, in bytes.
+fn requested_padding(path: &str) -> usize {
     path.split_once("size=")
         .and_then(|(_, size)| size.parse().ok())
         .unwrap_or(0)
--- a/crates/lynxwheel/tests/soak.rs
+++ b/crates/lynxwheel/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of the program: nodes as processes, faults from outside, promises checked.
+//! Short soak tests: nodes as processes, injected faults and checked guarantees.
 
 use {
     lynxwheel_soak::{SoakPlan, count_nodes_with_latest_keys, run_soak},
@@ -6,8 +6,8 @@
     tokio::runtime::Runtime,
 };
 
-/// Plays a seed with three nodes and returns the promises that were broken.
-fn broken(seed: u64, length_ms: u64, are_nodes_small: bool) -> Vec<String> {
+/// Runs a seed with three nodes and returns the violated guarantees.
+fn run_seed(seed: u64, length_ms: u64, are_nodes_small: bool) -> Vec<String> {
     let program = Path::new(env!("CARGO_BIN_EXE_lynxwheel"));
     let plan = SoakPlan::new(program, seed, length_ms, 3).with_small_nodes(are_nodes_small);
     let runtime = Runtime::new().expect("a runtime");
@@ -16,26 +16,25 @@
 }
 
 macro_rules! seeds {
-    ($($(#[$story:meta])* $name:ident: $seed:literal, $length_ms:literal, $are_nodes_small:literal;)*) => {
-        $($(#[$story])* #[test] fn $name() {
-            let broken = broken($seed, $length_ms, $are_nodes_small);
-            assert_eq!(broken, Vec::<String>::new());
+    ($($(#[$doc:meta])* $name:ident: $seed:literal, $length_ms:literal, $are_nodes_small:literal;)*) => {
+        $($(#[$doc])* #[test] fn $name() {
+            let violations = run_seed($seed, $length_ms, $are_nodes_small);
+            assert_eq!(violations, Vec::<String>::new());
         })*
     };
 }
 
 seeds! {
-    /// Nodes are killed, paused and stopped, links are cut and endpoints misbehave, one over the
-    /// other. Callers and endpoints see no broken promise, and every accepted job comes to its end.
+    /// Guards against guarantees that overlapping faults of nodes, links and endpoints violate, and
+    /// against accepted jobs that never end.
     overlapping_faults_break_no_promise: 1, 4_000, false;
 
-    /// The owner is too small to call every endpoint, and the nodes that do it for it are killed, paused
-    /// and cut off, too. No task runs twice, no end is lost.
+    /// Guards against tasks that run twice and lost results when the delegates that call endpoints
+    /// for the owner fail, too.
     faults_of_nodes_that_call_for_the_owner_break_no_promise: 2, 4_000, true;
 }
 
-/// Guards against nodes that the store turns away and that go on serving keys which were taken away, or
-/// refuse new ones.
+/// Guards against nodes without access to the store that accept revoked keys or reject new ones.
 #[test]
 fn nodes_cut_off_the_store_learn_keys_from_others() {
     let program = Path::new(env!("CARGO_BIN_EXE_lynxwheel"));
--- a/crates/lynxwheel/tests/thin_path.rs
+++ b/crates/lynxwheel/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! The whole path as separate processes.
+//! End-to-end tests with the platform and the nodes as separate processes.
 
 mod common;
 
@@ -19,21 +19,21 @@
 const VMS: u32 = 6;
 const FLOOR: u32 = 4;
 
-async fn ask(node: &TestNode, id: &str) {
+/// Sends a request and asserts that the response belongs to it.
+async fn call(node: &TestNode, id: &str) {
     let request =
         ClientRequest::new(Method::GET, "/maps/work?ms=3").with_header("x-request-id", id);
-    let answer = node.call(&request).await.expect("an answer");
-    let text = String::from_utf8_lossy(&answer.body);
-    assert_eq!(answer.status, StatusCode::OK, "{text}");
+    let response = node.call(&request).await.expect("a response");
+    let text = String::from_utf8_lossy(&response.body);
+    assert_eq!(response.status, StatusCode::OK, "{text}");
     assert!(
         text.starts_with(&format!("request={id} ")),
-        "another request's answer: {text}"
+        "response to another request: {text}"
     );
 }
 
-/// An operator declares a pool at one node and starts a wave at another while callers ask both.
-/// Every VM reboots once, and no caller sees a refusal or a cut answer, because a claimed VM gets
-/// no new request on any node and is restarted only when its last one is answered.
+/// Guards against requests that fail because a maintenance wave reboots a VM that serves them.
+/// The pool is declared at one node, the wave at another, and callers use both.
 #[tokio::test(flavor = "multi_thread")]
 async fn wave_under_load_fails_no_request() {
     let platform = TestPlatform::start(VMS);
@@ -42,14 +42,14 @@
     for vm in 0..VMS {
         nodes[1].wait_ready(&format!("vm/vm-{vm}")).await;
     }
-    let is_over = Arc::new(AtomicBool::new(false));
+    let is_stopped = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
     for caller in 0..4 {
-        let (nodes, is_over) = (Arc::clone(&nodes), Arc::clone(&is_over));
+        let (nodes, is_stopped) = (Arc::clone(&nodes), Arc::clone(&is_stopped));
         callers.push(tokio::spawn(async move {
             let mut number = 0;
-            while !is_over.load(Ordering::Relaxed) {
-                ask(&nodes[caller % 2], &format!("caller-{caller}-{number}")).await;
+            while !is_stopped.load(Ordering::Relaxed) {
+                call(&nodes[caller % 2], &format!("caller-{caller}-{number}")).await;
                 number += 1;
             }
             number
@@ -67,7 +67,7 @@
         .await;
     nodes[0].wait_ready("wave/kernel").await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    is_over.store(true, Ordering::Relaxed);
+    is_stopped.store(true, Ordering::Relaxed);
     for caller in callers {
         assert!(caller.await.expect("no failed request") > 0);
     }
@@ -75,8 +75,7 @@
     assert_eq!(status["done"], VMS);
 }
 
-/// A node is told to stop while a caller waits for a long answer. The caller gets its whole
-/// answer, and the process ends by itself with success.
+/// Guards against a graceful shutdown that cuts off a response in progress.
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_cuts_off_no_answer() {
     let platform = TestPlatform::start(VMS);
@@ -88,13 +87,13 @@
     let call = tokio::spawn(async move {
         let request = ClientRequest::new(Method::GET, "/maps/work?ms=1500&size=100000")
             .with_header("x-request-id", "long");
-        callers.call(&request, common::LIMIT).await
+        callers.call(&request, common::WAIT_TIMEOUT).await
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
     node.process.signal("TERM");
     let ended = tokio::task::spawn_blocking(move || node.process.wait());
-    let answer = call.await.expect("no panic").expect("the whole answer");
-    assert_eq!(answer.status, StatusCode::OK);
-    assert!(answer.body.len() > 100_000);
+    let response = call.await.expect("no panic").expect("the whole response");
+    assert_eq!(response.status, StatusCode::OK);
+    assert!(response.body.len() > 100_000);
     assert!(ended.await.expect("no panic"), "the node failed to stop");
 }
