--- a/crates/lynxwheel/tests/thin_path.rs
+++ b/crates/lynxwheel/tests/end_to_end.rs
@@ -77,7 +77,7 @@
 
 /// Guards against a graceful shutdown that cuts off a response in progress.
 #[tokio::test(flavor = "multi_thread")]
-async fn planned_stop_cuts_off_no_answer() {
+async fn graceful_shutdown_cuts_off_no_response() {
     let platform = TestPlatform::start(VMS);
     let mut nodes = start_nodes(platform.client.peer(), 2, "planned_stop");
     declare_maps(&nodes[0], VMS, FLOOR).await;
--- a/crates/lynxwheel/tests/proof/main.rs
+++ b/crates/lynxwheel/tests/proof/main.rs
@@ -28,7 +28,7 @@
 /// Guards against non-idempotent requests that run twice, or that run although the response says
 /// otherwise, when nodes are killed and callers retry at other nodes.
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_nodes_double_nothing() {
+async fn killed_nodes_cause_no_duplicate_runs() {
     let mut fleet = Fleet::start(3, "killed_nodes").await;
     let load = Load::start(&fleet.callers(), 6);
     load.wait_for_responses(RESPONSES).await;
@@ -44,7 +44,7 @@
 /// Guards against non-idempotent requests that run twice when callers retry the requests of a
 /// frozen node elsewhere and the node then resumes.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_node_doubles_nothing() {
+async fn frozen_node_causes_no_duplicate_runs() {
     let fleet = Fleet::start(3, "frozen_node").await;
     let load = Load::start(&fleet.callers(), 6);
     load.wait_for_responses(RESPONSES).await;
@@ -61,7 +61,7 @@
 /// Guards against idempotent requests that fail, and non-idempotent ones that run, while the log is
 /// unavailable.
 #[tokio::test(flavor = "multi_thread")]
-async fn outage_of_the_log_stops_no_idempotent_request() {
+async fn log_outage_fails_no_idempotent_request() {
     let fleet = Fleet::start(2, "log_outage").await;
     let node = &fleet.nodes[0].callers;
     fleet
@@ -98,7 +98,7 @@
 /// Guards against requests that fail and declarations that are lost when all nodes are replaced one
 /// after another behind a load balancer.
 #[tokio::test(flavor = "multi_thread")]
-async fn rolling_replacement_loses_nothing() {
+async fn rolling_replacement_fails_no_request() {
     let mut fleet = Fleet::start(3, "rolling_replacement").await;
     let load = Load::start(&fleet.callers(), 6);
     load.wait_for_responses(RESPONSES).await;
@@ -126,7 +126,7 @@
 /// Guards against a node without access to the log that runs non-idempotent requests, and against
 /// duplicate runs when delayed appends arrive after the partition.
 #[tokio::test(flavor = "multi_thread")]
-async fn zone_cut_from_the_platform_doubles_nothing() {
+async fn platform_partition_causes_no_duplicate_runs() {
     let fleet = Fleet::start(3, "zone_cut").await;
     let load = Load::start(&fleet.callers(), 6);
     load.wait_for_responses(RESPONSES).await;
@@ -150,7 +150,7 @@
 /// Guards against records that take effect twice when responses of the log service are lost,
 /// appends are delayed and the node retries them.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_and_late_appends_double_nothing() {
+async fn lost_and_late_appends_cause_no_duplicate_runs() {
     let fleet = Fleet::start(2, "lost_appends").await;
     let load = Load::start(&fleet.callers(), 6);
     for _ in 0..3 {
@@ -170,7 +170,7 @@
 
 /// Guards against a late response that reaches the next caller on the same connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answer_reaches_nobody_else() {
+async fn late_response_reaches_no_other_caller() {
     let fleet = Fleet::start(1, "late_answer").await;
     let node = &fleet.nodes[0].callers;
     let mut records = Vec::new();
@@ -192,7 +192,7 @@
 
 /// Guards against an incomplete response of an endpoint that looks complete to the caller.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_answer_is_never_whole() {
+async fn truncated_response_is_never_complete() {
     let fleet = Fleet::start(1, "broken_answer").await;
     let node = &fleet.nodes[0].callers;
     let mut records = Vec::new();
@@ -212,7 +212,7 @@
 /// Guards against a wave that stalls, restarts a VM twice or violates the budget when nodes with
 /// claims are killed.
 #[tokio::test(flavor = "multi_thread")]
-async fn wave_survives_its_holder() {
+async fn wave_completes_after_its_holder_is_killed() {
     let mut fleet = Fleet::start(3, "wave_holder").await;
     let load = Load::start(&fleet.callers(), 4);
     load.wait_for_responses(RESPONSES).await;
@@ -232,7 +232,7 @@
 /// Guards against VMs that are restarted twice when a frozen node resumes after other nodes have
 /// taken over its claims.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_holder_restarts_nothing_twice() {
+async fn frozen_holder_causes_no_duplicate_restarts() {
     let fleet = Fleet::start(3, "frozen_holder").await;
     let load = Load::start(&fleet.callers(), 4);
     fleet.start_wave("kernel").await;
@@ -249,7 +249,7 @@
 /// Guards against violated budgets and duplicate restarts when nodes cannot reach each other and
 /// each takes over the others' claims.
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_cut_from_each_other_break_no_budget() {
+async fn peer_partition_violates_no_budget() {
     let fleet = Fleet::start(3, "peers_cut").await;
     let load = Load::start(&fleet.callers(), 4);
     load.wait_for_responses(RESPONSES).await;
--- a/crates/lynxwheel/tests/soak.rs
+++ b/crates/lynxwheel/tests/soak.rs
@@ -27,16 +27,16 @@
 seeds! {
     /// Guards against guarantees that overlapping faults of nodes, links and endpoints violate, and
     /// against accepted jobs that never end.
-    overlapping_faults_break_no_promise: 1, 4_000, false;
+    overlapping_faults_violate_no_guarantee: 1, 4_000, false;
 
     /// Guards against tasks that run twice and lost results when the delegates that call endpoints
     /// for the owner fail, too.
-    faults_of_nodes_that_call_for_the_owner_break_no_promise: 2, 4_000, true;
+    delegate_faults_violate_no_guarantee: 2, 4_000, true;
 }
 
 /// Guards against nodes without access to the store that accept revoked keys or reject new ones.
 #[test]
-fn nodes_cut_off_the_store_learn_keys_from_others() {
+fn nodes_without_the_store_learn_keys_from_peers() {
     let program = Path::new(env!("CARGO_BIN_EXE_lynxwheel"));
     let plan = SoakPlan::new(program, 3, 0, 3);
     let runtime = Runtime::new().expect("a runtime");
--- a/crates/lynxwheel/tests/tokens.rs
+++ b/crates/lynxwheel/tests/tokens.rs
@@ -26,9 +26,9 @@
 
 refused! {
     /// Guards against an operator API that anybody on the network can use.
-    open_to_strangers: "10.0.0.7:8081", "" => "section listen, key operators: without [tokens], \
+    network_address_without_tokens: "10.0.0.7:8081", "" => "section listen, key operators: without [tokens], \
         operators may listen on loopback addresses only";
-    open_on_every_address: "0.0.0.0:0", "[tokens]\n" => "section listen, key operators: without \
+    unspecified_address_without_tokens: "0.0.0.0:0", "[tokens]\n" => "section listen, key operators: without \
         [tokens], operators may listen on loopback addresses only";
     unknown_role: "127.0.0.1:8081", "[tokens]\ndesk = write:0123456789abcdef\n" =>
         "section tokens, key desk: the role must be one of read, operate, administer";
