--- a/crates/lynxctl/tests/ctl/examples.rs
+++ b/crates/lynxctl/tests/ctl/examples.rs
@@ -18,7 +18,10 @@
         $(#[tokio::test(flavor = "multi_thread", worker_threads = 2)] async fn $name() {
             let path = directory($customer);
             let declarations = load(&path).expect("declarations");
-            let vms = declarations.iter().filter(|own| own.resource.kind() == Kind::Vm).count();
+            let vms = declarations
+                .iter()
+                .filter(|declaration| declaration.resource.kind() == Kind::Vm)
+                .count();
             let fleet = Fleet::start(u32::try_from(vms).expect("few VMs")).await;
             let files = path.display();
             let output = fleet.ctl_ok(&format!("apply -f {files}")).await;
--- a/crates/lynxwheel/benches/distribution.rs
+++ b/crates/lynxwheel/benches/distribution.rs
@@ -128,13 +128,13 @@
     async fn run_outage(&mut self, changes: u32) {
         self.set_faults(&json!({ "log_down": true })).await;
         let operators = self.operators();
-        let mut asked = JoinSet::new();
+        let mut accepted = JoinSet::new();
         for change in 0..changes {
             let name = format!("team-{}", self.next_team);
             self.next_team += 1;
-            let declared = operators[change as usize % operators.len()].clone();
-            asked.spawn(async move {
-                declare(&declared, &name).await;
+            let declarer = operators[change as usize % operators.len()].clone();
+            accepted.spawn(async move {
+                declare(&declarer, &name).await;
                 name
             });
         }
@@ -143,13 +143,13 @@
             .await;
         let recovered = Instant::now();
         let mut times = Vec::new();
-        while let Some(name) = asked.join_next().await {
+        while let Some(name) = accepted.join_next().await {
             let name = name.expect("declared");
-            let mut asking = JoinSet::new();
+            let mut waits = JoinSet::new();
             for node in &operators {
-                asking.spawn(wait_for(node.clone(), name.clone(), recovered));
+                waits.spawn(wait_for(node.clone(), name.clone(), recovered));
             }
-            times.extend(asking.join_all().await);
+            times.extend(waits.join_all().await);
         }
         self.set_faults(&json!({})).await;
         report(
@@ -210,8 +210,8 @@
     /// until each node shows it, in milliseconds.
     async fn measure_changes(
         &mut self,
-        declaring: &[Client],
-        asked: &[Client],
+        declarers: &[Client],
+        observers: &[Client],
         changes: u32,
         pause: Duration,
     ) -> Vec<f64> {
@@ -219,15 +219,15 @@
         for change in 0..changes {
             let name = format!("team-{}", self.next_team);
             self.next_team += 1;
-            let declared = declaring[change as usize % declaring.len()].clone();
-            let asked = asked.to_vec();
+            let declarer = declarers[change as usize % declarers.len()].clone();
+            let observers = observers.to_vec();
             waiting.spawn(async move {
-                let accepted = declare(&declared, &name).await;
-                let mut asking = JoinSet::new();
-                for node in asked {
-                    asking.spawn(wait_for(node, name.clone(), accepted));
+                let accepted = declare(&declarer, &name).await;
+                let mut waits = JoinSet::new();
+                for node in observers {
+                    waits.spawn(wait_for(node, name.clone(), accepted));
                 }
-                asking.join_all().await
+                waits.join_all().await
             });
             sleep(pause).await;
         }
--- a/crates/lynxwheel/src/embedded.rs
+++ b/crates/lynxwheel/src/embedded.rs
@@ -84,12 +84,12 @@
             let body = serde_json::to_vec(resource).map_err(|error| error.to_string())?;
             let path = format!("/v1/{}/{}", resource.kind(), resource.name());
             let request = ClientRequest::new(Method::PUT, path).with_body(body);
-            let answer = operators
+            let response = operators
                 .call(&request, CALL_TIMEOUT)
                 .await
                 .map_err(|error| error.to_string())?;
-            if answer.status != StatusCode::OK {
-                let text = String::from_utf8_lossy(&answer.body);
+            if response.status != StatusCode::OK {
+                let text = String::from_utf8_lossy(&response.body);
                 return Err(format!("{}: {text}", resource.reference()));
             }
         }
--- a/crates/lynxwheel/src/main_job.rs
+++ b/crates/lynxwheel/src/main_job.rs
@@ -215,9 +215,9 @@
         request = request.with_header("idempotency-key", id.clone());
     }
     match client.call(&request, CALL_TIMEOUT).await {
-        Ok(answer) if answer.status == StatusCode::OK => {
+        Ok(response) if response.status == StatusCode::OK => {
             let expected = format!("request={id} ");
-            if answer.body.starts_with(expected.as_bytes()) && answer.body.ends_with(b"\n") {
+            if response.body.starts_with(expected.as_bytes()) && response.body.ends_with(b"\n") {
                 CallOutcome::Answered
             } else {
                 CallOutcome::Wrong
--- a/crates/lynxwheel/tests/common/mod.rs
+++ b/crates/lynxwheel/tests/common/mod.rs
@@ -195,7 +195,7 @@
 ) -> TestNode {
     let peers: Vec<SocketAddr> = ports
         .chunks(3)
-        .map(|own| SocketAddr::from(([127, 0, 0, 1], own[2])))
+        .map(|ports| SocketAddr::from(([127, 0, 0, 1], ports[2])))
         .collect();
     start_node_with(platform, ports, &peers, number, directory, poll_interval_ms)
 }
@@ -219,13 +219,13 @@
     directory: &str,
     poll_interval_ms: u64,
 ) -> TestNode {
-    let own = &ports[number * 3..number * 3 + 3];
+    let node_ports = &ports[number * 3..number * 3 + 3];
     let zone = number % 3 + 1;
     let mut settings = format!(
         "[node]\nname = node-{number}\nzone = zone-{zone}\n[listen]\ncallers = 127.0.0.1:{}\n\
          operators = 127.0.0.1:{}\npeers = 127.0.0.1:{}\n[platform]\naddress = {platform}\n\
          [timing]\ntick_ms = {poll_interval_ms}\nrank_delay_ms = 100\ndrain_ms = 1000\n[peers]\n",
-        own[0], own[1], own[2]
+        node_ports[0], node_ports[1], node_ports[2]
     );
     let peers: Vec<String> = (0..)
         .zip(peers)
@@ -248,8 +248,8 @@
     let client = |port| Client::new(SocketAddr::from(([127, 0, 0, 1], port)), 64);
     TestNode {
         process,
-        callers: client(own[0]),
-        operators: client(own[1]),
+        callers: client(node_ports[0]),
+        operators: client(node_ports[1]),
     }
 }
 
--- a/crates/lynxwheel/tests/proof/checker.rs
+++ b/crates/lynxwheel/tests/proof/checker.rs
@@ -62,7 +62,7 @@
             AttemptOutcome::DidNotRun | AttemptOutcome::NotReached
                 if runs.iter().any(|run| run.request_id == id) =>
             {
-                violations.push(format!("{id} was told not to have run, and ran"));
+                violations.push(format!("{id} ran although the response says otherwise"));
             }
             AttemptOutcome::Answered if !has_complete_run(runs, &record.request) => {
                 violations.push(format!("{id} was answered without a run"));
