--- a/crates/lynxctl/src/changes.rs
+++ b/crates/lynxctl/src/changes.rs
@@ -106,7 +106,7 @@
             if is_user {
                 let detail = format!("pool {pool} is used by {}", view.resource.reference());
                 return Err(CtlError::Refused {
-                    what: "drain".into(),
+                    action: "drain".into(),
                     problem: Box::new(Problem::new(ProblemReason::Rejected, detail)),
                 });
             }
--- a/crates/lynxctl/src/client.rs
+++ b/crates/lynxctl/src/client.rs
@@ -117,14 +117,14 @@
         }
         let detail = "the fleet changes faster than its pages can be read";
         Err(CtlError::Refused {
-            what: format!("list {kind}"),
+            action: format!("list {kind}"),
             problem: Box::new(Problem::new(ProblemReason::TooOld, detail)),
         })
     }
 
     /// Reads all pages of a list; returns `None` when the continuation has expired.
     async fn try_list(&self, kind: Kind) -> Result<Option<ResourceList>, CtlError> {
-        let mut whole: Option<ResourceList> = None;
+        let mut combined: Option<ResourceList> = None;
         let mut cursor = String::new();
         loop {
             let path = format!("/v1/{kind}?limit={PAGE_SIZE}{cursor}");
@@ -134,13 +134,13 @@
             }
             let mut page: ResourceList = decode(&format!("list {kind}"), peer, &response)?;
             let next = page.continue_at.take();
-            match &mut whole {
-                Some(whole) => whole.items.append(&mut page.items),
-                None => whole = Some(page),
+            match &mut combined {
+                Some(combined) => combined.items.append(&mut page.items),
+                None => combined = Some(page),
             }
             match next {
                 Some(next) => cursor = format!("&continue={next}"),
-                None => return Ok(whole),
+                None => return Ok(combined),
             }
         }
     }
@@ -243,12 +243,12 @@
     /// Sends a write, and polls its outcome when the server does not know it yet.
     async fn write(
         &self,
-        what: &str,
+        action: &str,
         reference: &ResourceRef,
         request: &ClientRequest,
     ) -> Result<WriteAnswer, CtlError> {
         let (peer, response) = self.call(request).await?;
-        let refusal = match decode::<WriteAnswer>(what, peer, &response) {
+        let refusal = match decode::<WriteAnswer>(action, peer, &response) {
             Err(error) => error,
             result => return result,
         };
@@ -268,7 +268,7 @@
                 }
                 Ok(OperationOutcome::Rejected { reason, .. }) => {
                     return Err(CtlError::Refused {
-                        what: what.into(),
+                        action: action.into(),
                         problem: Box::new(Problem::new(ProblemReason::Rejected, reason)),
                     });
                 }
@@ -372,10 +372,10 @@
 }
 
 /// Decodes the problem in a response.
-fn decode_refusal(what: &str, peer: SocketAddr, body: &[u8]) -> CtlError {
+fn decode_refusal(action: &str, peer: SocketAddr, body: &[u8]) -> CtlError {
     match serde_json::from_slice::<Problem>(body) {
         Ok(problem) => CtlError::Refused {
-            what: what.into(),
+            action: action.into(),
             problem: Box::new(problem),
         },
         Err(error) => CtlError::InvalidResponse {
@@ -386,12 +386,12 @@
 }
 
 fn decode<T: DeserializeOwned>(
-    what: &str,
+    action: &str,
     peer: SocketAddr,
     response: &Answer,
 ) -> Result<T, CtlError> {
     if response.status != StatusCode::OK {
-        return Err(decode_refusal(what, peer, &response.body));
+        return Err(decode_refusal(action, peer, &response.body));
     }
     serde_json::from_slice(&response.body).map_err(|error| CtlError::InvalidResponse {
         peer,
--- a/crates/lynxctl/src/commands.rs
+++ b/crates/lynxctl/src/commands.rs
@@ -169,7 +169,7 @@
         .get(reference)
         .await?
         .ok_or_else(|| CtlError::Refused {
-            what: "get".into(),
+            action: "get".into(),
             problem: Box::new(Problem::new(
                 ProblemReason::NotFound,
                 format!("{reference} is not declared"),
--- a/crates/lynxctl/src/error.rs
+++ b/crates/lynxctl/src/error.rs
@@ -35,7 +35,7 @@
     /// The server refused the request.
     Refused {
         /// Request, such as `get pool/maps`.
-        what: String,
+        action: String,
         /// Problem that the server reported.
         problem: Box<Problem>,
     },
@@ -120,7 +120,7 @@
                 "sent, but no answer came, so it may or may not take effect: {source}\n\
                  lynxctl operation lists the latest writes"
             ),
-            Self::Refused { what, problem } => write_refusal(formatter, what, problem),
+            Self::Refused { action, problem } => write_refusal(formatter, action, problem),
             Self::InvalidResponse { peer, reason } => {
                 write!(formatter, "the answer of {peer} cannot be read: {reason}")
             }
@@ -148,8 +148,12 @@
 }
 
 /// Writes a problem with its field errors, dependents and retry delay.
-fn write_refusal(formatter: &mut fmt::Formatter<'_>, what: &str, problem: &Problem) -> fmt::Result {
-    write!(formatter, "{what}: {}", problem.detail)?;
+fn write_refusal(
+    formatter: &mut fmt::Formatter<'_>,
+    action: &str,
+    problem: &Problem,
+) -> fmt::Result {
+    write!(formatter, "{action}: {}", problem.detail)?;
     for error in &problem.errors {
         write!(formatter, "\n  {}: {}", error.field, error.reason)?;
     }
