--- a/crates/coordination/src/log_client.rs
+++ b/crates/coordination/src/log_client.rs
@@ -1,7 +1,9 @@
 //! Client for the platform's log service.
 
 use {
-    lynxwheel_protocol::{AppendAnswer, AppendRequest, ReadAnswer, decode_message, encode_message},
+    lynxwheel_protocol::{
+        AppendRequest, AppendResponse, ReadResponse, decode_message, encode_message,
+    },
     lynxwheel_transport::{Client, ClientRequest, TransportError},
     std::{error, fmt, net::SocketAddr, time::Duration},
 };
@@ -100,7 +102,7 @@
                 reason: error.to_string(),
             })?;
         let request = ClientRequest::new(http::Method::POST, &self.path).with_body(bytes);
-        let response: AppendAnswer = self.call(&request, APPEND_TIMEOUT_MS).await?;
+        let response: AppendResponse = self.call(&request, APPEND_TIMEOUT_MS).await?;
         Ok(response.first_offset)
     }
 
@@ -114,7 +116,7 @@
         from: u64,
         max_entries: usize,
         wait_ms: u64,
-    ) -> Result<ReadAnswer, LogError> {
+    ) -> Result<ReadResponse, LogError> {
         let path = format!(
             "{}?from={from}&max={max_entries}&wait_ms={wait_ms}",
             self.path
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -30,7 +30,7 @@
     log::{error, info},
     lynxwheel_protocol::{FOLD_VERSION, NodeName, OperationId, OperationOutcome, RecordBody},
     lynxwheel_state::FleetState,
-    lynxwheel_transport::{Clients, Shutdown},
+    lynxwheel_transport::{ClientPool, Shutdown},
     std::{
         future::Future,
         sync::{
@@ -70,9 +70,9 @@
     incarnation: u64,
     outputs: FoldOutputs,
     proposer: Proposer,
-    clients: Arc<Clients>,
+    clients: Arc<ClientPool>,
     peers: Peers,
-    peer_clients: Clients,
+    peer_clients: ClientPool,
     snapshot_log: LogClient,
     has_been_current: AtomicBool,
 }
@@ -101,9 +101,9 @@
         Self {
             incarnation,
             proposer: Proposer::new(appender, outcome_timeout, Arc::clone(&outputs.divergence)),
-            clients: Arc::new(Clients::new(MAX_ENDPOINT_CONNECTIONS)),
+            clients: Arc::new(ClientPool::new(MAX_ENDPOINT_CONNECTIONS)),
             peers: Peers::new(&settings),
-            peer_clients: Clients::new(MAX_PEER_CONNECTIONS),
+            peer_clients: ClientPool::new(MAX_PEER_CONNECTIONS),
             snapshot_log: LogClient::new(settings.platform, &snapshots),
             has_been_current: AtomicBool::new(false),
             outputs,
@@ -189,7 +189,7 @@
 
     /// Returns the HTTP clients for endpoints.
     #[must_use]
-    pub fn endpoint_clients(&self) -> &Arc<Clients> {
+    pub fn endpoint_clients(&self) -> &Arc<ClientPool> {
         &self.shared.clients
     }
 
@@ -199,7 +199,7 @@
         &self.shared.peers
     }
 
-    pub(crate) fn peer_clients(&self) -> &Clients {
+    pub(crate) fn peer_clients(&self) -> &ClientPool {
         &self.shared.peer_clients
     }
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! State machine that schedules jobs on a fleet of VMs.
 //!
 //! The crate has no clock and performs no I/O. Its owner passes in events with the current time,
-//! stores the records of each batch and carries out the released effects.
+//! stores the records of each batch and executes the released effects.
 //!
 //! ```
 //! use lynxwheel_engine::{Engine, EngineSettings, Event, FleetConfig, JobSpec, Now, Queue, StepSpec};
@@ -69,10 +69,10 @@
     endpoints::{Endpoint, PlacedRun},
     engine::{Engine, EngineSettings},
     event::{
-        CallOutcome, CallerAnswer, Effect, EndpointAddress, EndpointKey, Event, Now, Refusal,
+        CallOutcome, CallerResponse, Effect, EndpointAddress, EndpointKey, Event, Now, Refusal,
         ReplyToken, StartOrder, VmOutcome,
     },
-    fair_share::{Claim, fair_level},
+    fair_share::{AccountDemand, fair_level},
     job::{JobId, JobSpec, JobState, ParseNameError, Resources, StepSpec, TaskRef},
     log_event::{LogEvent, PoolPlan, QuotaWait, RunEnd, ShareWait},
     pacing::next_pace,
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -21,7 +21,7 @@
         Admission, AdmissionView, EndpointView, RoutePolicy, RouteReason, RouteRequest, admit,
     },
     lynxwheel_protocol::VmName,
-    lynxwheel_transport::{Body, Clients, TransportError, bounded_body, holding_body},
+    lynxwheel_transport::{Body, ClientPool, TransportError, guarded_body, limited_body},
     std::{net::SocketAddr, sync::Arc},
     tokio::time::Instant,
 };
@@ -45,7 +45,7 @@
     routing_tables: RoutingTables,
     budget: RetryBudget,
     policy: RoutePolicy,
-    peers: Arc<Clients>,
+    peers: Arc<ClientPool>,
 }
 
 /// Result of choosing a slot.
@@ -65,7 +65,7 @@
             routing_tables,
             budget: RetryBudget::new(),
             policy,
-            peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
+            peers: Arc::new(ClientPool::new(PEER_CONNECTIONS)),
         }
     }
 
@@ -337,7 +337,7 @@
 fn build_caller_response(response: Response<Body>, slot: Slot) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
     remove_hop_by_hop_headers(&mut parts.headers);
-    let body = holding_body(bounded_body(body, STALL_TIMEOUT, u64::MAX), slot);
+    let body = guarded_body(limited_body(body, STALL_TIMEOUT, u64::MAX), slot);
     Response::from_parts(parts, body)
 }
 
--- a/crates/gateway/src/keyed_requests.rs
+++ b/crates/gateway/src/keyed_requests.rs
@@ -24,7 +24,7 @@
     lynxwheel_coordination::Node,
     lynxwheel_protocol::{KeyOutcome, RequestKey},
     lynxwheel_state::{KeyEntry, KeyState},
-    lynxwheel_transport::{Body, Clients, Gathered, gather_body},
+    lynxwheel_transport::{Body, BufferedBody, ClientPool, buffer_body},
     std::{sync::Arc, time::Duration},
     tokio::{
         sync::{oneshot, watch},
@@ -61,7 +61,7 @@
     dispatcher: Dispatcher,
     intents: Intents,
     attempts: Attempts,
-    peers: Arc<Clients>,
+    peers: Arc<ClientPool>,
     in_flight: Arc<watch::Sender<()>>,
 }
 
@@ -70,7 +70,7 @@
         Self {
             intents: Intents::new(node.clone()),
             attempts: Attempts::default(),
-            peers: Arc::new(Clients::new(PEER_CONNECTIONS)),
+            peers: Arc::new(ClientPool::new(PEER_CONNECTIONS)),
             in_flight: Arc::new(watch::Sender::new(())),
             node,
             dispatcher,
@@ -221,13 +221,13 @@
     ) {
         let (parts, body) = response.into_parts();
         let status = parts.status.as_u16();
-        let (progress, response) = match gather_body(body, MAX_STORED_RESPONSE_BYTES).await {
-            Ok(Gathered::Whole(body)) => {
+        let (progress, response) = match buffer_body(body, MAX_STORED_RESPONSE_BYTES).await {
+            Ok(BufferedBody::Complete(body)) => {
                 let stored = StoredResponse::new(parts.status, &parts.headers, &body);
                 let response = stored.to_response();
                 (Progress::Answered(Arc::new(stored)), response)
             }
-            Ok(Gathered::Longer(body)) => (
+            Ok(BufferedBody::Exceeded(body)) => (
                 Progress::TooLarge(status),
                 Response::from_parts(parts, body),
             ),
@@ -326,7 +326,7 @@
             wait + PEER_TIMEOUT_MARGIN
         };
         let client = self.peers.get(peers[index].address);
-        let reply = client.exchange(PEER_ANSWER_PATH, &query, timeout).await;
+        let reply = client.post_message(PEER_ANSWER_PATH, &query, timeout).await;
         match reply {
             Ok(answer) => answer,
             Err(_) if is_unresponsive => PeerAnswer::OtherRun,
--- a/crates/lynxctl/src/changes.rs
+++ b/crates/lynxctl/src/changes.rs
@@ -99,7 +99,7 @@
     get_declared(client, &ResourceRef::new(Kind::Pool, pool.as_str())).await?;
     for kind in POOL_USERS {
         for view in client.list(kind).await?.items {
-            let dependencies = view.resource.needs();
+            let dependencies = view.resource.dependencies();
             let is_user = dependencies
                 .iter()
                 .any(|used| used.kind == Kind::Pool && used.name == pool.as_str());
--- a/crates/lynxctl/src/client.rs
+++ b/crates/lynxctl/src/client.rs
@@ -7,9 +7,11 @@
     lynxwheel_protocol::{
         CURRENT_HEADER, ExplanationView, Kind, OperationId, OperationList, OperationOutcome,
         OperationView, Problem, ProblemReason, Resource, ResourceList, ResourceRef, ResourceView,
-        WatchEvent, WriteAnswer,
+        WatchEvent, WriteResponse,
+    },
+    lynxwheel_transport::{
+        Body, Client, ClientRequest, ClientResponse, TransportError, empty_body,
     },
-    lynxwheel_transport::{Answer, Body, Client, ClientRequest, TransportError, empty_body},
     serde::de::DeserializeOwned,
     std::{
         net::SocketAddr,
@@ -156,7 +158,7 @@
         resource: &Resource,
         revision: u64,
         dry_run: bool,
-    ) -> Result<WriteAnswer, CtlError> {
+    ) -> Result<WriteResponse, CtlError> {
         let reference = resource.reference();
         let query = if dry_run { "?dry_run=true" } else { "" };
         let body = serde_json::to_vec(resource).map_err(|error| CtlError::InvalidSetup {
@@ -175,7 +177,7 @@
     /// # Errors
     ///
     /// Fails as [`ApiClient::put`] does.
-    pub async fn delete(&self, reference: &ResourceRef) -> Result<WriteAnswer, CtlError> {
+    pub async fn delete(&self, reference: &ResourceRef) -> Result<WriteResponse, CtlError> {
         let request = self.request(Method::DELETE, path(reference));
         self.write(&format!("withdraw {reference}"), reference, &request)
             .await
@@ -246,9 +248,9 @@
         action: &str,
         reference: &ResourceRef,
         request: &ClientRequest,
-    ) -> Result<WriteAnswer, CtlError> {
+    ) -> Result<WriteResponse, CtlError> {
         let (peer, response) = self.call(request).await?;
-        let refusal = match decode::<WriteAnswer>(action, peer, &response) {
+        let refusal = match decode::<WriteResponse>(action, peer, &response) {
             Err(error) => error,
             result => return result,
         };
@@ -259,7 +261,7 @@
         while Instant::now() < deadline {
             match self.operation(id).await.map(|view| view.outcome) {
                 Ok(OperationOutcome::Accepted { offset }) => {
-                    return Ok(WriteAnswer {
+                    return Ok(WriteResponse {
                         reference: reference.clone(),
                         revision: offset,
                         dry_run: false,
@@ -291,7 +293,10 @@
     ///
     /// A write that may have been sent is not retried at another server: both could apply it, and
     /// the second response would hide the first.
-    async fn call(&self, request: &ClientRequest) -> Result<(SocketAddr, Answer), CtlError> {
+    async fn call(
+        &self,
+        request: &ClientRequest,
+    ) -> Result<(SocketAddr, ClientResponse), CtlError> {
         let mut last_error = None;
         for index in self.server_order() {
             let server = &self.servers[index];
@@ -388,7 +393,7 @@
 fn decode<T: DeserializeOwned>(
     action: &str,
     peer: SocketAddr,
-    response: &Answer,
+    response: &ClientResponse,
 ) -> Result<T, CtlError> {
     if response.status != StatusCode::OK {
         return Err(decode_refusal(action, peer, &response.body));
--- a/crates/lynxctl/src/watch.rs
+++ b/crates/lynxctl/src/watch.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{client::ApiClient, error::CtlError, output},
-    lynxwheel_protocol::{FINAL, ProblemReason, ResourceRef, ResourceView, WatchEvent},
+    lynxwheel_protocol::{FINAL_CONDITION, ProblemReason, ResourceRef, ResourceView, WatchEvent},
     std::time::Duration,
     tokio::time::{Instant, sleep, timeout_at},
 };
@@ -124,7 +124,7 @@
     if output::ready_condition(view).is_some_and(|ready| ready.holds) {
         return Status::Ready(text);
     }
-    let is_final = |name: &str, holds: bool| name == FINAL && holds;
+    let is_final = |name: &str, holds: bool| name == FINAL_CONDITION && holds;
     let final_condition = view
         .conditions
         .iter()
--- a/crates/lynxwheel/src/embedded.rs
+++ b/crates/lynxwheel/src/embedded.rs
@@ -148,7 +148,7 @@
         caller_address: any_port,
         operator_address: any_port,
         peer_listen_address: own.first().map_or(any_port, |own| own.address),
-        access: lynxwheel_api::Access::default(),
+        access: lynxwheel_api::AccessControl::default(),
         platform_address: platform,
         stream: "fleet".into(),
         peers,
--- a/crates/lynxwheel/tests/proof/fleet.rs
+++ b/crates/lynxwheel/tests/proof/fleet.rs
@@ -11,7 +11,7 @@
     lynxwheel::audit,
     lynxwheel_coordination::Clock,
     lynxwheel_protocol::{
-        LogEntry, ReadAnswer, Resource, VmList, WaveAction, WaveGoal, WaveSpec, decode_record,
+        LogEntry, ReadResponse, Resource, VmList, WaveAction, WaveGoal, WaveSpec, decode_record,
     },
     lynxwheel_standin::{Faults, Relay, RunEntry},
     lynxwheel_state::FleetState,
@@ -189,7 +189,7 @@
         let list: VmList = self
             .platform
             .client
-            .fetch("/vms", WAIT_TIMEOUT)
+            .get_message("/vms", WAIT_TIMEOUT)
             .await
             .expect("the VM list");
         for vm in list.vms {
@@ -203,10 +203,10 @@
         loop {
             let from = entries.last().map_or(1, |entry| entry.offset + 1);
             let path = format!("/streams/fleet?from={from}&max={MAX_READ}");
-            let response: ReadAnswer = self
+            let response: ReadResponse = self
                 .platform
                 .client
-                .fetch(&path, WAIT_TIMEOUT)
+                .get_message(&path, WAIT_TIMEOUT)
                 .await
                 .expect("the log");
             if response.entries.is_empty() {
--- a/crates/lynxwheel/tests/proof/load.rs
+++ b/crates/lynxwheel/tests/proof/load.rs
@@ -7,7 +7,7 @@
         common::WAIT_TIMEOUT,
     },
     http::{Method, StatusCode},
-    lynxwheel_transport::{Answer, Client, ClientRequest},
+    lynxwheel_transport::{Client, ClientRequest, ClientResponse},
     std::{
         sync::{
             Arc,
@@ -150,7 +150,11 @@
     }
 }
 
-fn check_response(response: &Answer, name: &str, request: &ClientRequest) -> AttemptOutcome {
+fn check_response(
+    response: &ClientResponse,
+    name: &str,
+    request: &ClientRequest,
+) -> AttemptOutcome {
     if response.header("lynxwheel-did-not-run") == Some("true") {
         return AttemptOutcome::DidNotRun;
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed resources, log records and messages of lynxwheel, with their codecs.
+//! Resources, log records and messages of lynxwheel, with their codecs.
 //!
 //! ```
 //! use lynxwheel_protocol::{Record, RecordBody, WriterId, decode_record, encode_record};
@@ -25,9 +25,10 @@
 mod validate;
 
 pub use api::{
-    CURRENT_HEADER, Condition, EndReason, ExplanationView, FINAL, FieldError, MoveList, MoveView,
-    OperationId, OperationList, OperationOutcome, OperationView, Problem, ProblemReason, READY,
-    REVISION_HEADER, ResourceList, ResourceView, WatchEvent, WriteAnswer,
+    CURRENT_HEADER, Condition, ExplanationView, FINAL_CONDITION, FieldError, MoveList, MoveView,
+    OperationId, OperationList, OperationOutcome, OperationView, Problem, ProblemReason,
+    READY_CONDITION, REVISION_HEADER, ResourceList, ResourceView, WatchEndReason, WatchEvent,
+    WriteResponse,
 };
 pub use codec::{
     CodecError, MAX_MESSAGE_BYTES, MAX_RECORD_BYTES, decode_chunk, decode_message, decode_record,
@@ -39,12 +40,12 @@
 };
 pub use peer::{EndpointLoad, PeerEntries, PeerHello, PeerSnapshot};
 pub use platform::{
-    ActionRequest, AppendAnswer, AppendRequest, LogEntry, ReadAnswer, TaskReport, TaskStart,
+    ActionRequest, AppendRequest, AppendResponse, LogEntry, ReadResponse, TaskReport, TaskStart,
     TaskState, VmAction, VmEntry, VmList, VmListState,
 };
 pub use record::{
-    ClaimPurpose, JobOutcome, KeyOutcome, MAX_REPORTS, Record, RecordBody, RequestKey, VmPhase,
-    VmReport, WriterId,
+    ClaimPurpose, JobOutcome, KeyOutcome, MAX_REPORTS_PER_RECORD, Record, RecordBody, RequestKey,
+    VmPhase, VmReport, WriterId,
 };
 pub use resource::{
     Amount, Budget, Class, JobSpec, Kind, PolicySpec, PoolSpec, Resource, ResourceRef, Resources,
@@ -53,8 +54,8 @@
 pub use schema::{Field, FieldDefault, FieldType, fields};
 pub use snapshot::{MAX_SNAPSHOT_CHUNKS, SNAPSHOT_CHUNK_BYTES, SnapshotChunk, SnapshotId};
 pub use validate::{
-    MAX_NAME_CHARS, MAX_WAVE_POOLS, check_name, field_errors, parse_resource, parse_spec,
+    MAX_NAME_CHARS, MAX_WAVE_POOLS, check_name, parse_resource, parse_spec, validate_resource,
 };
 
-/// Version of the fold that this build knows.
+/// Latest fold version that this build supports.
 pub const FOLD_VERSION: u32 = 1;
--- a/crates/scenario/src/node.rs
+++ b/crates/scenario/src/node.rs
@@ -2,7 +2,9 @@
 
 use {
     lynxwheel_coordination::{PublishedState, SnapshotAssembler},
-    lynxwheel_protocol::{NodeName, ReadAnswer, Record, VmName, WriterId, ZoneName, decode_record},
+    lynxwheel_protocol::{
+        NodeName, ReadResponse, Record, VmName, WriterId, ZoneName, decode_record,
+    },
     lynxwheel_state::{FleetState, Verdict},
     std::{error, fmt},
 };
@@ -92,7 +94,7 @@
     }
 
     /// Folds the entries after the last folded one; never skips a gap.
-    pub(crate) fn fold(&mut self, answer: &ReadAnswer) -> Result<Vec<FoldedRecord>, Trimmed> {
+    pub(crate) fn fold(&mut self, answer: &ReadResponse) -> Result<Vec<FoldedRecord>, Trimmed> {
         if self.state.offset() + 1 < answer.earliest_offset {
             return Err(Trimmed {
                 earliest_offset: answer.earliest_offset,
--- a/crates/scenario/tests/decoders/messages.rs
+++ b/crates/scenario/tests/decoders/messages.rs
@@ -5,10 +5,11 @@
     lynxwheel_coordination::{SnapshotAssembler, split_snapshot},
     lynxwheel_gateway::{PeerAnswer, PeerAnswerRequest},
     lynxwheel_protocol::{
-        ActionRequest, AppendAnswer, AppendRequest, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
-        MAX_REPORTS, PeerEntries, PeerHello, PeerSnapshot, ReadAnswer, Record, RecordBody,
-        TaskReport, TaskStart, VmEntry, VmList, VmListState, VmPhase, VmReport, WriterId,
-        decode_chunk, decode_message, decode_record, encode_chunk, encode_message, encode_record,
+        ActionRequest, AppendRequest, AppendResponse, EndpointLoad, LogEntry, MAX_RECORD_BYTES,
+        MAX_REPORTS_PER_RECORD, PeerEntries, PeerHello, PeerSnapshot, ReadResponse, Record,
+        RecordBody, TaskReport, TaskStart, VmEntry, VmList, VmListState, VmPhase, VmReport,
+        WriterId, decode_chunk, decode_message, decode_record, encode_chunk, encode_message,
+        encode_record,
     },
     lynxwheel_state::{FleetState, decode_snapshot, encode_snapshot},
     serde::de::DeserializeOwned,
@@ -84,7 +85,7 @@
         offset: 1,
         bytes: vec![1, 2, 3],
     };
-    let read = ReadAnswer {
+    let read = ReadResponse {
         earliest_offset: 1,
         next_offset: 2,
         entries: vec![entry],
@@ -118,14 +119,14 @@
 
 fn decode_all_messages(bytes: &[u8]) -> bool {
     decode_as::<ActionRequest>(bytes);
-    decode_as::<AppendAnswer>(bytes);
+    decode_as::<AppendResponse>(bytes);
     decode_as::<AppendRequest>(bytes);
     decode_as::<PeerAnswer>(bytes);
     decode_as::<PeerAnswerRequest>(bytes);
     decode_as::<PeerEntries>(bytes);
     decode_as::<PeerHello>(bytes);
     decode_as::<PeerSnapshot>(bytes);
-    decode_as::<ReadAnswer>(bytes);
+    decode_as::<ReadResponse>(bytes);
     decode_as::<Vec<TaskReport>>(bytes);
     decode_as::<TaskStart>(bytes);
     decode_as::<VmList>(bytes);
@@ -189,7 +190,7 @@
 /// would be refused again and again, and the failed VMs would be taken for live.
 #[test]
 fn fullest_report_fits_a_record() {
-    let reports = (0..MAX_REPORTS).map(report).collect();
+    let reports = (0..MAX_REPORTS_PER_RECORD).map(report).collect();
     let bytes = encode_record(&record(RecordBody::Report { reports })).expect("within the bound");
     assert!(bytes.len() <= MAX_RECORD_BYTES);
 }
--- a/crates/standin/src/log_service.rs
+++ b/crates/standin/src/log_service.rs
@@ -1,6 +1,6 @@
 //! Log service with append-only streams.
 
-use lynxwheel_protocol::{LogEntry, ReadAnswer};
+use lynxwheel_protocol::{LogEntry, ReadResponse};
 
 /// In-memory log service; its streams are sorted by name.
 #[derive(Clone, Debug, Default)]
@@ -38,15 +38,15 @@
 
     /// Returns up to `max` entries, starting at offset `from`.
     #[must_use]
-    pub fn read(&self, name: &str, from: u64, max: usize) -> ReadAnswer {
+    pub fn read(&self, name: &str, from: u64, max: usize) -> ReadResponse {
         let Some(stream) = self.stream(name) else {
-            return ReadAnswer {
+            return ReadResponse {
                 earliest_offset: 1,
                 next_offset: 1,
                 entries: Vec::new(),
             };
         };
-        let mut answer = ReadAnswer {
+        let mut answer = ReadResponse {
             earliest_offset: stream.trimmed_to + 1,
             next_offset: stream.next_offset(),
             entries: Vec::new(),
--- a/crates/state/src/placements.rs
+++ b/crates/state/src/placements.rs
@@ -156,7 +156,7 @@
         Verdict::Accepted
     }
 
-    /// Tells whether an attempt on an unreachable VM has certainly ended.
+    /// Returns whether an attempt on an unreachable VM has certainly ended.
     ///
     /// An unreachable VM may still run the attempt. The attempt has ended if the VM has a new
     /// incarnation, is no longer declared, or has failed for longer than the attempt's lease.
@@ -176,12 +176,12 @@
         let Some(job) = self.running_job(name, attempt) else {
             return Verdict::Rejected(Rejection::WrongAttempt { job: name.clone() });
         };
-        job.estimate.used = job.estimate.used.highest(used);
+        job.estimate.used = job.estimate.used.component_max(used);
         let team = job.spec.team.clone();
         let Some(run) = &mut job.attempt else {
             return Verdict::Accepted;
         };
-        let reserved = run.reserved.highest(used);
+        let reserved = run.reserved.component_max(used);
         let added = reserved.minus(&run.reserved);
         run.reserved = reserved;
         let vm = run.vm.clone();
