--- a/crates/lynxctl/src/apply.rs
+++ b/crates/lynxctl/src/apply.rs
@@ -122,15 +122,16 @@
         row.is_ok()
     };
     for step in &plan.steps {
-        let needs = step.declaration.resource.dependencies();
-        let missing = needs.iter().filter(|need| {
+        let dependencies = step.declaration.resource.dependencies();
+        let missing = dependencies.iter().filter(|reference| {
             let row = declarations
-                .binary_search_by(|declaration| declaration.resource.reference().cmp(need));
-            row.is_err() && !is_in_fleet(need)
+                .binary_search_by(|declaration| declaration.resource.reference().cmp(reference));
+            row.is_err() && !is_in_fleet(reference)
         });
-        let missing = missing.map(|need| step.declaration.error(&missing_error(step, need)));
+        let missing =
+            missing.map(|reference| step.declaration.error(&missing_error(step, reference)));
         let missing: Vec<_> = missing.collect();
-        if missing.is_empty() && needs.iter().all(is_in_fleet) {
+        if missing.is_empty() && dependencies.iter().all(is_in_fleet) {
             errors.extend(dry_run_errors(client, step).await?);
         }
         errors.extend(missing);
@@ -142,10 +143,14 @@
     }
 }
 
-fn missing_error(step: &PlanStep, need: &ResourceRef) -> FieldError {
+fn missing_error(step: &PlanStep, reference: &ResourceRef) -> FieldError {
     FieldError {
-        field: step.declaration.resource.dependency_field(need.kind).into(),
-        reason: format!("{need} is declared neither in the files nor in the fleet"),
+        field: step
+            .declaration
+            .resource
+            .dependency_field(reference.kind)
+            .into(),
+        reason: format!("{reference} is declared neither in the files nor in the fleet"),
     }
 }
 
