--- a/crates/experiment/src/bound.rs
+++ b/crates/experiment/src/bound.rs
@@ -3,7 +3,7 @@
 use crate::{
     inputs::{Inputs, VmInput},
     profile::Profile,
-    world::{World, budget},
+    simulation::{Simulation, budget},
 };
 
 /// Time after which an action counts as failed and has to be repeated, in milliseconds.
@@ -28,14 +28,20 @@
 /// No policy may cut them off, and all policies start from the same placement. A VM that fails by
 /// itself ends its jobs, so those are left out.
 #[must_use]
-pub fn drain_bound_ms(world: &World<'_>) -> u64 {
-    let machines = world.truth.machines.iter().enumerate();
+pub fn drain_bound_ms(simulation: &Simulation<'_>) -> u64 {
+    let machines = simulation.ground_truth.machines.iter().enumerate();
     machines
-        .filter(|(vm, _)| world.inputs.outages.iter().all(|outage| outage.vm != *vm))
+        .filter(|(vm, _)| {
+            simulation
+                .inputs
+                .outages
+                .iter()
+                .all(|outage| outage.vm != *vm)
+        })
         .flat_map(|(vm, machine)| machine.tasks.iter().map(move |task| (vm, task)))
-        .filter(|(_, task)| !world.inputs.jobs[task.job].checkpoint)
-        .filter(|(_, task)| world.inputs.jobs[task.job].cancel_ms.is_none())
-        .map(|(vm, task)| task.ends_ms - world.now_ms + world.inputs.vms[vm].reboot_ms)
+        .filter(|(_, task)| !simulation.inputs.jobs[task.job].checkpoint)
+        .filter(|(_, task)| simulation.inputs.jobs[task.job].cancel_ms.is_none())
+        .map(|(vm, task)| task.ends_ms - simulation.now_ms + simulation.inputs.vms[vm].reboot_ms)
         .max()
         .unwrap_or(0)
 }
--- a/crates/experiment/src/executor.rs
+++ b/crates/experiment/src/executor.rs
@@ -1,7 +1,7 @@
 //! Carries claims and stops out, the same for every policy, and judges them by the truth.
 
 use {
-    crate::world::{NODE, World, index_of},
+    crate::simulation::{NODE, Simulation, index_of},
     lynxwheel_decisions::{ReleaseReason, ReviewStep, remaining_ms, review_claims},
     lynxwheel_protocol::{ClaimPurpose, RecordBody, VmName, VmPhase},
     lynxwheel_state::{Claim, ClaimStage},
@@ -29,52 +29,53 @@
     ///
     /// The step is a breach when its pool is below its floor without the VM, whatever the fold
     /// knew of it.
-    pub fn judge(&mut self, world: &World<'_>, vm: &VmName) {
-        let Some(vm) = world.state.vms().get(vm.as_str()) else {
+    pub fn judge(&mut self, simulation: &Simulation<'_>, vm: &VmName) {
+        let Some(vm) = simulation.state.vms().get(vm.as_str()) else {
             return;
         };
-        let Some(pool) = world.state.pools().get(vm.pool.as_str()) else {
+        let Some(pool) = simulation.state.pools().get(vm.pool.as_str()) else {
             return;
         };
-        self.count += u64::from(world.truly_available(vm.pool.as_str()) < pool.floor());
+        self.count += u64::from(simulation.truly_available(vm.pool.as_str()) < pool.floor());
     }
 
     /// Counts pools that stay below their floor while a drain of them is held.
-    pub fn judge_drains(&mut self, world: &World<'_>) {
-        self.below_since.resize(world.state.pools().len(), None);
-        for (row, pool) in world.state.pools().iter().enumerate() {
+    pub fn judge_drains(&mut self, simulation: &Simulation<'_>) {
+        self.below_since
+            .resize(simulation.state.pools().len(), None);
+        for (row, pool) in simulation.state.pools().iter().enumerate() {
             let name = pool.spec.name.as_str();
             if pool.claimed_zones.is_empty()
-                || !holds_drain(world, name)
-                || world.truly_available(name) >= pool.floor()
+                || !holds_drain(simulation, name)
+                || simulation.truly_available(name) >= pool.floor()
             {
                 self.below_since[row] = None;
                 continue;
             }
-            let since_ms = *self.below_since[row].get_or_insert(world.now_ms);
-            if world.now_ms >= since_ms + UNDO_MS {
+            let since_ms = *self.below_since[row].get_or_insert(simulation.now_ms);
+            if simulation.now_ms >= since_ms + UNDO_MS {
                 self.count += 1;
-                self.below_since[row] = Some(world.now_ms);
+                self.below_since[row] = Some(simulation.now_ms);
             }
         }
     }
 }
 
-fn holds_drain(world: &World<'_>, pool: &str) -> bool {
-    world.state.vms().iter().any(|vm| {
+fn holds_drain(simulation: &Simulation<'_>, pool: &str) -> bool {
+    simulation.state.vms().iter().any(|vm| {
         let is_draining = |claim: &Claim| claim.stage == ClaimStage::Draining;
         vm.pool.as_str() == pool
             && vm.claim.as_ref().is_some_and(is_draining)
-            && world.truth.machines[index_of(vm.name.as_str())].is_up
+            && simulation.ground_truth.machines[index_of(vm.name.as_str())].is_up
     })
 }
 
 /// Takes the next step of every claim and stops what was asked to stop.
 ///
 /// Baselines do not halt, so a halt must not undo their drains.
-pub fn run_claims(world: &mut World<'_>, breaches: &mut Breaches, heeds_halts: bool) {
-    release(world, heeds_halts);
-    let claims: Vec<(VmName, Claim)> = world
+pub fn run_claims(simulation: &mut Simulation<'_>, breaches: &mut Breaches, heeds_halts: bool) {
+    release(simulation, heeds_halts);
+    let claims: Vec<(VmName, Claim)> = simulation
         .state
         .vms()
         .iter()
@@ -82,22 +83,22 @@
         .collect();
     for (vm, claim) in claims {
         match claim.stage {
-            ClaimStage::Draining => drain(world, &vm, &claim, breaches),
-            ClaimStage::Acting => finish(world, &vm, &claim),
+            ClaimStage::Draining => drain(simulation, &vm, &claim, breaches),
+            ClaimStage::Acting => finish(simulation, &vm, &claim),
         }
     }
-    for job in std::mem::take(&mut world.stopping) {
-        stop(world, job);
+    for job in std::mem::take(&mut simulation.stopping) {
+        stop(simulation, job);
     }
 }
 
-fn release(world: &mut World<'_>, heeds_halts: bool) {
-    for review in review_claims(&world.state, &[NODE.into()]) {
+fn release(simulation: &mut Simulation<'_>, heeds_halts: bool) {
+    for review in review_claims(&simulation.state, &[NODE.into()]) {
         let ReviewStep::Release(reason) = review.step else {
             continue;
         };
         if heeds_halts || reason != ReleaseReason::WaveHalted {
-            world.submit(RecordBody::Release {
+            simulation.submit(RecordBody::Release {
                 vm: review.vm,
                 fence: review.fence,
             });
@@ -105,57 +106,59 @@
     }
 }
 
-fn drain(world: &mut World<'_>, name: &VmName, claim: &Claim, breaches: &mut Breaches) {
-    let clock_ms = world.clock_ms();
-    let Some(vm) = world.state.vms().get(name.as_str()) else {
+fn drain(simulation: &mut Simulation<'_>, name: &VmName, claim: &Claim, breaches: &mut Breaches) {
+    let clock_ms = simulation.clock_ms();
+    let Some(vm) = simulation.state.vms().get(name.as_str()) else {
         return;
     };
     let moved: Vec<usize> = vm
         .attempts
         .iter()
-        .filter_map(|job| world.state.jobs().get(job.as_str()))
+        .filter_map(|job| simulation.state.jobs().get(job.as_str()))
         .filter(|job| job.spec.checkpoint && remaining_ms(job, clock_ms) > NEARLY_DONE_MS)
         .map(|job| index_of(job.spec.name.as_str()))
         .collect();
     if !vm.attempts.is_empty() {
         for job in moved {
-            let now_ms = world.now_ms;
-            world.truth.checkpoint(index_of(name.as_str()), job, now_ms);
+            let now_ms = simulation.now_ms;
+            simulation
+                .ground_truth
+                .checkpoint(index_of(name.as_str()), job, now_ms);
         }
         return;
     }
-    act(world, name, claim, breaches);
+    act(simulation, name, claim, breaches);
 }
 
-fn act(world: &mut World<'_>, name: &VmName, claim: &Claim, breaches: &mut Breaches) {
+fn act(simulation: &mut Simulation<'_>, name: &VmName, claim: &Claim, breaches: &mut Breaches) {
     let vm = name.clone();
     let fence = claim.fence;
     if let ClaimPurpose::Move(_) = claim.purpose {
-        let verdict = world.submit(RecordBody::HandOver { vm, fence });
-        world.vm_moves += u64::from(verdict.is_accepted());
+        let verdict = simulation.submit(RecordBody::HandOver { vm, fence });
+        simulation.vm_moves += u64::from(verdict.is_accepted());
         return;
     }
-    world.probe_pool(name.as_str());
-    let not_after_ms = world.clock_ms() + ACTION_TIMEOUT_MS;
-    let verdict = world.submit(RecordBody::Begin {
+    simulation.probe_pool(name.as_str());
+    let not_after_ms = simulation.clock_ms() + ACTION_TIMEOUT_MS;
+    let verdict = simulation.submit(RecordBody::Begin {
         vm,
         fence,
         not_after_ms,
     });
     if verdict.is_accepted() {
-        breaches.judge(world, name);
-        world.reboot(index_of(name.as_str()));
+        breaches.judge(simulation, name);
+        simulation.reboot(index_of(name.as_str()));
     }
 }
 
-fn finish(world: &mut World<'_>, name: &VmName, claim: &Claim) {
-    let Some(vm) = world.state.vms().get(name.as_str()) else {
+fn finish(simulation: &mut Simulation<'_>, name: &VmName, claim: &Claim) {
+    let Some(vm) = simulation.state.vms().get(name.as_str()) else {
         return;
     };
     let is_back = vm.phase == VmPhase::Live && vm.incarnation > claim.incarnation;
-    let is_overdue = world.clock_ms() > claim.since_ms + ACTION_TIMEOUT_MS;
+    let is_overdue = simulation.clock_ms() > claim.since_ms + ACTION_TIMEOUT_MS;
     if is_back || is_overdue {
-        world.submit(RecordBody::Done {
+        simulation.submit(RecordBody::Done {
             vm: name.clone(),
             fence: claim.fence,
             succeeded: is_back,
@@ -163,14 +166,14 @@
     }
 }
 
-fn stop(world: &mut World<'_>, job: usize) {
-    let name = crate::world::job_name(job);
-    let attempt = world.state.jobs().get(name.as_str());
+fn stop(simulation: &mut Simulation<'_>, job: usize) {
+    let name = crate::simulation::job_name(job);
+    let attempt = simulation.state.jobs().get(name.as_str());
     let vm = attempt
         .and_then(|job| job.attempt.as_ref())
         .map(|attempt| index_of(attempt.vm.as_str()));
     if let Some(vm) = vm {
-        let now_ms = world.now_ms;
-        world.truth.checkpoint(vm, job, now_ms);
+        let now_ms = simulation.now_ms;
+        simulation.ground_truth.checkpoint(vm, job, now_ms);
     }
 }
--- a/crates/experiment/src/truth.rs
+++ b/crates/experiment/src/ground_truth.rs
@@ -55,7 +55,7 @@
 
 /// A job.
 #[derive(Clone, Debug, Default)]
-pub struct JobTruth {
+pub struct JobProgress {
     /// Progress that a checkpoint kept, in milliseconds.
     pub kept_ms: u64,
     /// Attempts started, in order.
@@ -66,16 +66,16 @@
 
 /// Everything that is really so.
 #[derive(Clone, Debug)]
-pub struct Truth {
+pub struct GroundTruth {
     /// Machines by VM.
     pub machines: Vec<Machine>,
     /// Jobs.
-    pub jobs: Vec<JobTruth>,
+    pub jobs: Vec<JobProgress>,
     /// Attempts that ran twice or beside another one.
     pub doubled_starts: u64,
 }
 
-impl Truth {
+impl GroundTruth {
     /// Builds the machines, all up.
     #[must_use]
     pub fn new(inputs: &Inputs) -> Self {
@@ -89,7 +89,7 @@
         };
         Self {
             machines: vec![machine; inputs.vms.len()],
-            jobs: vec![JobTruth::default(); inputs.jobs.len()],
+            jobs: vec![JobProgress::default(); inputs.jobs.len()],
             doubled_starts: 0,
         }
     }
@@ -125,10 +125,10 @@
             self.jobs[job].started.contains(&attempt) || self.machines.iter().any(runs);
         self.doubled_starts += u64::from(is_doubled);
         let input = &inputs.jobs[job];
-        let truth = &mut self.jobs[job];
-        truth.started.push(attempt);
-        truth.first_start_ms.get_or_insert(now_ms);
-        let left_ms = input.run_ms.saturating_sub(truth.kept_ms).max(1_000);
+        let progress = &mut self.jobs[job];
+        progress.started.push(attempt);
+        progress.first_start_ms.get_or_insert(now_ms);
+        let left_ms = input.run_ms.saturating_sub(progress.kept_ms).max(1_000);
         let fails =
             input.is_bad || inputs.vms[vm].fails_tasks || !self.has_memory(inputs, vm, input);
         let runs_ms = if fails {
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -7,6 +7,7 @@
 mod args;
 mod bound;
 mod executor;
+mod ground_truth;
 mod inputs;
 mod measures;
 mod plot;
@@ -14,8 +15,7 @@
 mod profile;
 mod routing;
 mod run;
-mod truth;
-mod world;
+mod simulation;
 
 pub use args::{ExperimentArgs, ExperimentName, execute, run_seed};
 pub use measures::Measures;
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -8,7 +8,7 @@
         measures::{Measures, percentile},
         policies::{PlacePolicy, WavePolicy},
         profile::Profile,
-        world::{World, budget, index_of},
+        simulation::{Simulation, budget, index_of},
     },
     lynxwheel_decisions::{
         PlacementPlan, Tuning, cordoned_vms, plan_give_ups, plan_placements, plan_quarantines,
@@ -36,7 +36,7 @@
 /// A run under way.
 #[derive(Debug)]
 pub struct Run<'a> {
-    world: World<'a>,
+    simulation: Simulation<'a>,
     profile: &'a Profile,
     shape: &'a Shape,
     policy: RunPolicy,
@@ -57,7 +57,7 @@
         policy: RunPolicy,
     ) -> Self {
         Self {
-            world: World::new(profile, inputs, budget()),
+            simulation: Simulation::new(profile, inputs, budget()),
             profile,
             shape,
             policy,
@@ -74,67 +74,67 @@
     pub fn run(mut self) -> Measures {
         let end_ms = self.shape.warm_up_ms + self.shape.arrivals_ms;
         let mut has_started = false;
-        while self.world.now_ms < end_ms && self.done_ms.is_none() {
-            self.world.now_ms += self.profile.step_ms;
-            self.world.advance();
+        while self.simulation.now_ms < end_ms && self.done_ms.is_none() {
+            self.simulation.now_ms += self.profile.step_ms;
+            self.simulation.advance();
             if let RunPolicy::Wave(policy) = self.policy
-                && self.world.now_ms >= self.shape.warm_up_ms
+                && self.simulation.now_ms >= self.shape.warm_up_ms
             {
                 if !has_started {
-                    self.drain_bound_ms = drain_bound_ms(&self.world);
-                    self.world.start_wave(self.profile);
+                    self.drain_bound_ms = drain_bound_ms(&self.simulation);
+                    self.simulation.start_wave(self.profile);
                     has_started = true;
                 }
                 self.claim(policy);
                 self.measure_wave(policy);
             }
             let heeds_halts = matches!(self.policy, RunPolicy::Wave(WavePolicy::InUse));
-            run_claims(&mut self.world, &mut self.breaches, heeds_halts);
+            run_claims(&mut self.simulation, &mut self.breaches, heeds_halts);
             self.place();
         }
         self.measures()
     }
 
     fn claim(&mut self, policy: WavePolicy) {
-        let clock_ms = self.world.clock_ms();
+        let clock_ms = self.simulation.clock_ms();
         let began = Instant::now();
-        let claims = policy.claims(&self.world.state, clock_ms);
+        let claims = policy.claims(&self.simulation.state, clock_ms);
         self.decision_time += began.elapsed();
         for (vm, purpose) in claims {
-            self.world.probe_pool(vm.as_str());
-            let verdict = self.world.submit(RecordBody::Claim {
+            self.simulation.probe_pool(vm.as_str());
+            let verdict = self.simulation.submit(RecordBody::Claim {
                 vm: vm.clone(),
                 purpose,
-                holder: crate::world::NODE.into(),
+                holder: crate::simulation::NODE.into(),
             });
             if verdict.is_accepted() {
-                self.breaches.judge(&self.world, &vm);
+                self.breaches.judge(&self.simulation, &vm);
             }
         }
     }
 
     fn place(&mut self) {
-        let clock_ms = self.world.clock_ms();
+        let clock_ms = self.simulation.clock_ms();
         let began = Instant::now();
         let plan = match self.policy {
-            RunPolicy::Place(policy) => policy.plan(&self.world.state, clock_ms),
+            RunPolicy::Place(policy) => policy.plan(&self.simulation.state, clock_ms),
             RunPolicy::Wave(policy) => {
-                let tuning = policy.tuning(&self.world.state);
-                plan_placements(&self.world.state, &tuning, clock_ms, MAX_STARTS)
+                let tuning = policy.tuning(&self.simulation.state);
+                plan_placements(&self.simulation.state, &tuning, clock_ms, MAX_STARTS)
             }
         };
-        let give_ups = plan_give_ups(&self.world.state, clock_ms);
-        let quarantines = plan_quarantines(&self.world.state);
+        let give_ups = plan_give_ups(&self.simulation.state, clock_ms);
+        let quarantines = plan_quarantines(&self.simulation.state);
         self.decision_time += began.elapsed();
         self.carry_out(plan);
         for plan in give_ups {
-            self.world.submit(RecordBody::GiveUp {
+            self.simulation.submit(RecordBody::GiveUp {
                 job: plan.job,
                 reason: plan.reason.to_string().into(),
             });
         }
         for plan in quarantines {
-            self.world.submit(RecordBody::Quarantine {
+            self.simulation.submit(RecordBody::Quarantine {
                 vm: plan.vm,
                 until_ms: plan.until_ms,
             });
@@ -144,40 +144,40 @@
     fn carry_out(&mut self, plan: PlacementPlan) {
         for stop in plan.stops {
             let job = index_of(stop.job.as_str());
-            let verdict = self.world.submit(RecordBody::Stop {
+            let verdict = self.simulation.submit(RecordBody::Stop {
                 job: stop.job,
                 attempt: stop.attempt,
             });
             if verdict.is_accepted() {
-                self.world.stopping.push(job);
+                self.simulation.stopping.push(job);
             }
         }
         for start in plan.starts {
             let job = index_of(start.job.as_str());
             let vm = index_of(start.vm.as_str());
-            let verdict = self.world.submit(RecordBody::Start {
+            let verdict = self.simulation.submit(RecordBody::Start {
                 job: start.job,
                 attempt: start.attempt,
                 vm: start.vm,
                 reserved: start.reserved,
-                holder: crate::world::NODE.into(),
+                holder: crate::simulation::NODE.into(),
             });
-            if verdict.is_accepted() && self.world.truth.machines[vm].is_up {
-                let now_ms = self.world.now_ms;
-                let inputs = self.world.inputs;
-                self.world
-                    .truth
+            if verdict.is_accepted() && self.simulation.ground_truth.machines[vm].is_up {
+                let now_ms = self.simulation.now_ms;
+                let inputs = self.simulation.inputs;
+                self.simulation
+                    .ground_truth
                     .start(inputs, vm, job, start.attempt, now_ms);
             }
         }
     }
 
     fn measure_wave(&mut self, policy: WavePolicy) {
-        self.breaches.judge_drains(&self.world);
-        let state = &self.world.state;
+        self.breaches.judge_drains(&self.simulation);
+        let state = &self.simulation.state;
         let claimed = state.vms().iter().filter(|vm| vm.claim.is_some()).count();
         let tuning = policy.tuning(state);
-        let held_back = held_back(state, &tuning, self.world.clock_ms());
+        let held_back = held_back(state, &tuning, self.simulation.clock_ms());
         #[expect(clippy::cast_precision_loss, reason = "counts and steps are small")]
         let step_vm_ms = (claimed as f64 + held_back) * self.profile.step_ms as f64;
         self.buffer_vm_ms += step_vm_ms;
@@ -186,12 +186,12 @@
             vms.all(|vm| vm.maintained_ms >= wave.spec.due_before_ms && vm.claim.is_none())
         });
         if is_done {
-            self.done_ms = Some(self.world.now_ms);
+            self.done_ms = Some(self.simulation.now_ms);
         }
     }
 
     fn measures(self) -> Measures {
-        let jobs = self.world.state.jobs();
+        let jobs = self.simulation.state.jobs();
         let lost = jobs.iter().filter(|job| self.is_lost(job)).count();
         let completed = jobs
             .iter()
@@ -201,9 +201,9 @@
         let all = self.start_delays(|class| class != Class::Urgent);
         let mut measures = Measures {
             profile: self.profile.name.as_str(),
-            job_moves: Some(self.world.job_moves),
+            job_moves: Some(self.simulation.job_moves),
             lost_jobs: Some(lost as u64),
-            doubled_starts: Some(self.world.truth.doubled_starts),
+            doubled_starts: Some(self.simulation.ground_truth.doubled_starts),
             completed_jobs: Some(completed as u64),
             urgent_start_p99_s: Some(seconds(percentile(&mut urgent, 99))),
             start_mean_s: Some(seconds(all.iter().sum::<u64>() / all.len().max(1) as u64)),
@@ -211,30 +211,35 @@
             ..Measures::default()
         };
         if let RunPolicy::Wave(_) = self.policy {
-            let end_ms = self.done_ms.unwrap_or(self.world.now_ms);
+            let end_ms = self.done_ms.unwrap_or(self.simulation.now_ms);
             measures.roll_out_s = Some((end_ms - self.shape.warm_up_ms) / 1_000);
-            let bound_ms = roll_out_bound_ms(self.profile, self.world.inputs);
+            let bound_ms = roll_out_bound_ms(self.profile, self.simulation.inputs);
             measures.roll_out_bound_s = Some(bound_ms.max(self.drain_bound_ms) / 1_000);
             measures.is_complete = Some(self.done_ms.is_some());
             measures.budget_breaches = Some(self.breaches.count);
             measures.buffer_vm_hours = Some(self.buffer_vm_ms / HOUR_MS);
-            measures.vm_moves = Some(self.world.vm_moves);
+            measures.vm_moves = Some(self.simulation.vm_moves);
         }
         measures
     }
 
     fn is_lost(&self, job: &JobState) -> bool {
-        let input = &self.world.inputs.jobs[index_of(job.spec.name.as_str())];
+        let input = &self.simulation.inputs.jobs[index_of(job.spec.name.as_str())];
         job.phase == JobPhase::GivenUp && !input.is_bad && !input.is_never_runnable
     }
 
     /// Returns how long jobs waited for their first start, up to now for those that still do.
     fn start_delays(&self, of: impl Fn(Class) -> bool) -> Vec<u64> {
-        let jobs = self.world.inputs.jobs.iter().zip(&self.world.truth.jobs);
-        jobs.filter(|(input, _)| of(input.class) && input.at_ms < self.world.now_ms)
+        let jobs = self
+            .simulation
+            .inputs
+            .jobs
+            .iter()
+            .zip(&self.simulation.ground_truth.jobs);
+        jobs.filter(|(input, _)| of(input.class) && input.at_ms < self.simulation.now_ms)
             .filter(|(input, _)| !input.is_never_runnable && input.cancel_ms.is_none())
-            .map(|(input, truth)| {
-                let start_ms = truth.first_start_ms.unwrap_or(self.world.now_ms);
+            .map(|(input, progress)| {
+                let start_ms = progress.first_start_ms.unwrap_or(self.simulation.now_ms);
                 start_ms.saturating_sub(input.at_ms)
             })
             .collect()
--- a/crates/experiment/src/world.rs
+++ b/crates/experiment/src/simulation.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
+        ground_truth::{GroundTruth, TaskEnd},
         inputs::{Inputs, JobInput},
         profile::Profile,
-        truth::{TaskEnd, Truth},
     },
     lynxwheel_protocol::{
         Amount, Budget, JobOutcome, JobSpec, PolicySpec, PoolSpec, Record, RecordBody, Resource,
@@ -38,13 +38,13 @@
 
 /// Fold and truth of one run.
 #[derive(Clone, Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     /// Inputs.
     pub inputs: &'a Inputs,
     /// Fold.
     pub state: FleetState,
     /// Truth.
-    pub truth: Truth,
+    pub ground_truth: GroundTruth,
     /// Time since the start of the run, in milliseconds.
     pub now_ms: u64,
     /// Attempts ended for planned or urgent work.
@@ -60,7 +60,7 @@
     cancels: Vec<usize>,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// Declares the fleet and reports every VM as live.
     #[must_use]
     pub fn new(profile: &Profile, inputs: &'a Inputs, budget: Budget) -> Self {
@@ -68,10 +68,10 @@
             .filter(|job| inputs.jobs[*job].cancel_ms.is_some())
             .collect();
         cancels.sort_by_key(|job| std::cmp::Reverse(inputs.jobs[*job].cancel_ms));
-        let mut world = Self {
+        let mut simulation = Self {
             inputs,
             state: FleetState::new(),
-            truth: Truth::new(inputs),
+            ground_truth: GroundTruth::new(inputs),
             now_ms: 0,
             job_moves: 0,
             vm_moves: 0,
@@ -82,15 +82,15 @@
             next_outage: 0,
             cancels,
         };
-        world.submit(RecordBody::Join {
+        simulation.submit(RecordBody::Join {
             node: NODE.into(),
             fold_version: 1,
         });
-        world.declare_fleet(profile, budget);
+        simulation.declare_fleet(profile, budget);
         for vm in 0..inputs.vms.len() {
-            world.report(vm);
+            simulation.report(vm);
         }
-        world
+        simulation
     }
 
     /// Returns the fold's time, in milliseconds since the epoch.
@@ -140,7 +140,7 @@
     /// Lets the truth and what is known of it go on to the present time.
     pub fn advance(&mut self) {
         self.fail_machines();
-        for vm in self.truth.come_up(self.now_ms) {
+        for vm in self.ground_truth.come_up(self.now_ms) {
             self.sight(vm);
         }
         self.end_tasks();
@@ -155,7 +155,7 @@
         let vms = self.state.vms().iter();
         let count = vms
             .filter(|vm| vm.pool.as_str() == pool && vm.claim.is_none())
-            .filter(|vm| self.truth.machines[index_of(vm.name.as_str())].is_up)
+            .filter(|vm| self.ground_truth.machines[index_of(vm.name.as_str())].is_up)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
@@ -171,7 +171,7 @@
             .iter()
             .filter(|vm| vm.pool == pool && vm.is_available())
             .map(|vm| index_of(vm.name.as_str()))
-            .filter(|vm| !self.truth.machines[*vm].is_up)
+            .filter(|vm| !self.ground_truth.machines[*vm].is_up)
             .collect();
         for vm in news {
             self.report(vm);
@@ -182,11 +182,11 @@
     pub fn reboot(&mut self, vm: usize) {
         let input = &self.inputs.vms[vm];
         let mut back_ms = self.now_ms + input.reboot_ms;
-        if input.rack == self.inputs.bad_rack && !self.truth.machines[vm].is_repaired {
+        if input.rack == self.inputs.bad_rack && !self.ground_truth.machines[vm].is_repaired {
             back_ms = self.now_ms + self.inputs.bad_rack_down_ms;
-            self.truth.machines[vm].is_repaired = true;
+            self.ground_truth.machines[vm].is_repaired = true;
         }
-        self.truth.go_down(vm, self.now_ms, back_ms);
+        self.ground_truth.go_down(vm, self.now_ms, back_ms);
         self.sight(vm);
     }
 
@@ -230,7 +230,8 @@
                 return;
             }
             self.next_outage += 1;
-            self.truth.go_down(outage.vm, self.now_ms, outage.until_ms);
+            self.ground_truth
+                .go_down(outage.vm, self.now_ms, outage.until_ms);
             self.sight(outage.vm);
         }
     }
@@ -255,7 +256,7 @@
 
     fn report(&mut self, vm: usize) {
         let input = &self.inputs.vms[vm];
-        let machine = &self.truth.machines[vm];
+        let machine = &self.ground_truth.machines[vm];
         let report = VmReport {
             vm: vm_name(vm),
             incarnation: machine.life,
@@ -308,8 +309,8 @@
 
     /// Reports the ends and the use of tasks, and attempts that are lost with their VM.
     fn end_tasks(&mut self) {
-        for vm in 0..self.truth.machines.len() {
-            for task in self.truth.take_ended(vm, self.now_ms) {
+        for vm in 0..self.ground_truth.machines.len() {
+            for task in self.ground_truth.take_ended(vm, self.now_ms) {
                 let outcome = match task.end {
                     TaskEnd::Succeeded => JobOutcome::Succeeded,
                     TaskEnd::Failed => JobOutcome::Failed,
@@ -323,7 +324,7 @@
             }
             let late = self.now_ms.saturating_sub(USAGE_MS);
             let mut used = Vec::new();
-            for task in &mut self.truth.machines[vm].tasks {
+            for task in &mut self.ground_truth.machines[vm].tasks {
                 if !task.has_usage && task.started_ms <= late {
                     task.has_usage = true;
                     used.push((task.job, task.attempt));
@@ -350,7 +351,7 @@
             .filter_map(|name| self.state.jobs().get(name.as_str()))
             .map(|job| (index_of(job.spec.name.as_str()), job.attempts))
             .filter(|(job, _)| {
-                let tasks = &self.truth.machines[vm].tasks;
+                let tasks = &self.ground_truth.machines[vm].tasks;
                 tasks.iter().all(|task| task.job != *job)
             })
             .collect();
