--- a/crates/experiment/src/args.rs
+++ b/crates/experiment/src/args.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        inputs::{Inputs, Shape},
+        inputs::{Inputs, Workload},
         measures::Measures,
         plot,
         policies::{PlacePolicy, WavePolicy},
@@ -113,27 +113,27 @@
         profile.step_ms = PLACEMENT_STEP_MS;
     }
     let is_wanted = |name: &str| args.policy.as_deref().is_none_or(|policy| policy == name);
-    let shape = shape(args.name, args.profile);
+    let workload = workload(args.name, args.profile);
     let mut rows = match args.name {
         ExperimentName::Waves => {
-            let inputs = Inputs::new(&profile, &shape, seed);
+            let inputs = Inputs::new(&profile, &workload, seed);
             let policies = WavePolicy::ALL.into_iter();
             policies
                 .filter(|policy| is_wanted(policy.as_str()))
                 .map(|policy| Measures {
                     policy: policy.as_str(),
-                    ..Run::new(&profile, &shape, &inputs, RunPolicy::Wave(policy)).run()
+                    ..Run::new(&profile, &workload, &inputs, RunPolicy::Wave(policy)).run()
                 })
                 .collect::<Vec<_>>()
         }
         ExperimentName::Placement => {
-            let inputs = Inputs::new(&profile, &shape, seed);
+            let inputs = Inputs::new(&profile, &workload, seed);
             let policies = PlacePolicy::ALL.into_iter();
             policies
                 .filter(|policy| is_wanted(policy.as_str()))
                 .map(|policy| Measures {
                     policy: policy.as_str(),
-                    ..Run::new(&profile, &shape, &inputs, RunPolicy::Place(policy)).run()
+                    ..Run::new(&profile, &workload, &inputs, RunPolicy::Place(policy)).run()
                 })
                 .collect()
         }
@@ -149,22 +149,22 @@
     rows
 }
 
-fn shape(name: ExperimentName, profile: ProfileName) -> Shape {
+fn workload(name: ExperimentName, profile: ProfileName) -> Workload {
     let is_large = profile == ProfileName::TwoYear;
     match name {
-        ExperimentName::Waves => Shape {
+        ExperimentName::Waves => Workload {
             warm_up_ms: HOUR_MS,
             arrivals_ms: if is_large { 6 } else { 16 } * HOUR_MS,
             load_percent: 45,
-            bad_worker_percent: 0,
-            urgent_burst: 1,
+            faulty_vm_percent: 0,
+            urgent_burst_jobs: 1,
         },
-        _ => Shape {
+        _ => Workload {
             warm_up_ms: HOUR_MS,
             arrivals_ms: if is_large { 1 } else { 5 } * HOUR_MS,
             load_percent: 70,
-            bad_worker_percent: 4,
-            urgent_burst: 4,
+            faulty_vm_percent: 4,
+            urgent_burst_jobs: 4,
         },
     }
 }
--- a/crates/experiment/src/bound.rs
+++ b/crates/experiment/src/bound.rs
@@ -31,15 +31,9 @@
 pub fn drain_bound_ms(simulation: &Simulation<'_>) -> u64 {
     let machines = simulation.ground_truth.machines.iter().enumerate();
     machines
-        .filter(|(vm, _)| {
-            simulation
-                .inputs
-                .outages
-                .iter()
-                .all(|outage| outage.vm != *vm)
-        })
+        .filter(|(vm, _)| simulation.inputs.faults.iter().all(|fault| fault.vm != *vm))
         .flat_map(|(vm, machine)| machine.tasks.iter().map(move |task| (vm, task)))
-        .filter(|(_, task)| !simulation.inputs.jobs[task.job].checkpoint)
+        .filter(|(_, task)| !simulation.inputs.jobs[task.job].can_checkpoint)
         .filter(|(_, task)| simulation.inputs.jobs[task.job].cancel_ms.is_none())
         .map(|(vm, task)| task.ends_ms - simulation.now_ms + simulation.inputs.vms[vm].reboot_ms)
         .max()
@@ -63,7 +57,7 @@
 
 /// Returns how long a VM is claimed at least.
 fn claim_ms(inputs: &Inputs, vm: &VmInput) -> u64 {
-    if vm.rack == inputs.bad_rack {
+    if vm.rack == inputs.faulty_rack {
         ACTION_TIMEOUT_MS + vm.reboot_ms
     } else {
         vm.reboot_ms
--- a/crates/experiment/src/ground_truth.rs
+++ b/crates/experiment/src/ground_truth.rs
@@ -128,9 +128,13 @@
         let progress = &mut self.jobs[job];
         progress.started.push(attempt);
         progress.first_start_ms.get_or_insert(now_ms);
-        let left_ms = input.run_ms.saturating_sub(progress.kept_ms).max(1_000);
-        let fails =
-            input.is_bad || inputs.vms[vm].fails_tasks || !self.has_memory(inputs, vm, input);
+        let left_ms = input
+            .actual_run_ms
+            .saturating_sub(progress.kept_ms)
+            .max(1_000);
+        let fails = input.always_fails
+            || inputs.vms[vm].fails_all_tasks
+            || !self.has_memory(inputs, vm, input);
         let runs_ms = if fails {
             EARLY_FAILURE_MS.min(left_ms)
         } else {
@@ -153,9 +157,9 @@
     fn has_memory(&self, inputs: &Inputs, vm: usize, job: &JobInput) -> bool {
         let tasks = self.machines[vm].tasks.iter();
         let used: u32 = tasks
-            .map(|task| inputs.jobs[task.job].used.memory_mib)
+            .map(|task| inputs.jobs[task.job].actual_usage.memory_mib)
             .sum();
-        used + job.used.memory_mib <= inputs.vms[vm].capacity.memory_mib
+        used + job.actual_usage.memory_mib <= inputs.vms[vm].capacity.memory_mib
     }
 
     /// Asks a task to stop with its progress kept.
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -4,7 +4,7 @@
     crate::{
         bound::{drain_bound_ms, roll_out_bound_ms},
         executor::{Breaches, run_claims},
-        inputs::{Inputs, Shape},
+        inputs::{Inputs, Workload},
         measures::{Measures, percentile},
         policies::{PlacePolicy, WavePolicy},
         profile::Profile,
@@ -38,7 +38,7 @@
 pub struct Run<'a> {
     simulation: Simulation<'a>,
     profile: &'a Profile,
-    shape: &'a Shape,
+    workload: &'a Workload,
     policy: RunPolicy,
     breaches: Breaches,
     buffer_vm_ms: f64,
@@ -52,14 +52,14 @@
     #[must_use]
     pub fn new(
         profile: &'a Profile,
-        shape: &'a Shape,
+        workload: &'a Workload,
         inputs: &'a Inputs,
         policy: RunPolicy,
     ) -> Self {
         Self {
             simulation: Simulation::new(profile, inputs, budget()),
             profile,
-            shape,
+            workload,
             policy,
             breaches: Breaches::default(),
             buffer_vm_ms: 0.0,
@@ -72,13 +72,13 @@
     /// Runs to the end of the wave, or of the arrivals without one.
     #[must_use]
     pub fn run(mut self) -> Measures {
-        let end_ms = self.shape.warm_up_ms + self.shape.arrivals_ms;
+        let end_ms = self.workload.warm_up_ms + self.workload.arrivals_ms;
         let mut has_started = false;
         while self.simulation.now_ms < end_ms && self.done_ms.is_none() {
             self.simulation.now_ms += self.profile.step_ms;
             self.simulation.advance();
             if let RunPolicy::Wave(policy) = self.policy
-                && self.simulation.now_ms >= self.shape.warm_up_ms
+                && self.simulation.now_ms >= self.workload.warm_up_ms
             {
                 if !has_started {
                     self.drain_bound_ms = drain_bound_ms(&self.simulation);
@@ -212,7 +212,7 @@
         };
         if let RunPolicy::Wave(_) = self.policy {
             let end_ms = self.done_ms.unwrap_or(self.simulation.now_ms);
-            measures.roll_out_s = Some((end_ms - self.shape.warm_up_ms) / 1_000);
+            measures.roll_out_s = Some((end_ms - self.workload.warm_up_ms) / 1_000);
             let bound_ms = roll_out_bound_ms(self.profile, self.simulation.inputs);
             measures.roll_out_bound_s = Some(bound_ms.max(self.drain_bound_ms) / 1_000);
             measures.is_complete = Some(self.done_ms.is_some());
@@ -225,7 +225,7 @@
 
     fn is_lost(&self, job: &JobState) -> bool {
         let input = &self.simulation.inputs.jobs[index_of(job.spec.name.as_str())];
-        job.phase == JobPhase::GivenUp && !input.is_bad && !input.is_never_runnable
+        job.phase == JobPhase::GivenUp && !input.always_fails && !input.is_unplaceable
     }
 
     /// Returns how long jobs waited for their first start, up to now for those that still do.
@@ -236,11 +236,11 @@
             .jobs
             .iter()
             .zip(&self.simulation.ground_truth.jobs);
-        jobs.filter(|(input, _)| of(input.class) && input.at_ms < self.simulation.now_ms)
-            .filter(|(input, _)| !input.is_never_runnable && input.cancel_ms.is_none())
+        jobs.filter(|(input, _)| of(input.class) && input.arrival_ms < self.simulation.now_ms)
+            .filter(|(input, _)| !input.is_unplaceable && input.cancel_ms.is_none())
             .map(|(input, progress)| {
                 let start_ms = progress.first_start_ms.unwrap_or(self.simulation.now_ms);
-                start_ms.saturating_sub(input.at_ms)
+                start_ms.saturating_sub(input.arrival_ms)
             })
             .collect()
     }
--- a/crates/experiment/src/simulation.rs
+++ b/crates/experiment/src/simulation.rs
@@ -56,7 +56,7 @@
     offset: u64,
     sightings: Vec<Sighting>,
     next_job: usize,
-    next_outage: usize,
+    next_fault: usize,
     cancels: Vec<usize>,
 }
 
@@ -79,7 +79,7 @@
             offset: 0,
             sightings: Vec::new(),
             next_job: 0,
-            next_outage: 0,
+            next_fault: 0,
             cancels,
         };
         simulation.submit(RecordBody::Join {
@@ -182,8 +182,8 @@
     pub fn reboot(&mut self, vm: usize) {
         let input = &self.inputs.vms[vm];
         let mut back_ms = self.now_ms + input.reboot_ms;
-        if input.rack == self.inputs.bad_rack && !self.ground_truth.machines[vm].is_repaired {
-            back_ms = self.now_ms + self.inputs.bad_rack_down_ms;
+        if input.rack == self.inputs.faulty_rack && !self.ground_truth.machines[vm].is_repaired {
+            back_ms = self.now_ms + self.inputs.faulty_rack_down_ms;
             self.ground_truth.machines[vm].is_repaired = true;
         }
         self.ground_truth.go_down(vm, self.now_ms, back_ms);
@@ -225,14 +225,14 @@
     }
 
     fn fail_machines(&mut self) {
-        while let Some(outage) = self.inputs.outages.get(self.next_outage) {
-            if outage.from_ms > self.now_ms {
+        while let Some(fault) = self.inputs.faults.get(self.next_fault) {
+            if fault.start_ms > self.now_ms {
                 return;
             }
-            self.next_outage += 1;
+            self.next_fault += 1;
             self.ground_truth
-                .go_down(outage.vm, self.now_ms, outage.until_ms);
-            self.sight(outage.vm);
+                .go_down(fault.vm, self.now_ms, fault.end_ms);
+            self.sight(fault.vm);
         }
     }
 
@@ -279,7 +279,7 @@
     fn declare_jobs(&mut self) {
         let inputs = self.inputs;
         while let Some(job) = inputs.jobs.get(self.next_job) {
-            if job.at_ms > self.now_ms {
+            if job.arrival_ms > self.now_ms {
                 return;
             }
             let spec = job_spec(self.next_job, job, false);
@@ -369,7 +369,7 @@
     }
 
     fn report_usage(&mut self, job: usize, attempt: u32) {
-        let used = self.inputs.jobs[job].used;
+        let used = self.inputs.jobs[job].actual_usage;
         self.submit(RecordBody::Usage {
             job: job_name(job).as_str().into(),
             attempt,
@@ -393,9 +393,9 @@
         pool: pool_name(job.pool).as_str().into(),
         team: team_name(job.team).as_str().into(),
         class: job.class,
-        demand: job.declared,
-        run_time_ms: job.declared_ms,
-        checkpoint: job.checkpoint,
+        demand: job.declared_demand,
+        run_time_ms: job.declared_run_ms,
+        checkpoint: job.can_checkpoint,
         max_attempts: 5,
         cancelled,
     }
