--- a/crates/experiment/src/bound.rs
+++ b/crates/experiment/src/bound.rs
@@ -35,7 +35,7 @@
         .flat_map(|(vm, machine)| machine.tasks.iter().map(move |task| (vm, task)))
         .filter(|(_, task)| !simulation.inputs.jobs[task.job].can_checkpoint)
         .filter(|(_, task)| simulation.inputs.jobs[task.job].cancel_ms.is_none())
-        .map(|(vm, task)| task.ends_ms - simulation.now_ms + simulation.inputs.vms[vm].reboot_ms)
+        .map(|(vm, task)| task.end_ms - simulation.now_ms + simulation.inputs.vms[vm].reboot_ms)
         .max()
         .unwrap_or(0)
 }
--- a/crates/experiment/src/ground_truth.rs
+++ b/crates/experiment/src/ground_truth.rs
@@ -1,160 +1,167 @@
-//! What is really so: machines, tasks and jobs, whatever the fold knows of them.
+//! Actual state of machines, tasks and jobs, independent of what the fleet state has recorded.
 
 use crate::inputs::{Inputs, JobInput};
 
-/// Time that a checkpoint takes, in milliseconds.
+/// Duration of a checkpoint, in milliseconds.
 const CHECKPOINT_MS: u64 = 3_000;
 
-/// Time after which a task fails that has not enough memory or is bad, in milliseconds.
-const EARLY_FAILURE_MS: u64 = 20_000;
+/// Run time of a task that fails, in milliseconds.
+const FAILURE_DELAY_MS: u64 = 20_000;
 
 /// How a task ends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TaskEnd {
-    /// Completes.
+pub enum TaskOutcome {
+    /// Completed.
     Succeeded,
-    /// Fails.
+    /// Failed.
     Failed,
-    /// Stops with its progress kept.
+    /// Stopped with its progress saved.
     Checkpointed,
 }
 
-/// A task on a machine.
+/// A task that runs on a machine.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Job.
+    /// Index of its job.
     pub job: usize,
-    /// Attempt.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// When it started, in milliseconds.
-    pub started_ms: u64,
-    /// When it ends, in milliseconds.
-    pub ends_ms: u64,
+    /// Start time, in milliseconds.
+    pub start_ms: u64,
+    /// End time, in milliseconds.
+    pub end_ms: u64,
     /// How it ends.
-    pub end: TaskEnd,
-    /// Whether its use was reported.
-    pub has_usage: bool,
+    pub outcome: TaskOutcome,
+    /// Whether its usage was reported.
+    pub is_usage_reported: bool,
 }
 
-/// A machine.
+/// The machine of a VM.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Whether it is up.
     pub is_up: bool,
-    /// Count of its lives.
-    pub life: u64,
-    /// When it went down last, in milliseconds.
-    pub down_ms: u64,
-    /// When it is up again, in milliseconds.
-    pub back_ms: u64,
-    /// Whether its long outage after a reboot is over.
-    pub is_repaired: bool,
-    /// Tasks.
+    /// Incarnation, incremented at each start.
+    pub incarnation: u64,
+    /// Time of the last shutdown or failure, in milliseconds.
+    pub down_since_ms: u64,
+    /// Time of the next start, in milliseconds.
+    pub restart_ms: u64,
+    /// Whether it already had the long reboot of the faulty rack.
+    pub had_long_reboot: bool,
+    /// Running tasks.
     pub tasks: Vec<Task>,
 }
 
-/// A job.
+/// Progress of a job.
 #[derive(Clone, Debug, Default)]
 pub struct JobProgress {
-    /// Progress that a checkpoint kept, in milliseconds.
-    pub kept_ms: u64,
-    /// Attempts started, in order.
-    pub started: Vec<u32>,
+    /// Run time saved by checkpoints, in milliseconds.
+    pub checkpointed_ms: u64,
+    /// Started attempts, in order.
+    pub started_attempts: Vec<u32>,
     /// Time of the first start, in milliseconds.
     pub first_start_ms: Option<u64>,
 }
 
-/// Everything that is really so.
+/// Actual state of the fleet and its jobs.
 #[derive(Clone, Debug)]
 pub struct GroundTruth {
-    /// Machines by VM.
+    /// Machines, indexed by VM.
     pub machines: Vec<Machine>,
-    /// Jobs.
+    /// Progress, indexed by job.
     pub jobs: Vec<JobProgress>,
-    /// Attempts that ran twice or beside another one.
-    pub doubled_starts: u64,
+    /// Starts of an attempt that had run before, or while another attempt of its job was running.
+    pub duplicate_starts: u64,
 }
 
 impl GroundTruth {
-    /// Builds the machines, all up.
+    /// Creates the machines, all of them up.
     #[must_use]
     pub fn new(inputs: &Inputs) -> Self {
         let machine = Machine {
             is_up: true,
-            life: 1,
-            down_ms: 0,
-            back_ms: 0,
-            is_repaired: false,
+            incarnation: 1,
+            down_since_ms: 0,
+            restart_ms: 0,
+            had_long_reboot: false,
             tasks: Vec::new(),
         };
         Self {
             machines: vec![machine; inputs.vms.len()],
             jobs: vec![JobProgress::default(); inputs.jobs.len()],
-            doubled_starts: 0,
+            duplicate_starts: 0,
         }
     }
 
-    /// Takes a machine down with its tasks.
-    pub fn go_down(&mut self, vm: usize, now_ms: u64, back_ms: u64) {
+    /// Takes a machine down and drops its tasks.
+    pub fn take_down(&mut self, vm: usize, now_ms: u64, restart_ms: u64) {
         let machine = &mut self.machines[vm];
-        machine.back_ms = machine.back_ms.max(back_ms);
+        machine.restart_ms = machine.restart_ms.max(restart_ms);
         if machine.is_up {
             machine.is_up = false;
-            machine.down_ms = now_ms;
+            machine.down_since_ms = now_ms;
             machine.tasks.clear();
         }
     }
 
-    /// Brings machines up whose time has come, and returns them.
-    pub fn come_up(&mut self, now_ms: u64) -> Vec<usize> {
-        let mut up = Vec::new();
+    /// Starts the machines whose downtime is over and returns their indexes.
+    pub fn restart_due_machines(&mut self, now_ms: u64) -> Vec<usize> {
+        let mut restarted = Vec::new();
         for (vm, machine) in self.machines.iter_mut().enumerate() {
-            if !machine.is_up && machine.back_ms <= now_ms {
+            if !machine.is_up && machine.restart_ms <= now_ms {
                 machine.is_up = true;
-                machine.life += 1;
-                up.push(vm);
+                machine.incarnation += 1;
+                restarted.push(vm);
             }
         }
-        up
+        restarted
     }
 
-    /// Starts an attempt.
-    pub fn start(&mut self, inputs: &Inputs, vm: usize, job: usize, attempt: u32, now_ms: u64) {
-        let runs = |machine: &Machine| machine.tasks.iter().any(|task| task.job == job);
-        let is_doubled =
-            self.jobs[job].started.contains(&attempt) || self.machines.iter().any(runs);
-        self.doubled_starts += u64::from(is_doubled);
+    /// Starts an attempt on a machine and determines how it ends.
+    pub fn start_attempt(
+        &mut self,
+        inputs: &Inputs,
+        vm: usize,
+        job: usize,
+        attempt: u32,
+        now_ms: u64,
+    ) {
+        let runs_job = |machine: &Machine| machine.tasks.iter().any(|task| task.job == job);
+        let is_duplicate = self.jobs[job].started_attempts.contains(&attempt)
+            || self.machines.iter().any(runs_job);
+        self.duplicate_starts += u64::from(is_duplicate);
         let input = &inputs.jobs[job];
         let progress = &mut self.jobs[job];
-        progress.started.push(attempt);
+        progress.started_attempts.push(attempt);
         progress.first_start_ms.get_or_insert(now_ms);
-        let left_ms = input
+        let remaining_ms = input
             .actual_run_ms
-            .saturating_sub(progress.kept_ms)
+            .saturating_sub(progress.checkpointed_ms)
             .max(1_000);
-        let fails = input.always_fails
+        let will_fail = input.always_fails
             || inputs.vms[vm].fails_all_tasks
-            || !self.has_memory(inputs, vm, input);
-        let runs_ms = if fails {
-            EARLY_FAILURE_MS.min(left_ms)
+            || !self.has_free_memory(inputs, vm, input);
+        let run_ms = if will_fail {
+            FAILURE_DELAY_MS.min(remaining_ms)
         } else {
-            left_ms
+            remaining_ms
         };
         self.machines[vm].tasks.push(Task {
             job,
             attempt,
-            started_ms: now_ms,
-            ends_ms: now_ms + runs_ms,
-            end: if fails {
-                TaskEnd::Failed
+            start_ms: now_ms,
+            end_ms: now_ms + run_ms,
+            outcome: if will_fail {
+                TaskOutcome::Failed
             } else {
-                TaskEnd::Succeeded
+                TaskOutcome::Succeeded
             },
-            has_usage: false,
+            is_usage_reported: false,
         });
     }
 
-    fn has_memory(&self, inputs: &Inputs, vm: usize, job: &JobInput) -> bool {
+    fn has_free_memory(&self, inputs: &Inputs, vm: usize, job: &JobInput) -> bool {
         let tasks = self.machines[vm].tasks.iter();
         let used: u32 = tasks
             .map(|task| inputs.jobs[task.job].actual_usage.memory_mib)
@@ -162,27 +169,27 @@
         used + job.actual_usage.memory_mib <= inputs.vms[vm].capacity.memory_mib
     }
 
-    /// Asks a task to stop with its progress kept.
+    /// Stops a task after the time of a checkpoint, unless it ends before.
     pub fn checkpoint(&mut self, vm: usize, job: usize, now_ms: u64) {
         for task in &mut self.machines[vm].tasks {
-            let ends_ms = now_ms + CHECKPOINT_MS;
-            if task.job == job && task.end == TaskEnd::Succeeded && task.ends_ms > ends_ms {
-                task.ends_ms = ends_ms;
-                task.end = TaskEnd::Checkpointed;
+            let end_ms = now_ms + CHECKPOINT_MS;
+            if task.job == job && task.outcome == TaskOutcome::Succeeded && task.end_ms > end_ms {
+                task.end_ms = end_ms;
+                task.outcome = TaskOutcome::Checkpointed;
             }
         }
     }
 
-    /// Takes the tasks of a machine that have ended off it.
-    pub fn take_ended(&mut self, vm: usize, now_ms: u64) -> Vec<Task> {
+    /// Removes and returns the tasks of a machine that have ended.
+    pub fn remove_ended_tasks(&mut self, vm: usize, now_ms: u64) -> Vec<Task> {
         let machine = &mut self.machines[vm];
         let ended: Vec<Task> = machine
             .tasks
-            .extract_if(.., |task| task.ends_ms <= now_ms)
+            .extract_if(.., |task| task.end_ms <= now_ms)
             .collect();
         for task in &ended {
-            if task.end == TaskEnd::Checkpointed {
-                self.jobs[task.job].kept_ms += task.ends_ms - task.started_ms;
+            if task.outcome == TaskOutcome::Checkpointed {
+                self.jobs[task.job].checkpointed_ms += task.end_ms - task.start_ms;
             }
         }
         ended
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -167,7 +167,7 @@
                 let inputs = self.simulation.inputs;
                 self.simulation
                     .ground_truth
-                    .start(inputs, vm, job, start.attempt, now_ms);
+                    .start_attempt(inputs, vm, job, start.attempt, now_ms);
             }
         }
     }
@@ -203,7 +203,7 @@
             profile: self.profile.name.as_str(),
             job_moves: Some(self.simulation.job_moves),
             lost_jobs: Some(lost as u64),
-            doubled_starts: Some(self.simulation.ground_truth.doubled_starts),
+            doubled_starts: Some(self.simulation.ground_truth.duplicate_starts),
             completed_jobs: Some(completed as u64),
             urgent_start_p99_s: Some(seconds(percentile(&mut urgent, 99))),
             start_mean_s: Some(seconds(all.iter().sum::<u64>() / all.len().max(1) as u64)),
--- a/crates/experiment/src/simulation.rs
+++ b/crates/experiment/src/simulation.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        ground_truth::{GroundTruth, TaskEnd},
+        ground_truth::{GroundTruth, TaskOutcome},
         inputs::{Inputs, JobInput},
         profile::Profile,
     },
@@ -140,7 +140,7 @@
     /// Lets the truth and what is known of it go on to the present time.
     pub fn advance(&mut self) {
         self.fail_machines();
-        for vm in self.ground_truth.come_up(self.now_ms) {
+        for vm in self.ground_truth.restart_due_machines(self.now_ms) {
             self.sight(vm);
         }
         self.end_tasks();
@@ -181,12 +181,13 @@
     /// Starts the reboot of a VM.
     pub fn reboot(&mut self, vm: usize) {
         let input = &self.inputs.vms[vm];
-        let mut back_ms = self.now_ms + input.reboot_ms;
-        if input.rack == self.inputs.faulty_rack && !self.ground_truth.machines[vm].is_repaired {
-            back_ms = self.now_ms + self.inputs.faulty_rack_down_ms;
-            self.ground_truth.machines[vm].is_repaired = true;
+        let mut restart_ms = self.now_ms + input.reboot_ms;
+        if input.rack == self.inputs.faulty_rack && !self.ground_truth.machines[vm].had_long_reboot
+        {
+            restart_ms = self.now_ms + self.inputs.faulty_rack_down_ms;
+            self.ground_truth.machines[vm].had_long_reboot = true;
         }
-        self.ground_truth.go_down(vm, self.now_ms, back_ms);
+        self.ground_truth.take_down(vm, self.now_ms, restart_ms);
         self.sight(vm);
     }
 
@@ -231,7 +232,7 @@
             }
             self.next_fault += 1;
             self.ground_truth
-                .go_down(fault.vm, self.now_ms, fault.end_ms);
+                .take_down(fault.vm, self.now_ms, fault.end_ms);
             self.sight(fault.vm);
         }
     }
@@ -259,7 +260,7 @@
         let machine = &self.ground_truth.machines[vm];
         let report = VmReport {
             vm: vm_name(vm),
-            incarnation: machine.life,
+            incarnation: machine.incarnation,
             phase: if machine.is_up {
                 VmPhase::Live
             } else {
@@ -310,23 +311,23 @@
     /// Reports the ends and the use of tasks, and attempts that are lost with their VM.
     fn end_tasks(&mut self) {
         for vm in 0..self.ground_truth.machines.len() {
-            for task in self.ground_truth.take_ended(vm, self.now_ms) {
-                let outcome = match task.end {
-                    TaskEnd::Succeeded => JobOutcome::Succeeded,
-                    TaskEnd::Failed => JobOutcome::Failed,
-                    TaskEnd::Checkpointed => JobOutcome::Checkpointed,
+            for task in self.ground_truth.remove_ended_tasks(vm, self.now_ms) {
+                let outcome = match task.outcome {
+                    TaskOutcome::Succeeded => JobOutcome::Succeeded,
+                    TaskOutcome::Failed => JobOutcome::Failed,
+                    TaskOutcome::Checkpointed => JobOutcome::Checkpointed,
                 };
-                if task.end != TaskEnd::Succeeded {
+                if task.outcome != TaskOutcome::Succeeded {
                     self.report_usage(task.job, task.attempt);
                 }
-                self.job_moves += u64::from(task.end == TaskEnd::Checkpointed);
+                self.job_moves += u64::from(task.outcome == TaskOutcome::Checkpointed);
                 self.end(task.job, task.attempt, outcome);
             }
             let late = self.now_ms.saturating_sub(USAGE_MS);
             let mut used = Vec::new();
             for task in &mut self.ground_truth.machines[vm].tasks {
-                if !task.has_usage && task.started_ms <= late {
-                    task.has_usage = true;
+                if !task.is_usage_reported && task.start_ms <= late {
+                    task.is_usage_reported = true;
                     used.push((task.job, task.attempt));
                 }
             }
