--- a/crates/experiment/src/bound.rs
+++ b/crates/experiment/src/bound.rs
@@ -3,7 +3,7 @@
 use crate::{
     inputs::{Inputs, VmInput},
     profile::Profile,
-    simulation::{Simulation, budget},
+    simulation::{Simulation, pool_budget},
 };
 
 /// Time after which an action counts as failed and has to be repeated, in milliseconds.
@@ -43,7 +43,7 @@
 fn pool_bound_ms(profile: &Profile, inputs: &Inputs, pool: usize) -> u64 {
     let members: Vec<&VmInput> = inputs.vms.iter().filter(|vm| vm.pool == pool).collect();
     let size = u32::try_from(members.len()).unwrap_or(u32::MAX);
-    let slots = (size - budget().min_available.rounded_up(size)) as usize;
+    let slots = (size - pool_budget().min_available.rounded_up(size)) as usize;
     (0..profile.zones)
         .map(|zone| {
             let times = members
--- a/crates/experiment/src/executor.rs
+++ b/crates/experiment/src/executor.rs
@@ -1,7 +1,7 @@
 //! Carries claims and stops out, the same for every policy, and judges them by the truth.
 
 use {
-    crate::simulation::{NODE, Simulation, index_of},
+    crate::simulation::{NODE_NAME, Simulation, parse_index},
     lynxwheel_decisions::{ReleaseReason, ReviewStep, remaining_ms, review_claims},
     lynxwheel_protocol::{ClaimPurpose, RecordBody, VmName, VmPhase},
     lynxwheel_state::{Claim, ClaimStage},
@@ -36,7 +36,7 @@
         let Some(pool) = simulation.state.pools().get(vm.pool.as_str()) else {
             return;
         };
-        self.count += u64::from(simulation.truly_available(vm.pool.as_str()) < pool.floor());
+        self.count += u64::from(simulation.actual_available_vms(vm.pool.as_str()) < pool.floor());
     }
 
     /// Counts pools that stay below their floor while a drain of them is held.
@@ -47,7 +47,7 @@
             let name = pool.spec.name.as_str();
             if pool.claimed_zones.is_empty()
                 || !holds_drain(simulation, name)
-                || simulation.truly_available(name) >= pool.floor()
+                || simulation.actual_available_vms(name) >= pool.floor()
             {
                 self.below_since[row] = None;
                 continue;
@@ -66,7 +66,7 @@
         let is_draining = |claim: &Claim| claim.stage == ClaimStage::Draining;
         vm.pool.as_str() == pool
             && vm.claim.as_ref().is_some_and(is_draining)
-            && simulation.ground_truth.machines[index_of(vm.name.as_str())].is_up
+            && simulation.ground_truth.machines[parse_index(vm.name.as_str())].is_up
     })
 }
 
@@ -87,13 +87,13 @@
             ClaimStage::Acting => finish(simulation, &vm, &claim),
         }
     }
-    for job in std::mem::take(&mut simulation.stopping) {
+    for job in std::mem::take(&mut simulation.stopping_jobs) {
         stop(simulation, job);
     }
 }
 
 fn release(simulation: &mut Simulation<'_>, heeds_halts: bool) {
-    for review in review_claims(&simulation.state, &[NODE.into()]) {
+    for review in review_claims(&simulation.state, &[NODE_NAME.into()]) {
         let ReviewStep::Release(reason) = review.step else {
             continue;
         };
@@ -116,14 +116,14 @@
         .iter()
         .filter_map(|job| simulation.state.jobs().get(job.as_str()))
         .filter(|job| job.spec.checkpoint && remaining_ms(job, clock_ms) > NEARLY_DONE_MS)
-        .map(|job| index_of(job.spec.name.as_str()))
+        .map(|job| parse_index(job.spec.name.as_str()))
         .collect();
     if !vm.attempts.is_empty() {
         for job in moved {
             let now_ms = simulation.now_ms;
             simulation
                 .ground_truth
-                .checkpoint(index_of(name.as_str()), job, now_ms);
+                .checkpoint(parse_index(name.as_str()), job, now_ms);
         }
         return;
     }
@@ -147,7 +147,7 @@
     });
     if verdict.is_accepted() {
         breaches.judge(simulation, name);
-        simulation.reboot(index_of(name.as_str()));
+        simulation.reboot(parse_index(name.as_str()));
     }
 }
 
@@ -171,7 +171,7 @@
     let attempt = simulation.state.jobs().get(name.as_str());
     let vm = attempt
         .and_then(|job| job.attempt.as_ref())
-        .map(|attempt| index_of(attempt.vm.as_str()));
+        .map(|attempt| parse_index(attempt.vm.as_str()));
     if let Some(vm) = vm {
         let now_ms = simulation.now_ms;
         simulation.ground_truth.checkpoint(vm, job, now_ms);
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -8,7 +8,7 @@
         measures::{Measures, percentile},
         policies::{PlacePolicy, WavePolicy},
         profile::Profile,
-        simulation::{Simulation, budget, index_of},
+        simulation::{Simulation, parse_index, pool_budget},
     },
     lynxwheel_decisions::{
         PlacementPlan, Tuning, cordoned_vms, plan_give_ups, plan_placements, plan_quarantines,
@@ -57,7 +57,7 @@
         policy: RunPolicy,
     ) -> Self {
         Self {
-            simulation: Simulation::new(profile, inputs, budget()),
+            simulation: Simulation::new(profile, inputs, pool_budget()),
             profile,
             workload,
             policy,
@@ -105,7 +105,7 @@
             let verdict = self.simulation.submit(RecordBody::Claim {
                 vm: vm.clone(),
                 purpose,
-                holder: crate::simulation::NODE.into(),
+                holder: crate::simulation::NODE_NAME.into(),
             });
             if verdict.is_accepted() {
                 self.breaches.judge(&self.simulation, &vm);
@@ -143,24 +143,24 @@
 
     fn carry_out(&mut self, plan: PlacementPlan) {
         for stop in plan.stops {
-            let job = index_of(stop.job.as_str());
+            let job = parse_index(stop.job.as_str());
             let verdict = self.simulation.submit(RecordBody::Stop {
                 job: stop.job,
                 attempt: stop.attempt,
             });
             if verdict.is_accepted() {
-                self.simulation.stopping.push(job);
+                self.simulation.stopping_jobs.push(job);
             }
         }
         for start in plan.starts {
-            let job = index_of(start.job.as_str());
-            let vm = index_of(start.vm.as_str());
+            let job = parse_index(start.job.as_str());
+            let vm = parse_index(start.vm.as_str());
             let verdict = self.simulation.submit(RecordBody::Start {
                 job: start.job,
                 attempt: start.attempt,
                 vm: start.vm,
                 reserved: start.reserved,
-                holder: crate::simulation::NODE.into(),
+                holder: crate::simulation::NODE_NAME.into(),
             });
             if verdict.is_accepted() && self.simulation.ground_truth.machines[vm].is_up {
                 let now_ms = self.simulation.now_ms;
@@ -224,7 +224,7 @@
     }
 
     fn is_lost(&self, job: &JobState) -> bool {
-        let input = &self.simulation.inputs.jobs[index_of(job.spec.name.as_str())];
+        let input = &self.simulation.inputs.jobs[parse_index(job.spec.name.as_str())];
         job.phase == JobPhase::GivenUp && !input.always_fails && !input.is_unplaceable
     }
 
--- a/crates/experiment/src/simulation.rs
+++ b/crates/experiment/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The step loop: the real fold and the truth, joined by late observation.
+//! Simulation step: the fleet state follows the ground truth by delayed reports.
 
 use {
     crate::{
@@ -14,60 +14,60 @@
     lynxwheel_state::{FleetState, Verdict},
 };
 
-/// Node that writes every record.
-pub const NODE: &str = "node-1";
+/// Name of the node that writes every record.
+pub const NODE_NAME: &str = "node-1";
 
-/// Time from a change of a VM to the record that reports it, in milliseconds.
-const OBSERVE_MS: u64 = 2_000;
+/// Delay from a change of a VM to the record that reports it, in milliseconds.
+const REPORT_DELAY_MS: u64 = 2_000;
 
-/// Time from the start of a task to the report of its use, in milliseconds.
-const USAGE_MS: u64 = 60_000;
+/// Delay from the start of a task to the report of its usage, in milliseconds.
+const USAGE_REPORT_DELAY_MS: u64 = 60_000;
 
-/// Wall-clock time at the start of a run, in milliseconds since the epoch.
-const EPOCH_MS: u64 = 1_000_000_000;
+/// Wall-clock time at the start of a run, in milliseconds since the Unix epoch.
+const START_CLOCK_MS: u64 = 1_000_000_000;
 
 /// Name of the wave.
-pub const WAVE: &str = "wave";
+pub const WAVE_NAME: &str = "wave";
 
-/// A report that is due.
+/// A scheduled report of a VM.
 #[derive(Clone, Copy, Debug)]
-struct Sighting {
+struct PendingReport {
     due_ms: u64,
     vm: usize,
 }
 
-/// Fold and truth of one run.
+/// Fleet state and ground truth of one run.
 #[derive(Clone, Debug)]
 pub struct Simulation<'a> {
-    /// Inputs.
+    /// Inputs of the run.
     pub inputs: &'a Inputs,
-    /// Fold.
+    /// Fleet state, as folded from the submitted records.
     pub state: FleetState,
-    /// Truth.
+    /// Actual state of the machines, tasks and jobs.
     pub ground_truth: GroundTruth,
     /// Time since the start of the run, in milliseconds.
     pub now_ms: u64,
-    /// Attempts ended for planned or urgent work.
+    /// Attempts that were checkpointed to continue elsewhere.
     pub job_moves: u64,
-    /// VMs handed over.
+    /// VMs handed over to another pool.
     pub vm_moves: u64,
-    /// Jobs that were asked to stop.
-    pub stopping: Vec<usize>,
+    /// Jobs whose running attempt is to be stopped.
+    pub stopping_jobs: Vec<usize>,
     offset: u64,
-    sightings: Vec<Sighting>,
+    pending_reports: Vec<PendingReport>,
     next_job: usize,
     next_fault: usize,
-    cancels: Vec<usize>,
+    pending_cancellations: Vec<usize>,
 }
 
 impl<'a> Simulation<'a> {
-    /// Declares the fleet and reports every VM as live.
+    /// Creates a simulation with the fleet declared and every VM reported as live.
     #[must_use]
     pub fn new(profile: &Profile, inputs: &'a Inputs, budget: Budget) -> Self {
-        let mut cancels: Vec<usize> = (0..inputs.jobs.len())
+        let mut pending_cancellations: Vec<usize> = (0..inputs.jobs.len())
             .filter(|job| inputs.jobs[*job].cancel_ms.is_some())
             .collect();
-        cancels.sort_by_key(|job| std::cmp::Reverse(inputs.jobs[*job].cancel_ms));
+        pending_cancellations.sort_by_key(|job| std::cmp::Reverse(inputs.jobs[*job].cancel_ms));
         let mut simulation = Self {
             inputs,
             state: FleetState::new(),
@@ -75,31 +75,31 @@
             now_ms: 0,
             job_moves: 0,
             vm_moves: 0,
-            stopping: Vec::new(),
+            stopping_jobs: Vec::new(),
             offset: 0,
-            sightings: Vec::new(),
+            pending_reports: Vec::new(),
             next_job: 0,
             next_fault: 0,
-            cancels,
+            pending_cancellations,
         };
         simulation.submit(RecordBody::Join {
-            node: NODE.into(),
+            node: NODE_NAME.into(),
             fold_version: 1,
         });
         simulation.declare_fleet(profile, budget);
         for vm in 0..inputs.vms.len() {
-            simulation.report(vm);
+            simulation.report_vm(vm);
         }
         simulation
     }
 
-    /// Returns the fold's time, in milliseconds since the epoch.
+    /// Returns the simulated wall-clock time, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn clock_ms(&self) -> u64 {
-        EPOCH_MS + self.now_ms
+        START_CLOCK_MS + self.now_ms
     }
 
-    /// Appends a record and folds it.
+    /// Writes a record and applies it to the fleet state.
     pub fn submit(&mut self, body: RecordBody) -> Verdict {
         self.offset += 1;
         let record = Record {
@@ -125,7 +125,7 @@
     /// Starts the wave over all pools.
     pub fn start_wave(&mut self, profile: &Profile) {
         let spec = WaveSpec {
-            name: WAVE.into(),
+            name: WAVE_NAME.into(),
             pools: (0..profile.pools)
                 .map(|pool| pool_name(pool).as_str().into())
                 .collect(),
@@ -137,44 +137,44 @@
         self.put(Resource::Wave(spec));
     }
 
-    /// Lets the truth and what is known of it go on to the present time.
+    /// Advances the ground truth to the current time and submits the records that are due.
     pub fn advance(&mut self) {
-        self.fail_machines();
+        self.start_faults();
         for vm in self.ground_truth.restart_due_machines(self.now_ms) {
-            self.sight(vm);
+            self.schedule_report(vm);
         }
-        self.end_tasks();
-        self.observe();
+        self.report_tasks();
+        self.submit_due_reports();
         self.declare_jobs();
         self.cancel_jobs();
     }
 
-    /// Returns how many VMs of a pool are available by the truth.
+    /// Returns how many unclaimed VMs of a pool are actually up.
     #[must_use]
-    pub fn truly_available(&self, pool: &str) -> u32 {
+    pub fn actual_available_vms(&self, pool: &str) -> u32 {
         let vms = self.state.vms().iter();
         let count = vms
             .filter(|vm| vm.pool.as_str() == pool && vm.claim.is_none())
-            .filter(|vm| self.ground_truth.machines[index_of(vm.name.as_str())].is_up)
+            .filter(|vm| self.ground_truth.machines[parse_index(vm.name.as_str())].is_up)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Asks the VMs of a pool right before a planned step and reports what is news.
+    /// Reports the VMs in the pool of `vm` that are down but still recorded as available.
     pub fn probe_pool(&mut self, vm: &str) {
         let Some(pool) = self.state.vms().get(vm).map(|vm| vm.pool.clone()) else {
             return;
         };
-        let news: Vec<usize> = self
+        let undetected: Vec<usize> = self
             .state
             .vms()
             .iter()
             .filter(|vm| vm.pool == pool && vm.is_available())
-            .map(|vm| index_of(vm.name.as_str()))
+            .map(|vm| parse_index(vm.name.as_str()))
             .filter(|vm| !self.ground_truth.machines[*vm].is_up)
             .collect();
-        for vm in news {
-            self.report(vm);
+        for vm in undetected {
+            self.report_vm(vm);
         }
     }
 
@@ -188,7 +188,7 @@
             self.ground_truth.machines[vm].had_long_reboot = true;
         }
         self.ground_truth.take_down(vm, self.now_ms, restart_ms);
-        self.sight(vm);
+        self.schedule_report(vm);
     }
 
     fn declare_fleet(&mut self, profile: &Profile, budget: Budget) {
@@ -225,7 +225,7 @@
         }
     }
 
-    fn fail_machines(&mut self) {
+    fn start_faults(&mut self) {
         while let Some(fault) = self.inputs.faults.get(self.next_fault) {
             if fault.start_ms > self.now_ms {
                 return;
@@ -233,29 +233,29 @@
             self.next_fault += 1;
             self.ground_truth
                 .take_down(fault.vm, self.now_ms, fault.end_ms);
-            self.sight(fault.vm);
+            self.schedule_report(fault.vm);
         }
     }
 
-    fn sight(&mut self, vm: usize) {
-        self.sightings.push(Sighting {
-            due_ms: self.now_ms + OBSERVE_MS,
+    fn schedule_report(&mut self, vm: usize) {
+        self.pending_reports.push(PendingReport {
+            due_ms: self.now_ms + REPORT_DELAY_MS,
             vm,
         });
     }
 
-    fn observe(&mut self) {
+    fn submit_due_reports(&mut self) {
         let now_ms = self.now_ms;
-        let due: Vec<Sighting> = self
-            .sightings
-            .extract_if(.., |sighting| sighting.due_ms <= now_ms)
+        let due: Vec<PendingReport> = self
+            .pending_reports
+            .extract_if(.., |report| report.due_ms <= now_ms)
             .collect();
-        for sighting in due {
-            self.report(sighting.vm);
+        for report in due {
+            self.report_vm(report.vm);
         }
     }
 
-    fn report(&mut self, vm: usize) {
+    fn report_vm(&mut self, vm: usize) {
         let input = &self.inputs.vms[vm];
         let machine = &self.ground_truth.machines[vm];
         let report = VmReport {
@@ -290,12 +290,12 @@
     }
 
     fn cancel_jobs(&mut self) {
-        while let Some(job) = self.cancels.last().copied() {
+        while let Some(job) = self.pending_cancellations.last().copied() {
             let input = &self.inputs.jobs[job];
             if input.cancel_ms > Some(self.now_ms) {
                 return;
             }
-            self.cancels.pop();
+            self.pending_cancellations.pop();
             let is_final = self
                 .state
                 .jobs()
@@ -303,13 +303,13 @@
                 .is_none_or(lynxwheel_state::JobState::is_final);
             if !is_final {
                 self.put(Resource::Job(job_spec(job, input, true)));
-                self.stopping.push(job);
+                self.stopping_jobs.push(job);
             }
         }
     }
 
-    /// Reports the ends and the use of tasks, and attempts that are lost with their VM.
-    fn end_tasks(&mut self) {
+    /// Reports ended tasks, usage that is due, and attempts that were lost with their VM.
+    fn report_tasks(&mut self) {
         for vm in 0..self.ground_truth.machines.len() {
             for task in self.ground_truth.remove_ended_tasks(vm, self.now_ms) {
                 let outcome = match task.outcome {
@@ -321,47 +321,47 @@
                     self.report_usage(task.job, task.attempt);
                 }
                 self.job_moves += u64::from(task.outcome == TaskOutcome::Checkpointed);
-                self.end(task.job, task.attempt, outcome);
+                self.end_attempt(task.job, task.attempt, outcome);
             }
-            let late = self.now_ms.saturating_sub(USAGE_MS);
-            let mut used = Vec::new();
+            let latest_start_ms = self.now_ms.saturating_sub(USAGE_REPORT_DELAY_MS);
+            let mut unreported = Vec::new();
             for task in &mut self.ground_truth.machines[vm].tasks {
-                if !task.is_usage_reported && task.start_ms <= late {
+                if !task.is_usage_reported && task.start_ms <= latest_start_ms {
                     task.is_usage_reported = true;
-                    used.push((task.job, task.attempt));
+                    unreported.push((task.job, task.attempt));
                 }
             }
-            for (job, attempt) in used {
+            for (job, attempt) in unreported {
                 self.report_usage(job, attempt);
             }
-            self.end_lost(vm);
+            self.report_lost_attempts(vm);
         }
     }
 
-    fn end_lost(&mut self, vm: usize) {
+    fn report_lost_attempts(&mut self, vm: usize) {
         let name = vm_name(vm);
-        let Some(known) = self.state.vms().get(name.as_str()) else {
+        let Some(vm_state) = self.state.vms().get(name.as_str()) else {
             return;
         };
-        if known.attempts.is_empty() {
+        if vm_state.attempts.is_empty() {
             return;
         }
-        let lost: Vec<(usize, u32)> = known
+        let lost: Vec<(usize, u32)> = vm_state
             .attempts
             .iter()
             .filter_map(|name| self.state.jobs().get(name.as_str()))
-            .map(|job| (index_of(job.spec.name.as_str()), job.attempts))
+            .map(|job| (parse_index(job.spec.name.as_str()), job.attempts))
             .filter(|(job, _)| {
                 let tasks = &self.ground_truth.machines[vm].tasks;
                 tasks.iter().all(|task| task.job != *job)
             })
             .collect();
         for (job, attempt) in lost {
-            self.end(job, attempt, JobOutcome::Lost);
+            self.end_attempt(job, attempt, JobOutcome::Lost);
         }
     }
 
-    fn end(&mut self, job: usize, attempt: u32, outcome: JobOutcome) {
+    fn end_attempt(&mut self, job: usize, attempt: u32, outcome: JobOutcome) {
         self.submit(RecordBody::End {
             job: job_name(job).as_str().into(),
             attempt,
@@ -379,9 +379,9 @@
     }
 }
 
-/// Returns the budget of the pools.
+/// Returns the disruption budget of every pool.
 #[must_use]
-pub fn budget() -> Budget {
+pub fn pool_budget() -> Budget {
     Budget {
         min_available: Amount::Percent(75),
         zones_at_once: 1,
@@ -422,9 +422,9 @@
     format!("job-{job:06}")
 }
 
-/// Returns the index in a name that the functions above made.
+/// Returns the index at the end of a generated name.
 #[must_use]
-pub fn index_of(name: &str) -> usize {
+pub fn parse_index(name: &str) -> usize {
     let digits = name.rsplit('-').next().unwrap_or_default();
     digits.parse().unwrap_or_default()
 }
