--- a/crates/experiment/src/bound.rs
+++ b/crates/experiment/src/bound.rs
@@ -1,4 +1,4 @@
-//! Lower bound of a wave's roll-out time.
+//! Lower bounds of the roll-out time of a wave.
 
 use crate::{
     inputs::{Inputs, VmInput},
@@ -6,14 +6,13 @@
     simulation::{Simulation, pool_budget},
 };
 
-/// Time after which an action counts as failed and has to be repeated, in milliseconds.
+/// Time after which an action counts as failed and is repeated, in milliseconds.
 const ACTION_TIMEOUT_MS: u64 = 600_000;
 
-/// Returns the time below which no policy can come, in milliseconds.
+/// Returns a lower bound of the roll-out time under any policy, in milliseconds.
 ///
-/// Claims of a pool never overlap between zones when the budget allows one zone at once, so that
-/// the zones of a pool add up; within a zone the actions go into the budget's slots. The docs
-/// derive it.
+/// The budget allows claims in one availability zone of a pool at a time, so the bounds of the
+/// zones add up. Within a zone, the budget limits how many actions run in parallel.
 #[must_use]
 pub fn roll_out_bound_ms(profile: &Profile, inputs: &Inputs) -> u64 {
     (0..profile.pools)
@@ -22,11 +21,11 @@
         .unwrap_or(0)
 }
 
-/// Returns how long the jobs that run now and cannot be moved put off the last VM, in
-/// milliseconds.
+/// Returns a lower bound of the roll-out time from the running jobs that cannot be checkpointed,
+/// in milliseconds.
 ///
-/// No policy may cut them off, and all policies start from the same placement. A VM that fails by
-/// itself ends its jobs, so those are left out.
+/// A drain waits until these jobs end, and all policies start from the same placement. Jobs on VMs
+/// with a fault are excluded because the fault may end them early.
 #[must_use]
 pub fn drain_bound_ms(simulation: &Simulation<'_>) -> u64 {
     let machines = simulation.ground_truth.machines.iter().enumerate();
@@ -46,17 +45,17 @@
     let slots = (size - pool_budget().min_available.rounded_up(size)) as usize;
     (0..profile.zones)
         .map(|zone| {
-            let times = members
+            let times_ms = members
                 .iter()
                 .filter(|vm| vm.zone == zone)
-                .map(|vm| claim_ms(inputs, vm));
-            makespan_bound_ms(times.collect(), slots)
+                .map(|vm| min_claim_ms(inputs, vm));
+            makespan_bound_ms(times_ms.collect(), slots)
         })
         .sum()
 }
 
-/// Returns how long a VM is claimed at least.
-fn claim_ms(inputs: &Inputs, vm: &VmInput) -> u64 {
+/// Returns the minimum duration of the claim of a VM, in milliseconds.
+fn min_claim_ms(inputs: &Inputs, vm: &VmInput) -> u64 {
     if vm.rack == inputs.faulty_rack {
         ACTION_TIMEOUT_MS + vm.reboot_ms
     } else {
@@ -64,17 +63,19 @@
     }
 }
 
-/// Returns the bound for `times` in `slots`: the mean load of a slot, the longest time, and the
-/// two shortest of the longest `slots + 1` times, two of which share a slot.
-fn makespan_bound_ms(mut times: Vec<u64>, slots: usize) -> u64 {
+/// Returns a lower bound of the makespan of actions that take `times_ms` on `slots` parallel slots.
+///
+/// The bound is the maximum of the mean load of a slot, the longest time, and the sum of the two
+/// shortest of the `slots + 1` longest times, since two of these share a slot.
+fn makespan_bound_ms(mut times_ms: Vec<u64>, slots: usize) -> u64 {
     if slots == 0 {
         return 0;
     }
-    times.sort_unstable_by(|left, right| right.cmp(left));
-    let load_ms = times.iter().sum::<u64>() / slots as u64;
-    let longest_ms = times.first().copied().unwrap_or(0);
-    let shared_ms = times
+    times_ms.sort_unstable_by(|left, right| right.cmp(left));
+    let mean_load_ms = times_ms.iter().sum::<u64>() / slots as u64;
+    let longest_ms = times_ms.first().copied().unwrap_or(0);
+    let shared_ms = times_ms
         .get(slots)
-        .map_or(0, |shorter_ms| times[slots - 1] + shorter_ms);
-    load_ms.max(longest_ms).max(shared_ms)
+        .map_or(0, |shorter_ms| times_ms[slots - 1] + shorter_ms);
+    mean_load_ms.max(longest_ms).max(shared_ms)
 }
--- a/crates/experiment/src/executor.rs
+++ b/crates/experiment/src/executor.rs
@@ -1,4 +1,4 @@
-//! Carries claims and stops out, the same for every policy, and judges them by the truth.
+//! Execution of claims and stops, identical for every policy, and counting of budget breaches.
 
 use {
     crate::simulation::{NODE_NAME, Simulation, parse_index},
@@ -7,29 +7,28 @@
     lynxwheel_state::{Claim, ClaimStage},
 };
 
-/// Time after which an action has failed, in milliseconds.
+/// Time after which an action counts as failed, in milliseconds.
 const ACTION_TIMEOUT_MS: u64 = 600_000;
 
-/// Time within which a drain must be undone once its pool is below its floor, in milliseconds.
-const UNDO_MS: u64 = 10_000;
+/// Time for releasing a drain once its pool is below its floor, in milliseconds.
+const MAX_UNDO_MS: u64 = 10_000;
 
-/// A job that ends within this time is not moved for a drain, in milliseconds.
-const NEARLY_DONE_MS: u64 = 15_000;
+/// Remaining time up to which a job is not moved for a drain, in milliseconds.
+const MAX_UNMOVED_REMAINING_MS: u64 = 15_000;
 
-/// Budget breaches found by the truth.
+/// Budget breaches according to the ground truth.
 #[derive(Clone, Debug, Default)]
-pub struct Breaches {
-    /// Planned steps that left a pool below its floor, and drains not undone in time.
+pub struct BudgetBreaches {
+    /// Planned steps that left a pool below its floor, and drains that were not released in time.
     pub count: u64,
-    below_since: Vec<Option<u64>>,
+    below_floor_since_ms: Vec<Option<u64>>,
 }
 
-impl Breaches {
-    /// Judges a planned step that was just accepted on a VM.
+impl BudgetBreaches {
+    /// Counts a breach if the pool of `vm` is below its floor after an accepted step on `vm`.
     ///
-    /// The step is a breach when its pool is below its floor without the VM, whatever the fold
-    /// knew of it.
-    pub fn judge(&mut self, simulation: &Simulation<'_>, vm: &VmName) {
+    /// The check uses the ground truth, whatever the fleet state has recorded.
+    pub fn check_step(&mut self, simulation: &Simulation<'_>, vm: &VmName) {
         let Some(vm) = simulation.state.vms().get(vm.as_str()) else {
             return;
         };
@@ -39,29 +38,29 @@
         self.count += u64::from(simulation.actual_available_vms(vm.pool.as_str()) < pool.floor());
     }
 
-    /// Counts pools that stay below their floor while a drain of them is held.
-    pub fn judge_drains(&mut self, simulation: &Simulation<'_>) {
-        self.below_since
+    /// Counts a breach for each pool that stays below its floor while it has a draining VM.
+    pub fn check_drains(&mut self, simulation: &Simulation<'_>) {
+        self.below_floor_since_ms
             .resize(simulation.state.pools().len(), None);
-        for (row, pool) in simulation.state.pools().iter().enumerate() {
+        for (index, pool) in simulation.state.pools().iter().enumerate() {
             let name = pool.spec.name.as_str();
             if pool.claimed_zones.is_empty()
-                || !holds_drain(simulation, name)
+                || !has_draining_vm(simulation, name)
                 || simulation.actual_available_vms(name) >= pool.floor()
             {
-                self.below_since[row] = None;
+                self.below_floor_since_ms[index] = None;
                 continue;
             }
-            let since_ms = *self.below_since[row].get_or_insert(simulation.now_ms);
-            if simulation.now_ms >= since_ms + UNDO_MS {
+            let since_ms = *self.below_floor_since_ms[index].get_or_insert(simulation.now_ms);
+            if simulation.now_ms >= since_ms + MAX_UNDO_MS {
                 self.count += 1;
-                self.below_since[row] = Some(simulation.now_ms);
+                self.below_floor_since_ms[index] = Some(simulation.now_ms);
             }
         }
     }
 }
 
-fn holds_drain(simulation: &Simulation<'_>, pool: &str) -> bool {
+fn has_draining_vm(simulation: &Simulation<'_>, pool: &str) -> bool {
     simulation.state.vms().iter().any(|vm| {
         let is_draining = |claim: &Claim| claim.stage == ClaimStage::Draining;
         vm.pool.as_str() == pool
@@ -70,11 +69,15 @@
     })
 }
 
-/// Takes the next step of every claim and stops what was asked to stop.
+/// Takes the next step of every claim and stops the jobs that are to be stopped.
 ///
-/// Baselines do not halt, so a halt must not undo their drains.
-pub fn run_claims(simulation: &mut Simulation<'_>, breaches: &mut Breaches, heeds_halts: bool) {
-    release(simulation, heeds_halts);
+/// Baselines ignore halts of the wave, so a halt does not release their claims.
+pub fn advance_claims(
+    simulation: &mut Simulation<'_>,
+    breaches: &mut BudgetBreaches,
+    obeys_halts: bool,
+) {
+    release_claims(simulation, obeys_halts);
     let claims: Vec<(VmName, Claim)> = simulation
         .state
         .vms()
@@ -83,21 +86,21 @@
         .collect();
     for (vm, claim) in claims {
         match claim.stage {
-            ClaimStage::Draining => drain(simulation, &vm, &claim, breaches),
-            ClaimStage::Acting => finish(simulation, &vm, &claim),
+            ClaimStage::Draining => advance_drain(simulation, &vm, &claim, breaches),
+            ClaimStage::Acting => finish_action(simulation, &vm, &claim),
         }
     }
     for job in std::mem::take(&mut simulation.stopping_jobs) {
-        stop(simulation, job);
+        stop_job(simulation, job);
     }
 }
 
-fn release(simulation: &mut Simulation<'_>, heeds_halts: bool) {
+fn release_claims(simulation: &mut Simulation<'_>, obeys_halts: bool) {
     for review in review_claims(&simulation.state, &[NODE_NAME.into()]) {
         let ReviewStep::Release(reason) = review.step else {
             continue;
         };
-        if heeds_halts || reason != ReleaseReason::WaveHalted {
+        if obeys_halts || reason != ReleaseReason::WaveHalted {
             simulation.submit(RecordBody::Release {
                 vm: review.vm,
                 fence: review.fence,
@@ -106,20 +109,25 @@
     }
 }
 
-fn drain(simulation: &mut Simulation<'_>, name: &VmName, claim: &Claim, breaches: &mut Breaches) {
+fn advance_drain(
+    simulation: &mut Simulation<'_>,
+    name: &VmName,
+    claim: &Claim,
+    breaches: &mut BudgetBreaches,
+) {
     let clock_ms = simulation.clock_ms();
     let Some(vm) = simulation.state.vms().get(name.as_str()) else {
         return;
     };
-    let moved: Vec<usize> = vm
+    let movable_jobs: Vec<usize> = vm
         .attempts
         .iter()
         .filter_map(|job| simulation.state.jobs().get(job.as_str()))
-        .filter(|job| job.spec.checkpoint && remaining_ms(job, clock_ms) > NEARLY_DONE_MS)
+        .filter(|job| job.spec.checkpoint && remaining_ms(job, clock_ms) > MAX_UNMOVED_REMAINING_MS)
         .map(|job| parse_index(job.spec.name.as_str()))
         .collect();
     if !vm.attempts.is_empty() {
-        for job in moved {
+        for job in movable_jobs {
             let now_ms = simulation.now_ms;
             simulation
                 .ground_truth
@@ -127,10 +135,15 @@
         }
         return;
     }
-    act(simulation, name, claim, breaches);
+    begin_action(simulation, name, claim, breaches);
 }
 
-fn act(simulation: &mut Simulation<'_>, name: &VmName, claim: &Claim, breaches: &mut Breaches) {
+fn begin_action(
+    simulation: &mut Simulation<'_>,
+    name: &VmName,
+    claim: &Claim,
+    breaches: &mut BudgetBreaches,
+) {
     let vm = name.clone();
     let fence = claim.fence;
     if let ClaimPurpose::Move(_) = claim.purpose {
@@ -146,12 +159,12 @@
         not_after_ms,
     });
     if verdict.is_accepted() {
-        breaches.judge(simulation, name);
+        breaches.check_step(simulation, name);
         simulation.reboot(parse_index(name.as_str()));
     }
 }
 
-fn finish(simulation: &mut Simulation<'_>, name: &VmName, claim: &Claim) {
+fn finish_action(simulation: &mut Simulation<'_>, name: &VmName, claim: &Claim) {
     let Some(vm) = simulation.state.vms().get(name.as_str()) else {
         return;
     };
@@ -166,10 +179,10 @@
     }
 }
 
-fn stop(simulation: &mut Simulation<'_>, job: usize) {
+fn stop_job(simulation: &mut Simulation<'_>, job: usize) {
     let name = crate::simulation::job_name(job);
-    let attempt = simulation.state.jobs().get(name.as_str());
-    let vm = attempt
+    let job_state = simulation.state.jobs().get(name.as_str());
+    let vm = job_state
         .and_then(|job| job.attempt.as_ref())
         .map(|attempt| parse_index(attempt.vm.as_str()));
     if let Some(vm) = vm {
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         bound::{drain_bound_ms, roll_out_bound_ms},
-        executor::{Breaches, run_claims},
+        executor::{BudgetBreaches, advance_claims},
         inputs::{Inputs, Workload},
         measures::{Measures, percentile},
         policies::{PlacePolicy, WavePolicy},
@@ -40,7 +40,7 @@
     profile: &'a Profile,
     workload: &'a Workload,
     policy: RunPolicy,
-    breaches: Breaches,
+    breaches: BudgetBreaches,
     buffer_vm_ms: f64,
     decision_time: Duration,
     done_ms: Option<u64>,
@@ -61,7 +61,7 @@
             profile,
             workload,
             policy,
-            breaches: Breaches::default(),
+            breaches: BudgetBreaches::default(),
             buffer_vm_ms: 0.0,
             decision_time: Duration::ZERO,
             done_ms: None,
@@ -88,8 +88,8 @@
                 self.claim(policy);
                 self.measure_wave(policy);
             }
-            let heeds_halts = matches!(self.policy, RunPolicy::Wave(WavePolicy::InUse));
-            run_claims(&mut self.simulation, &mut self.breaches, heeds_halts);
+            let obeys_halts = matches!(self.policy, RunPolicy::Wave(WavePolicy::InUse));
+            advance_claims(&mut self.simulation, &mut self.breaches, obeys_halts);
             self.place();
         }
         self.measures()
@@ -108,7 +108,7 @@
                 holder: crate::simulation::NODE_NAME.into(),
             });
             if verdict.is_accepted() {
-                self.breaches.judge(&self.simulation, &vm);
+                self.breaches.check_step(&self.simulation, &vm);
             }
         }
     }
@@ -173,7 +173,7 @@
     }
 
     fn measure_wave(&mut self, policy: WavePolicy) {
-        self.breaches.judge_drains(&self.simulation);
+        self.breaches.check_drains(&self.simulation);
         let state = &self.simulation.state;
         let claimed = state.vms().iter().filter(|vm| vm.claim.is_some()).count();
         let tuning = policy.tuning(state);
--- a/crates/experiment/src/simulation.rs
+++ b/crates/experiment/src/simulation.rs
@@ -47,7 +47,7 @@
     pub ground_truth: GroundTruth,
     /// Time since the start of the run, in milliseconds.
     pub now_ms: u64,
-    /// Attempts that were checkpointed to continue elsewhere.
+    /// Attempts that ended with a checkpoint.
     pub job_moves: u64,
     /// VMs handed over to another pool.
     pub vm_moves: u64,
@@ -379,7 +379,7 @@
     }
 }
 
-/// Returns the disruption budget of every pool.
+/// Returns the budget of every pool.
 #[must_use]
 pub fn pool_budget() -> Budget {
     Budget {
