--- a/crates/experiment/src/args.rs
+++ b/crates/experiment/src/args.rs
@@ -5,7 +5,7 @@
         inputs::{Inputs, Workload},
         measures::Measures,
         plot,
-        policies::{PlacePolicy, WavePolicy},
+        policies::{PlacementPolicy, WavePolicy},
         profile::{Profile, ProfileName},
         routing,
         run::{Run, RunPolicy},
@@ -128,12 +128,12 @@
         }
         ExperimentName::Placement => {
             let inputs = Inputs::new(&profile, &workload, seed);
-            let policies = PlacePolicy::ALL.into_iter();
+            let policies = PlacementPolicy::ALL.into_iter();
             policies
                 .filter(|policy| is_wanted(policy.as_str()))
                 .map(|policy| Measures {
                     policy: policy.as_str(),
-                    ..Run::new(&profile, &workload, &inputs, RunPolicy::Place(policy)).run()
+                    ..Run::new(&profile, &workload, &inputs, RunPolicy::Placement(policy)).run()
                 })
                 .collect()
         }
--- a/crates/experiment/src/policies.rs
+++ b/crates/experiment/src/policies.rs
@@ -1,4 +1,4 @@
-//! The decisions in use and the baselines that they are judged against.
+//! The decisions in use and the baselines that they are compared with.
 
 use {
     lynxwheel_decisions::{
@@ -9,22 +9,22 @@
     lynxwheel_state::{FleetState, JobPhase, JobState, VmState, WaveState},
 };
 
-/// Starts planned in one round at most.
-const MAX_STARTS: usize = 256;
+/// Maximum starts planned in one round.
+const MAX_STARTS_PER_ROUND: usize = 256;
 
-/// Name of the decisions in use.
+/// Name of the decisions in use in the results.
 pub const IN_USE: &str = "in-use";
 
-/// How VMs are claimed for a wave.
+/// Policy that claims VMs for a wave.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WavePolicy {
     /// The decisions in use.
     InUse,
-    /// As many VMs of a pool as its budget has room for, then a wait until all are done.
+    /// As many VMs of a pool as its budget allows, and the next batch when all of them are done.
     FixedBatch,
-    /// One VM of each pool after the other.
+    /// One VM of each pool at a time.
     OneAtATime,
-    /// One zone of the fleet after the other, each VM replaced as soon as it is done.
+    /// One availability zone of the fleet at a time, with as many VMs as the budgets allow.
     ZoneByZone,
 }
 
@@ -48,10 +48,9 @@
         }
     }
 
-    /// Returns the tuning of the placement beside it.
+    /// Returns the tuning of the placement decisions that run with this policy.
     ///
-    /// Baselines place as the decisions in use do, also on maintained VMs first, but do not know
-    /// which VMs to keep free.
+    /// Baselines place jobs as the decisions in use do, but without cordoned VMs.
     #[must_use]
     pub fn tuning(self, state: &FleetState) -> Tuning {
         let tuning = Tuning::new(state.weights());
@@ -64,9 +63,9 @@
         }
     }
 
-    /// Returns the VMs to claim and for what.
+    /// Returns the VMs to claim, with their purposes.
     #[must_use]
-    pub fn claims(self, state: &FleetState, now_ms: u64) -> Vec<(VmName, ClaimPurpose)> {
+    pub fn plan_wave_claims(self, state: &FleetState, now_ms: u64) -> Vec<(VmName, ClaimPurpose)> {
         if self == Self::InUse {
             let plans = plan_claims(state, &self.tuning(state), now_ms);
             return plans
@@ -78,7 +77,7 @@
             return Vec::new();
         };
         let view = FleetView::new(state);
-        let fleet_zone = first_zone(&view, wave);
+        let fleet_zone = first_unfinished_zone(&view, wave);
         let claims = view.pools.iter().flat_map(|pool| match self {
             Self::ZoneByZone => batch(pool, wave, fleet_zone, u32::MAX),
             Self::OneAtATime if pool.state.claimed_zones.is_empty() => batch(pool, wave, None, 1),
@@ -95,8 +94,8 @@
     vm.phase == VmPhase::Live && vm.claim.is_none() && is_due(wave, vm)
 }
 
-/// Returns the first zone in which a VM is due or claimed.
-fn first_zone<'a>(view: &FleetView<'a>, wave: &WaveState) -> Option<&'a ZoneName> {
+/// Returns the first availability zone in which a VM is due or claimed.
+fn first_unfinished_zone<'a>(view: &FleetView<'a>, wave: &WaveState) -> Option<&'a ZoneName> {
     view.state
         .vms()
         .iter()
@@ -105,7 +104,7 @@
         .min()
 }
 
-/// Claims up to `limit` VMs of one zone, as many as the budget has room for.
+/// Plans claims of up to `limit` VMs in one availability zone, as many as the budget allows.
 fn batch(
     pool: &PoolView<'_>,
     wave: &WaveState,
@@ -131,18 +130,18 @@
         .collect()
 }
 
-/// How jobs are placed.
+/// Policy that places jobs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PlacePolicy {
+pub enum PlacementPolicy {
     /// The decisions in use.
     InUse,
-    /// The first VM with room.
+    /// The first VM with enough free capacity.
     FirstFit,
-    /// The VM with the fewest attempts.
+    /// The VM with enough free capacity that runs the fewest attempts.
     SpreadOnly,
 }
 
-impl PlacePolicy {
+impl PlacementPolicy {
     /// Every policy.
     pub const ALL: [Self; 3] = [Self::InUse, Self::FirstFit, Self::SpreadOnly];
 
@@ -156,67 +155,75 @@
         }
     }
 
-    /// Returns the starts and stops of one round.
+    /// Plans the starts and stops of one round.
     #[must_use]
     pub fn plan(self, state: &FleetState, now_ms: u64) -> PlacementPlan {
         if self == Self::InUse {
-            return plan_placements(state, &Tuning::new(state.weights()), now_ms, MAX_STARTS);
+            return plan_placements(
+                state,
+                &Tuning::new(state.weights()),
+                now_ms,
+                MAX_STARTS_PER_ROUND,
+            );
         }
-        let mut waiting: Vec<&JobState> = state
+        let mut pending: Vec<&JobState> = state
             .jobs()
             .iter()
             .filter(|job| job.phase == JobPhase::Pending)
             .collect();
-        waiting.sort_by_key(|job| (job.spec.class, job.pending_since_ms));
+        pending.sort_by_key(|job| (job.spec.class, job.pending_since_ms));
         let view = FleetView::new(state);
-        let mut free: Vec<Vec<Room<'_>>> =
-            view.pools.iter().map(|pool| rooms(pool, now_ms)).collect();
+        let mut capacities: Vec<Vec<FreeCapacity<'_>>> = view
+            .pools
+            .iter()
+            .map(|pool| free_capacities(pool, now_ms))
+            .collect();
         let mut plan = PlacementPlan::default();
-        for job in waiting {
+        for job in pending {
             let Some(pool) = view.pool_index(job.spec.pool.as_str()) else {
                 continue;
             };
-            plan.starts.extend(self.start(job, &mut free[pool]));
-            if plan.starts.len() >= MAX_STARTS {
+            plan.starts.extend(self.place(job, &mut capacities[pool]));
+            if plan.starts.len() >= MAX_STARTS_PER_ROUND {
                 break;
             }
         }
         plan
     }
 
-    fn start(self, job: &JobState, rooms: &mut [Room<'_>]) -> Option<Placement> {
+    fn place(self, job: &JobState, capacities: &mut [FreeCapacity<'_>]) -> Option<Placement> {
         let reserved = job.spec.demand;
-        let fitting = rooms.iter_mut().filter(|room| reserved.fits(&room.free));
-        let room = match self {
-            Self::SpreadOnly => fitting.min_by_key(|room| room.attempts),
+        let fitting = capacities.iter_mut().filter(|vm| reserved.fits(&vm.free));
+        let vm = match self {
+            Self::SpreadOnly => fitting.min_by_key(|vm| vm.attempts),
             Self::InUse | Self::FirstFit => fitting.into_iter().next(),
         }?;
-        room.free = room.free.minus(&reserved);
-        room.attempts += 1;
+        vm.free = vm.free.minus(&reserved);
+        vm.attempts += 1;
         Some(Placement {
             job: JobName::clone(&job.spec.name),
             attempt: job.attempts + 1,
-            vm: room.vm.clone(),
+            vm: vm.name.clone(),
             reserved,
             reason: PlacementReason::Packed,
         })
     }
 }
 
-/// Room on a VM during one round of a baseline.
-struct Room<'a> {
-    vm: &'a VmName,
+/// Free capacity of a VM during one round of a baseline.
+struct FreeCapacity<'a> {
+    name: &'a VmName,
     free: Resources,
     attempts: usize,
 }
 
-fn rooms<'a>(pool: &PoolView<'a>, now_ms: u64) -> Vec<Room<'a>> {
+fn free_capacities<'a>(pool: &PoolView<'a>, now_ms: u64) -> Vec<FreeCapacity<'a>> {
     pool.vms
         .iter()
         .copied()
         .filter(|vm| vm.is_available() && vm.quarantined_until_ms <= now_ms)
-        .map(|vm| Room {
-            vm: &vm.name,
+        .map(|vm| FreeCapacity {
+            name: &vm.name,
             free: vm.free(),
             attempts: vm.attempts.len(),
         })
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of one pair of policies over the inputs of one seed.
+//! Run of one policy over the inputs of one seed.
 
 use {
     crate::{
@@ -6,7 +6,7 @@
         executor::{BudgetBreaches, advance_claims},
         inputs::{Inputs, Workload},
         measures::{Measures, percentile},
-        policies::{PlacePolicy, WavePolicy},
+        policies::{PlacementPolicy, WavePolicy},
         profile::Profile,
         simulation::{Simulation, parse_index, pool_budget},
     },
@@ -18,22 +18,22 @@
     std::time::{Duration, Instant},
 };
 
-/// Milliseconds of an hour.
+/// One hour, in milliseconds.
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// Starts planned in one round at most.
-const MAX_STARTS: usize = 256;
+/// Maximum starts planned in one round.
+const MAX_STARTS_PER_ROUND: usize = 256;
 
-/// What a run decides by.
+/// Policy under test in a run.
 #[derive(Clone, Copy, Debug)]
 pub enum RunPolicy {
-    /// A wave runs under this policy.
+    /// Claims VMs for a wave by this policy; placements are those in use.
     Wave(WavePolicy),
-    /// Jobs are placed by this policy, without a wave.
-    Place(PlacePolicy),
+    /// Places jobs by this policy, without a wave.
+    Placement(PlacementPolicy),
 }
 
-/// A run under way.
+/// A run in progress.
 #[derive(Debug)]
 pub struct Run<'a> {
     simulation: Simulation<'a>,
@@ -43,12 +43,12 @@
     breaches: BudgetBreaches,
     buffer_vm_ms: f64,
     decision_time: Duration,
-    done_ms: Option<u64>,
+    completed_ms: Option<u64>,
     drain_bound_ms: u64,
 }
 
 impl<'a> Run<'a> {
-    /// Prepares a run.
+    /// Creates a run at its start.
     #[must_use]
     pub fn new(
         profile: &'a Profile,
@@ -64,42 +64,42 @@
             breaches: BudgetBreaches::default(),
             buffer_vm_ms: 0.0,
             decision_time: Duration::ZERO,
-            done_ms: None,
+            completed_ms: None,
             drain_bound_ms: 0,
         }
     }
 
-    /// Runs to the end of the wave, or of the arrivals without one.
+    /// Runs until the wave is complete or the time of arrivals is over, and returns the measures.
     #[must_use]
     pub fn run(mut self) -> Measures {
         let end_ms = self.workload.warm_up_ms + self.workload.arrivals_ms;
-        let mut has_started = false;
-        while self.simulation.now_ms < end_ms && self.done_ms.is_none() {
+        let mut has_started_wave = false;
+        while self.simulation.now_ms < end_ms && self.completed_ms.is_none() {
             self.simulation.now_ms += self.profile.step_ms;
             self.simulation.advance();
             if let RunPolicy::Wave(policy) = self.policy
                 && self.simulation.now_ms >= self.workload.warm_up_ms
             {
-                if !has_started {
+                if !has_started_wave {
                     self.drain_bound_ms = drain_bound_ms(&self.simulation);
                     self.simulation.start_wave(self.profile);
-                    has_started = true;
+                    has_started_wave = true;
                 }
-                self.claim(policy);
+                self.claim_vms(policy);
                 self.measure_wave(policy);
             }
             let obeys_halts = matches!(self.policy, RunPolicy::Wave(WavePolicy::InUse));
             advance_claims(&mut self.simulation, &mut self.breaches, obeys_halts);
-            self.place();
+            self.place_jobs();
         }
-        self.measures()
+        self.into_measures()
     }
 
-    fn claim(&mut self, policy: WavePolicy) {
+    fn claim_vms(&mut self, policy: WavePolicy) {
         let clock_ms = self.simulation.clock_ms();
-        let began = Instant::now();
-        let claims = policy.claims(&self.simulation.state, clock_ms);
-        self.decision_time += began.elapsed();
+        let start = Instant::now();
+        let claims = policy.plan_wave_claims(&self.simulation.state, clock_ms);
+        self.decision_time += start.elapsed();
         for (vm, purpose) in claims {
             self.simulation.probe_pool(vm.as_str());
             let verdict = self.simulation.submit(RecordBody::Claim {
@@ -113,20 +113,25 @@
         }
     }
 
-    fn place(&mut self) {
+    fn place_jobs(&mut self) {
         let clock_ms = self.simulation.clock_ms();
-        let began = Instant::now();
+        let start = Instant::now();
         let plan = match self.policy {
-            RunPolicy::Place(policy) => policy.plan(&self.simulation.state, clock_ms),
+            RunPolicy::Placement(policy) => policy.plan(&self.simulation.state, clock_ms),
             RunPolicy::Wave(policy) => {
                 let tuning = policy.tuning(&self.simulation.state);
-                plan_placements(&self.simulation.state, &tuning, clock_ms, MAX_STARTS)
+                plan_placements(
+                    &self.simulation.state,
+                    &tuning,
+                    clock_ms,
+                    MAX_STARTS_PER_ROUND,
+                )
             }
         };
         let give_ups = plan_give_ups(&self.simulation.state, clock_ms);
         let quarantines = plan_quarantines(&self.simulation.state);
-        self.decision_time += began.elapsed();
-        self.carry_out(plan);
+        self.decision_time += start.elapsed();
+        self.apply_plan(plan);
         for plan in give_ups {
             self.simulation.submit(RecordBody::GiveUp {
                 job: plan.job,
@@ -141,7 +146,7 @@
         }
     }
 
-    fn carry_out(&mut self, plan: PlacementPlan) {
+    fn apply_plan(&mut self, plan: PlacementPlan) {
         for stop in plan.stops {
             let job = parse_index(stop.job.as_str());
             let verdict = self.simulation.submit(RecordBody::Stop {
@@ -177,45 +182,47 @@
         let state = &self.simulation.state;
         let claimed = state.vms().iter().filter(|vm| vm.claim.is_some()).count();
         let tuning = policy.tuning(state);
-        let held_back = held_back(state, &tuning, self.simulation.clock_ms());
+        let cordoned_capacity = cordoned_capacity(state, &tuning, self.simulation.clock_ms());
         #[expect(clippy::cast_precision_loss, reason = "counts and steps are small")]
-        let step_vm_ms = (claimed as f64 + held_back) * self.profile.step_ms as f64;
+        let step_vm_ms = (claimed as f64 + cordoned_capacity) * self.profile.step_ms as f64;
         self.buffer_vm_ms += step_vm_ms;
         let is_done = state.waves().first().is_some_and(|wave| {
             let mut vms = state.vms().iter();
             vms.all(|vm| vm.maintained_ms >= wave.spec.due_before_ms && vm.claim.is_none())
         });
         if is_done {
-            self.done_ms = Some(self.simulation.now_ms);
+            self.completed_ms = Some(self.simulation.now_ms);
         }
     }
 
-    fn measures(self) -> Measures {
+    fn into_measures(self) -> Measures {
         let jobs = self.simulation.state.jobs();
-        let lost = jobs.iter().filter(|job| self.is_lost(job)).count();
-        let completed = jobs
+        let lost_jobs = jobs.iter().filter(|job| self.is_lost_job(job)).count();
+        let completed_jobs = jobs
             .iter()
             .filter(|job| job.phase == JobPhase::Succeeded)
             .count();
-        let mut urgent = self.start_delays(|class| class == Class::Urgent);
-        let all = self.start_delays(|class| class != Class::Urgent);
+        let mut urgent_delays_ms = self.start_delays_ms(|class| class == Class::Urgent);
+        let other_delays_ms = self.start_delays_ms(|class| class != Class::Urgent);
         let mut measures = Measures {
             profile: self.profile.name.as_str(),
             job_moves: Some(self.simulation.job_moves),
-            lost_jobs: Some(lost as u64),
+            lost_jobs: Some(lost_jobs as u64),
             doubled_starts: Some(self.simulation.ground_truth.duplicate_starts),
-            completed_jobs: Some(completed as u64),
-            urgent_start_p99_s: Some(seconds(percentile(&mut urgent, 99))),
-            start_mean_s: Some(seconds(all.iter().sum::<u64>() / all.len().max(1) as u64)),
+            completed_jobs: Some(completed_jobs as u64),
+            urgent_start_p99_s: Some(seconds(percentile(&mut urgent_delays_ms, 99))),
+            start_mean_s: Some(seconds(
+                other_delays_ms.iter().sum::<u64>() / other_delays_ms.len().max(1) as u64,
+            )),
             decision_cpu_ms: self.decision_time.as_secs_f64() * 1_000.0,
             ..Measures::default()
         };
         if let RunPolicy::Wave(_) = self.policy {
-            let end_ms = self.done_ms.unwrap_or(self.simulation.now_ms);
+            let end_ms = self.completed_ms.unwrap_or(self.simulation.now_ms);
             measures.roll_out_s = Some((end_ms - self.workload.warm_up_ms) / 1_000);
             let bound_ms = roll_out_bound_ms(self.profile, self.simulation.inputs);
             measures.roll_out_bound_s = Some(bound_ms.max(self.drain_bound_ms) / 1_000);
-            measures.is_complete = Some(self.done_ms.is_some());
+            measures.is_complete = Some(self.completed_ms.is_some());
             measures.budget_breaches = Some(self.breaches.count);
             measures.buffer_vm_hours = Some(self.buffer_vm_ms / HOUR_MS);
             measures.vm_moves = Some(self.simulation.vm_moves);
@@ -223,39 +230,40 @@
         measures
     }
 
-    fn is_lost(&self, job: &JobState) -> bool {
+    fn is_lost_job(&self, job: &JobState) -> bool {
         let input = &self.simulation.inputs.jobs[parse_index(job.spec.name.as_str())];
         job.phase == JobPhase::GivenUp && !input.always_fails && !input.is_unplaceable
     }
 
-    /// Returns how long jobs waited for their first start, up to now for those that still do.
-    fn start_delays(&self, of: impl Fn(Class) -> bool) -> Vec<u64> {
+    /// Returns how long the jobs of some classes have waited for their first start until now.
+    fn start_delays_ms(&self, has_class: impl Fn(Class) -> bool) -> Vec<u64> {
         let jobs = self
             .simulation
             .inputs
             .jobs
             .iter()
             .zip(&self.simulation.ground_truth.jobs);
-        jobs.filter(|(input, _)| of(input.class) && input.arrival_ms < self.simulation.now_ms)
-            .filter(|(input, _)| !input.is_unplaceable && input.cancel_ms.is_none())
-            .map(|(input, progress)| {
-                let start_ms = progress.first_start_ms.unwrap_or(self.simulation.now_ms);
-                start_ms.saturating_sub(input.arrival_ms)
-            })
-            .collect()
+        jobs.filter(|(input, _)| {
+            has_class(input.class) && input.arrival_ms < self.simulation.now_ms
+        })
+        .filter(|(input, _)| !input.is_unplaceable && input.cancel_ms.is_none())
+        .map(|(input, progress)| {
+            let start_ms = progress.first_start_ms.unwrap_or(self.simulation.now_ms);
+            start_ms.saturating_sub(input.arrival_ms)
+        })
+        .collect()
     }
 }
 
-/// Returns the capacity that is kept free of work that waits for it, in VMs.
+/// Returns the capacity that cordons withhold from pending jobs, in VMs.
 ///
-/// A VM kept free of new starts costs its free share for as long as a waiting job of its pool
-/// would fit on it.
-fn held_back(state: &FleetState, tuning: &Tuning, now_ms: u64) -> f64 {
+/// A cordoned VM counts with its share of free cores if a pending job of its pool would fit on it.
+fn cordoned_capacity(state: &FleetState, tuning: &Tuning, now_ms: u64) -> f64 {
     let cordoned = cordoned_vms(state, tuning, now_ms);
     if cordoned.is_empty() {
         return 0.0;
     }
-    let waiting: Vec<&JobState> = state
+    let pending: Vec<&JobState> = state
         .jobs()
         .iter()
         .filter(|job| job.phase == JobPhase::Pending)
@@ -265,7 +273,7 @@
         .filter_map(|name| state.vms().get(name.as_str()))
         .filter(|vm| {
             let free = vm.free();
-            waiting.iter().any(|job| {
+            pending.iter().any(|job| {
                 job.spec.pool == vm.pool && lynxwheel_decisions::estimate_demand(job).fits(&free)
             })
         })
