--- a/crates/experiment/src/args.rs
+++ b/crates/experiment/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments of an experiment and its execution.
+//! Command-line arguments and execution of the experiments.
 
 use {
     crate::{
@@ -18,13 +18,14 @@
     },
 };
 
-/// Exit code when results could not be written.
+/// Exit code if there are no results or they cannot be written.
 const EXIT_OUTPUT: u8 = 1;
 
-/// Length of a step in the placement experiment, in milliseconds: starts are measured in it.
+/// Length of a step in the placement experiment, in milliseconds, which limits the precision of
+/// start delays.
 const PLACEMENT_STEP_MS: u64 = 1_000;
 
-/// Milliseconds of an hour.
+/// One hour, in milliseconds.
 const HOUR_MS: u64 = 3_600_000;
 
 /// What is tried out.
@@ -73,14 +74,14 @@
     pub plot: Option<PathBuf>,
 }
 
-/// Runs an experiment and prints its results.
+/// Runs an experiment and prints its results as JSON lines.
 #[must_use]
 pub fn execute(args: &ExperimentArgs) -> ExitCode {
     let mut rows = Vec::new();
     for seed in args.seed..args.seed.saturating_add(args.seeds) {
         for row in run_seed(args, seed) {
-            if let Err(problem) = print(&row) {
-                eprintln!("cannot write the results: {problem}");
+            if let Err(error) = print_row(&row) {
+                eprintln!("cannot write the results: {error}");
                 return ExitCode::from(EXIT_OUTPUT);
             }
             rows.push(row);
@@ -91,35 +92,35 @@
         return ExitCode::from(EXIT_OUTPUT);
     }
     if let Some(path) = &args.plot
-        && let Err(problem) = plot::draw(path, &rows)
+        && let Err(error) = plot::draw_svg(path, &rows)
     {
-        eprintln!("cannot draw {}: {problem}", path.display());
+        eprintln!("cannot draw {}: {error}", path.display());
         return ExitCode::from(EXIT_OUTPUT);
     }
     ExitCode::SUCCESS
 }
 
-fn print(row: &Measures) -> io::Result<()> {
+fn print_row(row: &Measures) -> io::Result<()> {
     let line = serde_json::to_string(row)?;
     let mut out = io::stdout().lock();
     writeln!(out, "{line}")
 }
 
-/// Runs the policies asked for on the inputs of one seed.
+/// Runs the selected policies on the inputs of one seed.
 #[must_use]
 pub fn run_seed(args: &ExperimentArgs, seed: u64) -> Vec<Measures> {
     let mut profile = Profile::new(args.profile);
     if args.name == ExperimentName::Placement {
         profile.step_ms = PLACEMENT_STEP_MS;
     }
-    let is_wanted = |name: &str| args.policy.as_deref().is_none_or(|policy| policy == name);
+    let is_selected = |name: &str| args.policy.as_deref().is_none_or(|policy| policy == name);
     let workload = workload(args.name, args.profile);
     let mut rows = match args.name {
         ExperimentName::Waves => {
             let inputs = Inputs::new(&profile, &workload, seed);
             let policies = WavePolicy::ALL.into_iter();
             policies
-                .filter(|policy| is_wanted(policy.as_str()))
+                .filter(|policy| is_selected(policy.as_str()))
                 .map(|policy| Measures {
                     policy: policy.as_str(),
                     ..Run::new(&profile, &workload, &inputs, RunPolicy::Wave(policy)).run()
@@ -130,7 +131,7 @@
             let inputs = Inputs::new(&profile, &workload, seed);
             let policies = PlacementPolicy::ALL.into_iter();
             policies
-                .filter(|policy| is_wanted(policy.as_str()))
+                .filter(|policy| is_selected(policy.as_str()))
                 .map(|policy| Measures {
                     policy: policy.as_str(),
                     ..Run::new(&profile, &workload, &inputs, RunPolicy::Placement(policy)).run()
@@ -139,7 +140,7 @@
         }
         ExperimentName::Routing => routing::run(&profile, seed)
             .into_iter()
-            .filter(|row| is_wanted(row.policy))
+            .filter(|row| is_selected(row.policy))
             .collect(),
     };
     for row in &mut rows {
--- a/crates/experiment/src/inputs.rs
+++ b/crates/experiment/src/inputs.rs
@@ -137,8 +137,8 @@
         let count = rng.random_range(profile.min_pool_vms..=profile.max_pool_vms);
         for member in 0..count {
             let index = vms.len();
-            let has_accelerators =
-                profile.accelerated_every > 0 && index.is_multiple_of(profile.accelerated_every);
+            let has_accelerators = profile.accelerator_interval > 0
+                && index.is_multiple_of(profile.accelerator_interval);
             let region = pool % (profile.zones / ZONES_PER_REGION);
             let zone = region * ZONES_PER_REGION + (pool + member) % ZONES_PER_REGION;
             let rack = built[zone] / VMS_PER_RACK * profile.zones + zone;
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,8 +1,8 @@
-//! Seeded experiments that judge the decisions of lynxwheel against baselines.
+//! Seeded experiments that compare the decisions of lynxwheel with baselines.
 //!
-//! A small step loop calls the real decision functions and the real fold. Faults, wrong
-//! declarations and late observation come from the inputs of a seed, which are the same for every
-//! policy; the results are counted from the truth, not from what a policy believes.
+//! A simulation calls the production decision functions and fleet state. Faults and wrong
+//! declarations are drawn from a seed and are identical for every policy. The measures are counted
+//! from the ground truth, which the fleet state follows with a delay.
 
 mod args;
 mod bound;
--- a/crates/experiment/src/plot.rs
+++ b/crates/experiment/src/plot.rs
@@ -1,4 +1,4 @@
-//! Drawing of results by seed.
+//! Plots of results by seed.
 
 use {
     crate::measures::Measures,
@@ -9,34 +9,34 @@
     std::{error::Error, path::Path},
 };
 
-/// Size of a drawing in pixels.
-const SIZE: (u32, u32) = (900, 500);
+/// Width and height of a plot, in pixels.
+const SIZE_PX: (u32, u32) = (900, 500);
 
-/// Colours of the policies in order.
+/// Colours of the policies, in order.
 const COLOURS: [RGBColor; 4] = [RED, BLUE, GREEN, BLACK];
 
-/// Draws the main measure of each policy by seed.
+/// Draws the main measure of each policy by seed into an SVG file.
 ///
 /// # Errors
 ///
-/// Fails when the file cannot be written.
-pub fn draw(path: &Path, rows: &[Measures]) -> Result<(), Box<dyn Error>> {
+/// Returns an error if the file cannot be written.
+pub fn draw_svg(path: &Path, rows: &[Measures]) -> Result<(), Box<dyn Error>> {
     let mut policies: Vec<&str> = Vec::new();
     for row in rows {
         if !policies.contains(&row.policy) {
             policies.push(row.policy);
         }
     }
-    let highest = rows.iter().map(main_measure).fold(1.0, f64::max);
-    let first = rows.iter().map(|row| row.seed).min().unwrap_or(0);
-    let last = rows.iter().map(|row| row.seed).max().unwrap_or(0) + 1;
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let max_measure = rows.iter().map(main_measure).fold(1.0, f64::max);
+    let first_seed = rows.iter().map(|row| row.seed).min().unwrap_or(0);
+    let end_seed = rows.iter().map(|row| row.seed).max().unwrap_or(0) + 1;
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(20)
         .x_label_area_size(40)
         .y_label_area_size(70)
-        .build_cartesian_2d(first..last, 0.0..highest * 1.05)?;
+        .build_cartesian_2d(first_seed..end_seed, 0.0..max_measure * 1.05)?;
     chart
         .configure_mesh()
         .x_desc("seed")
@@ -50,7 +50,9 @@
         chart
             .draw_series(LineSeries::new(points, &colour))?
             .label(*policy)
-            .legend(move |at| PathElement::new(vec![at, (at.0 + 20, at.1)], colour));
+            .legend(move |position| {
+                PathElement::new(vec![position, (position.0 + 20, position.1)], colour)
+            });
     }
     chart.configure_series_labels().border_style(BLACK).draw()?;
     area.present()?;
--- a/crates/experiment/src/profile.rs
+++ b/crates/experiment/src/profile.rs
@@ -1,4 +1,4 @@
-//! Sizes of the fleets that experiments run on.
+//! Fleet profiles of the experiments.
 
 use {
     clap::ValueEnum,
@@ -28,33 +28,33 @@
     }
 }
 
-/// Size of a fleet and how its customer weighs the measures.
+/// Size of a fleet and its operator's weights.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// Name.
+    /// Name of the profile.
     pub name: ProfileName,
-    /// Weights.
+    /// Weights of roll-out time, buffer and moves.
     pub weights: Weights,
-    /// Pools.
+    /// Number of pools.
     pub pools: usize,
-    /// Smallest pool.
+    /// Minimum size of a pool.
     pub min_pool_vms: usize,
-    /// Largest pool.
+    /// Maximum size of a pool.
     pub max_pool_vms: usize,
-    /// Zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Teams.
+    /// Number of teams.
     pub teams: usize,
-    /// What a VM offers.
+    /// Resources of a VM, without accelerators.
     pub capacity: Resources,
-    /// One VM in so many has accelerators; 0 for none.
-    pub accelerated_every: usize,
-    /// Length of a step, in milliseconds.
+    /// Every n-th VM has accelerators; 0 for none.
+    pub accelerator_interval: usize,
+    /// Length of a simulation step, in milliseconds.
     pub step_ms: u64,
 }
 
 impl Profile {
-    /// Returns the fleet called `name`.
+    /// Returns the profile with this name.
     #[must_use]
     pub fn new(name: ProfileName) -> Self {
         match name {
@@ -67,7 +67,7 @@
                 zones: 3,
                 teams: 5,
                 capacity: capacity(16, 64),
-                accelerated_every: 0,
+                accelerator_interval: 0,
                 step_ms: 1_000,
             },
             ProfileName::Recarga => Self {
@@ -84,7 +84,7 @@
                 zones: 12,
                 teams: 270,
                 capacity: capacity(32, 128),
-                accelerated_every: 2,
+                accelerator_interval: 2,
                 step_ms: 5_000,
                 ..Self::new(ProfileName::Tamsui)
             },
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -236,22 +236,20 @@
     }
 
     /// Returns how long the jobs of some classes have waited for their first start until now.
-    fn start_delays_ms(&self, has_class: impl Fn(Class) -> bool) -> Vec<u64> {
+    fn start_delays_ms(&self, filter: impl Fn(Class) -> bool) -> Vec<u64> {
         let jobs = self
             .simulation
             .inputs
             .jobs
             .iter()
             .zip(&self.simulation.ground_truth.jobs);
-        jobs.filter(|(input, _)| {
-            has_class(input.class) && input.arrival_ms < self.simulation.now_ms
-        })
-        .filter(|(input, _)| !input.is_unplaceable && input.cancel_ms.is_none())
-        .map(|(input, progress)| {
-            let start_ms = progress.first_start_ms.unwrap_or(self.simulation.now_ms);
-            start_ms.saturating_sub(input.arrival_ms)
-        })
-        .collect()
+        jobs.filter(|(input, _)| filter(input.class) && input.arrival_ms < self.simulation.now_ms)
+            .filter(|(input, _)| !input.is_unplaceable && input.cancel_ms.is_none())
+            .map(|(input, progress)| {
+                let start_ms = progress.first_start_ms.unwrap_or(self.simulation.now_ms);
+                start_ms.saturating_sub(input.arrival_ms)
+            })
+            .collect()
     }
 }
 
