--- a/crates/experiment/src/plot.rs
+++ b/crates/experiment/src/plot.rs
@@ -50,9 +50,7 @@
         chart
             .draw_series(LineSeries::new(points, &colour))?
             .label(*policy)
-            .legend(move |position| {
-                PathElement::new(vec![position, (position.0 + 20, position.1)], colour)
-            });
+            .legend(move |xy| PathElement::new(vec![xy, (xy.0 + 20, xy.1)], colour));
     }
     chart.configure_series_labels().border_style(BLACK).draw()?;
     area.present()?;
