--- a/crates/experiment/src/measures.rs
+++ b/crates/experiment/src/measures.rs
@@ -39,8 +39,8 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lost_jobs: Option<u64>,
     /// Starts of an attempt that had run before, or while another attempt of its job was running.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub doubled_starts: Option<u64>,
+    #[serde(rename = "doubled_starts", skip_serializing_if = "Option::is_none")]
+    pub duplicate_starts: Option<u64>,
     /// Jobs that succeeded.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub completed_jobs: Option<u64>,
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -208,7 +208,7 @@
             profile: self.profile.name.as_str(),
             job_moves: Some(self.simulation.job_moves),
             lost_jobs: Some(lost_jobs as u64),
-            doubled_starts: Some(self.simulation.ground_truth.duplicate_starts),
+            duplicate_starts: Some(self.simulation.ground_truth.duplicate_starts),
             completed_jobs: Some(completed_jobs as u64),
             urgent_start_p99_s: Some(seconds(percentile(&mut urgent_delays_ms, 99))),
             start_mean_s: Some(seconds(
