--- a/crates/experiment/src/routing.rs
+++ b/crates/experiment/src/routing.rs
@@ -1,4 +1,4 @@
-//! Requests over endpoints with few slots, shared by nodes that do not see each other's requests.
+//! Routing of requests to endpoints with few slots by nodes with delayed knowledge of each other.
 
 use {
     crate::{
@@ -19,39 +19,39 @@
     },
 };
 
-/// Nodes that route.
+/// Number of nodes that route requests.
 const NODES: usize = 9;
 
-/// Endpoints of the service.
+/// Number of endpoints of the service.
 const ENDPOINTS: usize = 10;
 
-/// Requests that an endpoint serves at once.
-const SLOTS: u32 = 8;
+/// Maximum concurrent requests of an endpoint.
+const SLOTS_PER_ENDPOINT: u32 = 8;
 
-/// Requests of a run.
+/// Number of requests in a run.
 const REQUESTS: usize = 20_000;
 
-/// Mean time between requests, in milliseconds: three quarters of the slots are busy.
-const GAP_MS: u64 = 2;
+/// Mean time between arrivals, in milliseconds.
+const MEAN_ARRIVAL_GAP_MS: u64 = 2;
 
-/// Age of what a node knows of the other nodes' requests, in milliseconds.
-const EXCHANGE_MS: u64 = 50;
+/// Interval at which nodes exchange their request counts, in milliseconds.
+const EXCHANGE_INTERVAL_MS: u64 = 50;
 
-/// Time after which a request that found no slot tries again, in milliseconds.
-const RETRY_MS: u64 = 2;
+/// Delay before the next attempt of a request that found no free slot, in milliseconds.
+const RETRY_DELAY_MS: u64 = 2;
 
-/// How an endpoint is chosen.
+/// Policy that selects an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Routing {
-    /// The decision in use: a node takes slots of its own share only.
+enum RoutingPolicy {
+    /// The decision in use: the least loaded endpoint within the node's share of the slots.
     InUse,
-    /// Any endpoint.
+    /// A random endpoint.
     Random,
-    /// The one with the fewest requests of the node and of its peers, as they last told.
+    /// The endpoint with the fewest requests of the node and its peers, as last exchanged.
     LocalLeastLoaded,
 }
 
-impl Routing {
+impl RoutingPolicy {
     const ALL: [Self; 3] = [Self::InUse, Self::Random, Self::LocalLeastLoaded];
 
     fn as_str(self) -> &'static str {
@@ -63,69 +63,71 @@
     }
 }
 
-/// A request that waits to be sent.
+/// A request that is waiting to be sent.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Waiting {
+struct WaitingRequest {
     next_ms: u64,
-    number: usize,
+    sequence: usize,
     arrived_ms: u64,
     node: usize,
-    serves_ms: u64,
+    service_ms: u64,
 }
 
-/// A request in progress.
+/// A request in progress on an endpoint.
 #[derive(Clone, Copy, Debug)]
-struct Busy {
+struct ActiveRequest {
     endpoint: usize,
     node: usize,
-    ends_ms: u64,
+    end_ms: u64,
 }
 
-/// Endpoints as they are and as the nodes see them.
-struct Endpoints {
-    busy: Vec<Busy>,
-    exchanged: Vec<[u32; NODES]>,
+/// Actual load of the endpoints, and the loads as last exchanged between the nodes.
+struct EndpointLoads {
+    active: Vec<ActiveRequest>,
+    exchanged_counts: Vec<[u32; NODES]>,
     exchanged_ms: u64,
 }
 
-impl Endpoints {
+impl EndpointLoads {
     fn new() -> Self {
         Self {
-            busy: Vec::new(),
-            exchanged: vec![[0; NODES]; ENDPOINTS],
+            active: Vec::new(),
+            exchanged_counts: vec![[0; NODES]; ENDPOINTS],
             exchanged_ms: 0,
         }
     }
 
     fn advance(&mut self, now_ms: u64) {
-        self.busy.retain(|busy| busy.ends_ms > now_ms);
-        if now_ms < self.exchanged_ms + EXCHANGE_MS {
+        self.active.retain(|request| request.end_ms > now_ms);
+        if now_ms < self.exchanged_ms + EXCHANGE_INTERVAL_MS {
             return;
         }
         self.exchanged_ms = now_ms;
-        self.exchanged = vec![[0; NODES]; ENDPOINTS];
-        for busy in &self.busy {
-            self.exchanged[busy.endpoint][busy.node] += 1;
+        self.exchanged_counts = vec![[0; NODES]; ENDPOINTS];
+        for request in &self.active {
+            self.exchanged_counts[request.endpoint][request.node] += 1;
         }
     }
 
-    fn own(&self, endpoint: usize, node: usize) -> u32 {
-        let busy = self.busy.iter();
-        let count = busy
-            .filter(|busy| busy.endpoint == endpoint && busy.node == node)
+    fn own_count(&self, endpoint: usize, node: usize) -> u32 {
+        let active = self.active.iter();
+        let count = active
+            .filter(|request| request.endpoint == endpoint && request.node == node)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    fn all(&self, endpoint: usize) -> u32 {
-        let busy = self.busy.iter();
-        let count = busy.filter(|busy| busy.endpoint == endpoint).count();
+    fn total_count(&self, endpoint: usize) -> u32 {
+        let active = self.active.iter();
+        let count = active
+            .filter(|request| request.endpoint == endpoint)
+            .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Returns what the peers of `node` told of their requests on an endpoint.
-    fn peers(&self, endpoint: usize, node: usize) -> u32 {
-        let counts = self.exchanged[endpoint].iter().enumerate();
+    /// Returns the requests of the peers of `node` on an endpoint, as last exchanged.
+    fn peer_count(&self, endpoint: usize, node: usize) -> u32 {
+        let counts = self.exchanged_counts[endpoint].iter().enumerate();
         counts
             .filter(|(peer, _)| *peer != node)
             .map(|(_, count)| count)
@@ -133,7 +135,7 @@
     }
 }
 
-/// Names and shares, which stay the same for a run.
+/// Names and slot shares, which are constant during a run.
 struct Layout {
     vms: Vec<VmName>,
     zones: Vec<ZoneName>,
@@ -150,7 +152,7 @@
             .collect();
         let shares = vms
             .iter()
-            .map(|vm| slot_shares(vm, &nodes, SLOTS))
+            .map(|vm| slot_shares(vm, &nodes, SLOTS_PER_ENDPOINT))
             .collect();
         Self {
             vms,
@@ -161,13 +163,13 @@
         }
     }
 
-    fn views(&self, endpoints: &Endpoints, node: usize) -> Vec<EndpointView<'_>> {
+    fn views(&self, endpoints: &EndpointLoads, node: usize) -> Vec<EndpointView<'_>> {
         let view = |index: usize| EndpointView {
             vm: &self.vms[index],
             zone: &self.zones[index % self.zones.len()],
-            in_progress: endpoints.own(index, node),
-            peers_in_progress: endpoints.peers(index, node),
-            slots: SLOTS,
+            in_progress: endpoints.own_count(index, node),
+            peers_in_progress: endpoints.peer_count(index, node),
+            slots: SLOTS_PER_ENDPOINT,
             slot_share: self.shares[index][node],
         };
         (0..ENDPOINTS).map(view).collect()
@@ -177,93 +179,93 @@
 /// Runs every policy on the inputs of one seed.
 #[must_use]
 pub fn run(profile: &Profile, seed: u64) -> Vec<Measures> {
-    let policies = Routing::ALL.into_iter();
+    let policies = RoutingPolicy::ALL.into_iter();
     policies
         .map(|policy| run_policy(profile, seed, policy))
         .collect()
 }
 
-fn run_policy(profile: &Profile, seed: u64, policy: Routing) -> Measures {
+fn run_policy(profile: &Profile, seed: u64, policy: RoutingPolicy) -> Measures {
     let layout = Layout::new(profile);
-    let mut choices = ChaCha8Rng::seed_from_u64(!seed);
-    let mut waiting = arrivals(seed);
-    let mut endpoints = Endpoints::new();
+    let mut choice_rng = ChaCha8Rng::seed_from_u64(!seed);
+    let mut waiting = draw_arrivals(seed);
+    let mut endpoints = EndpointLoads::new();
     let mut refusals = 0;
-    let mut decisions = Duration::ZERO;
-    let mut times_ms = Vec::with_capacity(REQUESTS);
+    let mut decision_time = Duration::ZERO;
+    let mut request_times_ms = Vec::with_capacity(REQUESTS);
     while let Some(Reverse(mut request)) = waiting.pop() {
         endpoints.advance(request.next_ms);
         let views = layout.views(&endpoints, request.node);
         let route = RouteRequest {
             zone: &layout.zones[request.node % layout.zones.len()],
-            seed: choices.random(),
+            seed: choice_rng.random(),
         };
-        let began = Instant::now();
-        let chosen = choose(policy, &route, &views, &mut choices);
-        decisions += began.elapsed();
-        let is_full = |endpoint: &usize| endpoints.all(*endpoint) >= SLOTS;
-        refusals += u64::from(chosen.as_ref().is_some_and(is_full));
-        if let Some(endpoint) = chosen.filter(|endpoint| !is_full(endpoint)) {
-            let ends_ms = request.next_ms + request.serves_ms;
-            endpoints.busy.push(Busy {
+        let start = Instant::now();
+        let selected = select_endpoint(policy, &route, &views, &mut choice_rng);
+        decision_time += start.elapsed();
+        let is_full = |endpoint: &usize| endpoints.total_count(*endpoint) >= SLOTS_PER_ENDPOINT;
+        refusals += u64::from(selected.as_ref().is_some_and(is_full));
+        if let Some(endpoint) = selected.filter(|endpoint| !is_full(endpoint)) {
+            let end_ms = request.next_ms + request.service_ms;
+            endpoints.active.push(ActiveRequest {
                 endpoint,
                 node: request.node,
-                ends_ms,
+                end_ms,
             });
-            times_ms.push(ends_ms - request.arrived_ms);
+            request_times_ms.push(end_ms - request.arrived_ms);
         } else {
-            request.next_ms += RETRY_MS;
+            request.next_ms += RETRY_DELAY_MS;
             waiting.push(Reverse(request));
         }
     }
     #[expect(clippy::cast_precision_loss, reason = "milliseconds of a request")]
-    let request_p99_ms = percentile(&mut times_ms, 99) as f64;
+    let request_p99_ms = percentile(&mut request_times_ms, 99) as f64;
     Measures {
         profile: profile.name.as_str(),
         policy: policy.as_str(),
         overload_refusals: Some(refusals),
         request_p99_ms: Some(request_p99_ms),
-        decision_cpu_ms: decisions.as_secs_f64() * 1_000.0,
+        decision_cpu_ms: decision_time.as_secs_f64() * 1_000.0,
         ..Measures::default()
     }
 }
 
-/// Draws the requests of a seed.
-fn arrivals(seed: u64) -> BinaryHeap<Reverse<Waiting>> {
-    let mut inputs = ChaCha8Rng::seed_from_u64(seed);
+/// Draws the requests from a seed.
+fn draw_arrivals(seed: u64) -> BinaryHeap<Reverse<WaitingRequest>> {
+    let mut input_rng = ChaCha8Rng::seed_from_u64(seed);
     let mut now_ms = 0;
     let mut waiting = BinaryHeap::with_capacity(REQUESTS);
-    for number in 0..REQUESTS {
-        now_ms += inputs.random_range(0..=2 * GAP_MS);
-        waiting.push(Reverse(Waiting {
+    for sequence in 0..REQUESTS {
+        now_ms += input_rng.random_range(0..=2 * MEAN_ARRIVAL_GAP_MS);
+        waiting.push(Reverse(WaitingRequest {
             next_ms: now_ms,
-            number,
+            sequence,
             arrived_ms: now_ms,
-            node: inputs.random_range(0..NODES),
-            serves_ms: service_ms(&mut inputs),
+            node: input_rng.random_range(0..NODES),
+            service_ms: draw_service_ms(&mut input_rng),
         }));
     }
     waiting
 }
 
-fn choose(
-    policy: Routing,
+fn select_endpoint(
+    policy: RoutingPolicy,
     request: &RouteRequest<'_>,
     views: &[EndpointView<'_>],
-    choices: &mut ChaCha8Rng,
+    choice_rng: &mut ChaCha8Rng,
 ) -> Option<usize> {
     match policy {
-        Routing::InUse => least_loaded_in_share(request, views).endpoint,
-        Routing::Random => Some(choices.random_range(0..views.len())),
-        Routing::LocalLeastLoaded => least_loaded(request, views).endpoint,
+        RoutingPolicy::InUse => least_loaded_in_share(request, views).endpoint,
+        RoutingPolicy::Random => Some(choice_rng.random_range(0..views.len())),
+        RoutingPolicy::LocalLeastLoaded => least_loaded(request, views).endpoint,
     }
 }
 
-/// Draws the time that an endpoint takes, in milliseconds: mostly short, now and then long.
-fn service_ms(inputs: &mut ChaCha8Rng) -> u64 {
-    if inputs.random_range(0..20) == 0 {
-        inputs.random_range(400..1_200)
+/// Draws the service time of a request, in milliseconds, with an occasional long one.
+fn draw_service_ms(input_rng: &mut ChaCha8Rng) -> u64 {
+    if input_rng.random_range(0..20) == 0 {
+        input_rng.random_range(400..1_200)
     } else {
-        inputs.random_range(40..130)
+        input_rng.random_range(40..130)
     }
 }
