--- a/crates/load/src/doubles.rs
+++ b/crates/load/src/duplicates.rs
@@ -17,7 +17,7 @@
 
 /// Returns how many keys of this load ran more than once, or `None` when the platform does not
 /// tell.
-pub(crate) async fn count_doubles(platform: SocketAddr, prefix: &str) -> Option<u64> {
+pub(crate) async fn count_duplicate_keys(platform: SocketAddr, prefix: &str) -> Option<u64> {
     let client = Client::new(platform, 1);
     let request = ClientRequest::new(http::Method::GET, "/runs");
     let answer = client.call(&request, LIMIT).await.ok()?;
@@ -25,6 +25,6 @@
     let mut keys: Vec<String> = runs.into_iter().map(|run| run.key).collect();
     keys.retain(|key| key.starts_with(prefix));
     keys.sort();
-    let doubles = keys.chunk_by(|a, b| a == b).filter(|runs| runs.len() > 1);
-    Some(doubles.count() as u64)
+    let duplicates = keys.chunk_by(|a, b| a == b).filter(|runs| runs.len() > 1);
+    Some(duplicates.count() as u64)
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -15,14 +15,14 @@
 //! ```
 
 mod args;
-mod doubles;
-mod exchange;
-mod pace;
+mod duplicates;
 mod report;
+mod request;
 mod run;
+mod schedule;
 mod tally;
 mod usage;
 
 pub use args::LoadArgs;
-pub use report::{Latency, LoadReport, SideReport};
+pub use report::{Latency, LoadReport, TargetReport};
 pub use run::{execute, run};
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,7 +1,7 @@
 //! What a load shows.
 
 use {
-    crate::{tally::Tally, usage::Usage},
+    crate::{tally::Tally, usage::ProcessUsage},
     serde::Serialize,
     std::{fmt, time::Duration},
 };
@@ -23,7 +23,7 @@
 
 /// Results of one side.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct SideReport {
+pub struct TargetReport {
     /// Whole answers to the callers' own requests.
     pub answered: u64,
     /// Refusals that say that the request did not run.
@@ -44,7 +44,7 @@
     pub latency: Latency,
 }
 
-impl SideReport {
+impl TargetReport {
     pub(crate) fn new(tally: &Tally, elapsed: Duration) -> Self {
         let at = |quantile| tally.latency.value_at_quantile(quantile);
         let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
@@ -72,9 +72,9 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Through the nodes.
-    pub nodes: SideReport,
+    pub nodes: TargetReport,
     /// Straight to the endpoints, when asked for.
-    pub direct: Option<SideReport>,
+    pub direct: Option<TargetReport>,
     /// Requests not sent because too many were unanswered.
     pub not_sent: u64,
     /// Keys that ran more than once, when the platform tells.
@@ -86,7 +86,7 @@
 }
 
 impl LoadReport {
-    pub(crate) fn with_usage(mut self, before: Usage, after: Usage) -> Self {
+    pub(crate) fn with_usage(mut self, before: ProcessUsage, after: ProcessUsage) -> Self {
         let used_us = after.processor_us.saturating_sub(before.processor_us);
         self.processor_us_per_request = used_us / self.nodes.answered.max(1);
         self.memory_kib = after.memory_kib;
@@ -118,9 +118,9 @@
             "p99.9 us",
             "max us"
         )?;
-        write_side(formatter, "nodes", &self.nodes)?;
+        write_row(formatter, "nodes", &self.nodes)?;
         if let Some(direct) = &self.direct {
-            write_side(formatter, "direct", direct)?;
+            write_row(formatter, "direct", direct)?;
             let (with, without) = (&self.nodes.latency, &direct.latency);
             let added = |a: u64, b: u64| i128::from(a) - i128::from(b);
             writeln!(
@@ -146,21 +146,21 @@
     }
 }
 
-fn write_side(formatter: &mut fmt::Formatter<'_>, name: &str, side: &SideReport) -> fmt::Result {
+fn write_row(formatter: &mut fmt::Formatter<'_>, name: &str, target: &TargetReport) -> fmt::Result {
     writeln!(
         formatter,
         "{:8} {:>9} {:>8} {:>8} {:>6} {:>5} {:>7} {:>8} {:>8} {:>8} {:>9} {:>9}",
         name,
-        side.answered,
-        side.answered_per_s,
-        side.refused,
-        side.wrong,
-        side.cut,
-        side.failed,
-        side.unknown,
-        side.latency.p50_us,
-        side.latency.p99_us,
-        side.latency.p999_us,
-        side.latency.max_us
+        target.answered,
+        target.answered_per_s,
+        target.refused,
+        target.wrong,
+        target.cut,
+        target.failed,
+        target.unknown,
+        target.latency.p50_us,
+        target.latency.p99_us,
+        target.latency.p999_us,
+        target.latency.max_us
     )
 }
--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/request.rs
@@ -12,7 +12,7 @@
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Ending {
+pub(crate) enum Outcome {
     /// The whole answer to this request.
     Answered,
     /// Refused with the word that it did not run.
@@ -29,7 +29,7 @@
 
 /// Requests of one kind.
 #[derive(Clone, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct RequestTemplate {
     prefix: String,
     work_ms: u64,
     answer_bytes: usize,
@@ -40,7 +40,7 @@
     run: String,
 }
 
-impl Shape {
+impl RequestTemplate {
     /// Shapes requests to nodes.
     pub(crate) fn to_nodes(args: &LoadArgs, run: &str) -> Self {
         Self {
@@ -96,41 +96,41 @@
     }
 
     /// Sends request `number` and checks its answer.
-    pub(crate) async fn send(&self, client: &Client, number: u64, limit: Duration) -> Ending {
+    pub(crate) async fn send(&self, client: &Client, number: u64, limit: Duration) -> Outcome {
         match client.call(&self.request(number), limit).await {
             Ok(answer) => self.check(number, &answer),
-            Err(error) => ending_of(&error),
+            Err(error) => outcome_of_error(&error),
         }
     }
 
-    fn check(&self, number: u64, answer: &Answer) -> Ending {
+    fn check(&self, number: u64, answer: &Answer) -> Outcome {
         if answer.header(DID_NOT_RUN_HEADER) == Some("true") {
-            return Ending::Refused;
+            return Outcome::Refused;
         }
         if answer.header("not-started").is_some() {
-            return Ending::Refused;
+            return Outcome::Refused;
         }
         if answer.status != StatusCode::OK {
-            return Ending::Unknown;
+            return Outcome::Unknown;
         }
         let first = format!("request={} vm=", self.id(number));
         let Some(end) = answer.body.iter().position(|byte| *byte == b'\n') else {
-            return Ending::Wrong;
+            return Outcome::Wrong;
         };
         let body_bytes = format!(" bytes={}", self.body.len());
         let head = String::from_utf8_lossy(&answer.body[..end]);
         let is_own = head.starts_with(&first) && head.ends_with(&body_bytes);
         if is_own && answer.body.len() == end + 1 + self.answer_bytes {
-            Ending::Answered
+            Outcome::Answered
         } else {
-            Ending::Wrong
+            Outcome::Wrong
         }
     }
 }
 
-fn ending_of(error: &TransportError) -> Ending {
+fn outcome_of_error(error: &TransportError) -> Outcome {
     match error.step {
-        Step::ReadBody => Ending::Cut,
-        _ => Ending::Failed,
+        Step::ReadBody => Outcome::Cut,
+        _ => Outcome::Failed,
     }
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         args::LoadArgs,
-        doubles::count_doubles,
-        exchange::{Ending, Shape},
-        pace::Pace,
-        report::{LoadReport, SideReport},
+        duplicates::count_duplicate_keys,
+        report::{LoadReport, TargetReport},
+        request::{Outcome, RequestTemplate},
+        schedule::SendSchedule,
         tally::SharedTally,
-        usage::Usage,
+        usage::ProcessUsage,
     },
     lynxwheel_transport::Client,
     std::{
@@ -35,24 +35,29 @@
 
 /// Requests to one side.
 #[derive(Debug)]
-struct Side {
+struct Target {
     clients: Vec<Client>,
-    shape: Shape,
+    template: RequestTemplate,
     tally: SharedTally,
     unanswered: Arc<Semaphore>,
     limit: Duration,
     attempts: u32,
 }
 
-impl Side {
-    fn new(addresses: &[SocketAddr], shape: Shape, args: &LoadArgs, attempts: u32) -> Self {
+impl Target {
+    fn new(
+        addresses: &[SocketAddr],
+        template: RequestTemplate,
+        args: &LoadArgs,
+        attempts: u32,
+    ) -> Self {
         let connections = args.connections.div_ceil(addresses.len().max(1));
         Self {
             clients: addresses
                 .iter()
                 .map(|address| Client::new(*address, connections))
                 .collect(),
-            shape,
+            template,
             tally: SharedTally::new(),
             unanswered: Arc::new(Semaphore::new(MAX_UNANSWERED as usize)),
             limit: Duration::from_millis(args.timeout_ms),
@@ -66,11 +71,14 @@
         loop {
             let turn = usize::try_from(number + u64::from(attempt)).unwrap_or(0);
             let client = &self.clients[turn % self.clients.len()];
-            let ending = self.shape.send(client, number, self.limit).await;
+            let outcome = self.template.send(client, number, self.limit).await;
             attempt += 1;
-            let may_help = matches!(ending, Ending::Failed | Ending::Refused | Ending::Unknown);
+            let may_help = matches!(
+                outcome,
+                Outcome::Failed | Outcome::Refused | Outcome::Unknown
+            );
             if !may_help || attempt >= self.attempts {
-                self.tally.note(ending, due.elapsed(), attempt - 1);
+                self.tally.note(outcome, due.elapsed(), attempt - 1);
                 drop(permit);
                 return;
             }
@@ -82,51 +90,51 @@
 /// Runs a load on the current thread's runtime.
 pub async fn run(args: &LoadArgs) -> LoadReport {
     let name = run_name();
-    let nodes = Side::new(
+    let nodes = Target::new(
         &args.nodes,
-        Shape::to_nodes(args, &name),
+        RequestTemplate::to_nodes(args, &name),
         args,
         args.attempts,
     );
     let nodes = Arc::new(nodes);
     let direct = (!args.direct.is_empty()).then(|| {
-        let shape = Shape::to_endpoints(args, &name);
-        Arc::new(Side::new(&args.direct, shape, args, 1))
+        let template = RequestTemplate::to_endpoints(args, &name);
+        Arc::new(Target::new(&args.direct, template, args, 1))
     });
-    let before = Usage::read(&args.pids);
+    let before = ProcessUsage::read(&args.pids);
     let start = Instant::now();
     let sending = {
-        let sides: Vec<Arc<Side>> = [Some(&nodes), direct.as_ref()]
+        let targets: Vec<Arc<Target>> = [Some(&nodes), direct.as_ref()]
             .into_iter()
             .flatten()
             .map(Arc::clone)
             .collect();
         let count = (u64::from(args.rate) * args.seconds).min(args.max_requests);
-        let pace = Pace::new(start, args.rate);
+        let schedule = SendSchedule::new(start, args.rate);
         let runtime = Handle::current();
-        thread::spawn(move || send_all(&sides, pace, count, &runtime))
+        thread::spawn(move || send_all(&targets, schedule, count, &runtime))
     };
     let progress = args
         .json
         .then(|| tokio::spawn(show_progress(Arc::clone(&nodes))));
     let sent = tokio::task::spawn_blocking(move || sending.join()).await;
     let not_sent = sent.ok().and_then(Result::ok).unwrap_or(0);
-    let after = Usage::read(&args.pids);
-    for side in [Some(&nodes), direct.as_ref()].into_iter().flatten() {
+    let after = ProcessUsage::read(&args.pids);
+    for target in [Some(&nodes), direct.as_ref()].into_iter().flatten() {
         // Every request has a time limit, so all permits come back.
-        drop(side.unanswered.acquire_many(MAX_UNANSWERED).await);
+        drop(target.unanswered.acquire_many(MAX_UNANSWERED).await);
     }
     let elapsed = start.elapsed();
     if let Some(progress) = progress {
         progress.abort();
     }
     let doubled = match args.platform {
-        Some(platform) => count_doubles(platform, &name).await,
+        Some(platform) => count_duplicate_keys(platform, &name).await,
         None => None,
     };
     LoadReport {
-        nodes: SideReport::new(&nodes.tally.copy(), elapsed),
-        direct: direct.map(|side| SideReport::new(&side.tally.copy(), elapsed)),
+        nodes: TargetReport::new(&nodes.tally.copy(), elapsed),
+        direct: direct.map(|target| TargetReport::new(&target.tally.copy(), elapsed)),
         not_sent,
         doubled,
         ..LoadReport::default()
@@ -165,15 +173,15 @@
 }
 
 /// Sends `count` requests to each side and returns how many were not sent.
-fn send_all(sides: &[Arc<Side>], pace: Pace, count: u64, runtime: &Handle) -> u64 {
+fn send_all(targets: &[Arc<Target>], schedule: SendSchedule, count: u64, runtime: &Handle) -> u64 {
     let mut not_sent = 0;
     for number in 0..count {
-        pace.wait(number);
-        for side in sides {
-            match Arc::clone(&side.unanswered).try_acquire_owned() {
+        schedule.wait(number);
+        for target in targets {
+            match Arc::clone(&target.unanswered).try_acquire_owned() {
                 Ok(permit) => {
-                    let side = Arc::clone(side);
-                    runtime.spawn(side.send(number, pace.due(number), permit));
+                    let target = Arc::clone(target);
+                    runtime.spawn(target.send(number, schedule.due(number), permit));
                 }
                 Err(_) => not_sent += 1,
             }
@@ -182,11 +190,11 @@
     not_sent
 }
 
-async fn show_progress(side: Arc<Side>) {
+async fn show_progress(target: Arc<Target>) {
     let start = Instant::now();
     loop {
         tokio::time::sleep(PROGRESS).await;
-        let tally = side.tally.copy();
+        let tally = target.tally.copy();
         let line = serde_json::json!({
             "event": "progress",
             "elapsed_ms": u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX),
--- a/crates/load/src/pace.rs
+++ b/crates/load/src/schedule.rs
@@ -7,12 +7,12 @@
 
 /// Plan of requests at a fixed rate.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct SendSchedule {
     start: Instant,
     rate: u32,
 }
 
-impl Pace {
+impl SendSchedule {
     pub(crate) fn new(start: Instant, rate: u32) -> Self {
         Self { start, rate }
     }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,7 +1,7 @@
 //! Counts and latencies of one side.
 
 use {
-    crate::exchange::Ending,
+    crate::request::Outcome,
     hdrhistogram::Histogram,
     std::{
         sync::{Mutex, MutexGuard, PoisonError},
@@ -64,20 +64,20 @@
     }
 
     /// Counts a request that ended after `latency` and `retries`.
-    pub(crate) fn note(&self, ending: Ending, latency: Duration, retries: u32) {
+    pub(crate) fn note(&self, outcome: Outcome, latency: Duration, retries: u32) {
         let mut tally = self.lock();
         tally.retried += u64::from(retries);
-        match ending {
-            Ending::Answered => {
+        match outcome {
+            Outcome::Answered => {
                 tally.answered += 1;
                 let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
                 tally.latency.saturating_record(micros);
             }
-            Ending::Refused => tally.refused += 1,
-            Ending::Unknown => tally.unknown += 1,
-            Ending::Wrong => tally.wrong += 1,
-            Ending::Cut => tally.cut += 1,
-            Ending::Failed => tally.failed += 1,
+            Outcome::Refused => tally.refused += 1,
+            Outcome::Unknown => tally.unknown += 1,
+            Outcome::Wrong => tally.wrong += 1,
+            Outcome::Cut => tally.cut += 1,
+            Outcome::Failed => tally.failed += 1,
         }
     }
 
--- a/crates/load/src/usage.rs
+++ b/crates/load/src/usage.rs
@@ -10,14 +10,14 @@
 
 /// What processes have used.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Usage {
+pub(crate) struct ProcessUsage {
     /// Processor time since their start, in microseconds.
     pub(crate) processor_us: u64,
     /// Resident memory, in kibibytes.
     pub(crate) memory_kib: u64,
 }
 
-impl Usage {
+impl ProcessUsage {
     /// Reads the usage of processes together; one that is gone counts as nothing.
     pub(crate) fn read(pids: &[u32]) -> Self {
         pids.iter().fold(Self::default(), |sum, pid| Self {
