--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -95,7 +95,7 @@
 
     /// Tells whether every answer was whole and the caller's own, and nothing ran twice.
     #[must_use]
-    pub fn is_truthful(&self) -> bool {
+    pub fn is_correct(&self) -> bool {
         self.nodes.wrong == 0 && self.nodes.cut == 0 && self.doubled.unwrap_or(0) == 0
     }
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -165,7 +165,7 @@
     } else {
         println!("{report}");
     }
-    if report.is_truthful() {
+    if report.is_correct() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/load/tests/checks.rs
+++ b/crates/load/tests/checks.rs
@@ -34,7 +34,7 @@
 async fn whole_answers_are_counted() {
     let report = load(&["--answer-bytes", "20000", "--max-requests", "100"]).await;
     assert_eq!(report.nodes.answered, 100);
-    assert!(report.is_truthful() && report.nodes.latency.p50_us > 0);
+    assert!(report.is_correct() && report.nodes.latency.p50_us > 0);
 }
 
 /// An endpoint breaks its answers off. The tool must call them cut and fail.
@@ -50,5 +50,5 @@
     ])
     .await;
     assert_eq!((report.nodes.cut, report.nodes.answered), (20, 0));
-    assert!(!report.is_truthful());
+    assert!(!report.is_correct());
 }
