--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -1,4 +1,4 @@
-//! Command line.
+//! Command-line arguments.
 
 use {clap::Args, std::net::SocketAddr};
 
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,9 +1,9 @@
-//! Open-loop load on lynxwheel nodes, with every answer checked.
+//! Open-loop load generator for lynxwheel nodes that checks every response.
 //!
-//! Requests are sent at a fixed rate whether or not earlier ones were answered, and latency counts
-//! from the time at which a request was due, so that a stall shows in every request that it
-//! delays. The same requests can be sent straight to endpoints in the same run, which shows what
-//! lynxwheel adds.
+//! Requests are sent at a fixed rate, whether or not earlier ones have completed. Latency is
+//! measured from the scheduled time of a request, so a stall counts in every request that it
+//! delays. The same requests can be sent directly to endpoints in the same run, to measure the
+//! overhead of lynxwheel.
 //!
 //! ```
 //! use clap::{Args, FromArgMatches};
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What a load shows.
+//! Report of a load.
 
 use {
     crate::{tally::Tally, usage::ProcessUsage},
@@ -6,41 +6,41 @@
     std::{fmt, time::Duration},
 };
 
-/// Latencies in microseconds.
+/// Latency percentiles, in microseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Latency {
     /// Median.
     pub p50_us: u64,
-    /// Value that 90 % do not exceed.
+    /// 90th percentile.
     pub p90_us: u64,
-    /// Value that 99 % do not exceed.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// Value that 99.9 % do not exceed.
+    /// 99.9th percentile.
     pub p999_us: u64,
-    /// Highest.
+    /// Maximum.
     pub max_us: u64,
 }
 
-/// Results of one side.
+/// Results of one target.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct TargetReport {
-    /// Whole answers to the callers' own requests.
+    /// Complete and correct responses.
     pub answered: u64,
-    /// Refusals that say that the request did not run.
+    /// Refusals with a header that states that the request did not run.
     pub refused: u64,
-    /// Refusals and give-ups that do not say so.
+    /// Responses with an error status and no such header.
     pub unknown: u64,
-    /// Answers that are not the caller's own.
+    /// Responses to another request or with unexpected content.
     pub wrong: u64,
-    /// Answers that broke off.
+    /// Responses whose body ended early.
     pub cut: u64,
-    /// Requests whose connection failed before an answer.
+    /// Requests that failed before a response arrived.
     pub failed: u64,
-    /// Further attempts of callers.
+    /// Retries of requests.
     pub retried: u64,
-    /// Whole answers a second.
+    /// Complete and correct responses a second.
     pub answered_per_s: u64,
-    /// Latency of whole answers.
+    /// Latency of answered requests.
     pub latency: Latency,
 }
 
@@ -53,9 +53,9 @@
             refused: tally.refused,
             unknown: tally.unknown,
             wrong: tally.wrong,
-            cut: tally.cut,
+            cut: tally.truncated,
             failed: tally.failed,
-            retried: tally.retried,
+            retried: tally.retries,
             answered_per_s: tally.answered * 1_000 / elapsed_ms.max(1),
             latency: Latency {
                 p50_us: at(0.5),
@@ -71,29 +71,29 @@
 /// Results of a load.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Through the nodes.
+    /// Requests sent through the nodes.
     pub nodes: TargetReport,
-    /// Straight to the endpoints, when asked for.
+    /// Requests sent directly to endpoints, if there are any.
     pub direct: Option<TargetReport>,
-    /// Requests not sent because too many were unanswered.
+    /// Requests not sent because too many were in flight.
     pub not_sent: u64,
-    /// Keys that ran more than once, when the platform tells.
+    /// Keys that ran more than once, if the platform lists its runs.
     pub doubled: Option<u64>,
-    /// Processor time of the measured processes for one request, in microseconds.
+    /// CPU time of the measured processes for each answered request, in microseconds.
     pub processor_us_per_request: u64,
-    /// Resident memory of the measured processes at the end of the sending, in kibibytes.
+    /// Resident memory of the measured processes after the last request was sent, in kibibytes.
     pub memory_kib: u64,
 }
 
 impl LoadReport {
     pub(crate) fn with_usage(mut self, before: ProcessUsage, after: ProcessUsage) -> Self {
-        let used_us = after.processor_us.saturating_sub(before.processor_us);
+        let used_us = after.cpu_us.saturating_sub(before.cpu_us);
         self.processor_us_per_request = used_us / self.nodes.answered.max(1);
         self.memory_kib = after.memory_kib;
         self
     }
 
-    /// Tells whether every answer was whole and the caller's own, and nothing ran twice.
+    /// Returns whether no response was wrong or truncated and no key ran more than once.
     #[must_use]
     pub fn is_correct(&self) -> bool {
         self.nodes.wrong == 0 && self.nodes.cut == 0 && self.doubled.unwrap_or(0) == 0
--- a/crates/load/src/request.rs
+++ b/crates/load/src/request.rs
@@ -1,4 +1,4 @@
-//! One request and the check of its answer.
+//! Requests of the load and the check of their responses.
 
 use {
     crate::args::LoadArgs,
@@ -7,74 +7,74 @@
     std::time::Duration,
 };
 
-/// Header by which a node says that a request did not run.
+/// Response header that states that the request did not run.
 const DID_NOT_RUN_HEADER: &str = "lynxwheel-did-not-run";
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Outcome {
-    /// The whole answer to this request.
+    /// Complete response to this request.
     Answered,
-    /// Refused with the word that it did not run.
+    /// Refused with a header that states that it did not run.
     Refused,
-    /// Refused, or given up on, without that word.
+    /// Error status without such a header: the request may have run.
     Unknown,
-    /// Another request's answer, or one that no endpoint gives.
+    /// Response to another request, or one with unexpected content.
     Wrong,
-    /// The answer broke off after its head.
-    Cut,
-    /// The connection failed before an answer.
+    /// Response body ended early.
+    Truncated,
+    /// The call failed before a response arrived.
     Failed,
 }
 
-/// Requests of one kind.
+/// Parameters from which the requests to a target are built.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestTemplate {
-    prefix: String,
+    path_prefix: String,
     work_ms: u64,
     answer_bytes: usize,
     query: String,
     body: Vec<u8>,
     class: Option<String>,
     keyed_percent: u64,
-    run: String,
+    run_name: String,
 }
 
 impl RequestTemplate {
-    /// Shapes requests to nodes.
-    pub(crate) fn to_nodes(args: &LoadArgs, run: &str) -> Self {
+    /// Creates a template for requests to nodes.
+    pub(crate) fn for_nodes(args: &LoadArgs, run_name: &str) -> Self {
         Self {
-            prefix: format!("/{}", args.service),
+            path_prefix: format!("/{}", args.service),
             work_ms: args.work_ms,
             answer_bytes: args.answer_bytes,
             query: args.query.clone(),
             body: vec![b'b'; args.body_bytes],
             class: args.class.clone(),
             keyed_percent: u64::from(args.keyed_percent),
-            run: format!("{run}-n"),
+            run_name: format!("{run_name}-n"),
         }
     }
 
-    /// Shapes the same requests to endpoints.
-    pub(crate) fn to_endpoints(args: &LoadArgs, run: &str) -> Self {
+    /// Creates a template for the same requests to endpoints.
+    pub(crate) fn for_endpoints(args: &LoadArgs, run_name: &str) -> Self {
         Self {
-            prefix: String::new(),
-            run: format!("{run}-d"),
+            path_prefix: String::new(),
+            run_name: format!("{run_name}-d"),
             keyed_percent: 0,
-            ..Self::to_nodes(args, run)
+            ..Self::for_nodes(args, run_name)
         }
     }
 
     /// Returns the id of request `number`.
     pub(crate) fn id(&self, number: u64) -> String {
-        format!("{}-{number}", self.run)
+        format!("{}-{number}", self.run_name)
     }
 
     /// Builds request `number`.
     pub(crate) fn request(&self, number: u64) -> ClientRequest {
         let path = format!(
             "{}/work?ms={}&size={}&{}",
-            self.prefix, self.work_ms, self.answer_bytes, self.query
+            self.path_prefix, self.work_ms, self.answer_bytes, self.query
         );
         let is_keyed = number % 100 < self.keyed_percent;
         let method = if is_keyed || !self.body.is_empty() {
@@ -95,32 +95,32 @@
         request
     }
 
-    /// Sends request `number` and checks its answer.
-    pub(crate) async fn send(&self, client: &Client, number: u64, limit: Duration) -> Outcome {
-        match client.call(&self.request(number), limit).await {
-            Ok(answer) => self.check(number, &answer),
+    /// Sends request `number` and checks its response.
+    pub(crate) async fn send(&self, client: &Client, number: u64, timeout: Duration) -> Outcome {
+        match client.call(&self.request(number), timeout).await {
+            Ok(response) => self.check_response(number, &response),
             Err(error) => outcome_of_error(&error),
         }
     }
 
-    fn check(&self, number: u64, answer: &Answer) -> Outcome {
-        if answer.header(DID_NOT_RUN_HEADER) == Some("true") {
+    fn check_response(&self, number: u64, response: &Answer) -> Outcome {
+        if response.header(DID_NOT_RUN_HEADER) == Some("true") {
             return Outcome::Refused;
         }
-        if answer.header("not-started").is_some() {
+        if response.header("not-started").is_some() {
             return Outcome::Refused;
         }
-        if answer.status != StatusCode::OK {
+        if response.status != StatusCode::OK {
             return Outcome::Unknown;
         }
-        let first = format!("request={} vm=", self.id(number));
-        let Some(end) = answer.body.iter().position(|byte| *byte == b'\n') else {
+        let line_start = format!("request={} vm=", self.id(number));
+        let Some(line_end) = response.body.iter().position(|byte| *byte == b'\n') else {
             return Outcome::Wrong;
         };
-        let body_bytes = format!(" bytes={}", self.body.len());
-        let head = String::from_utf8_lossy(&answer.body[..end]);
-        let is_own = head.starts_with(&first) && head.ends_with(&body_bytes);
-        if is_own && answer.body.len() == end + 1 + self.answer_bytes {
+        let line_suffix = format!(" bytes={}", self.body.len());
+        let first_line = String::from_utf8_lossy(&response.body[..line_end]);
+        let is_expected = first_line.starts_with(&line_start) && first_line.ends_with(&line_suffix);
+        if is_expected && response.body.len() == line_end + 1 + self.answer_bytes {
             Outcome::Answered
         } else {
             Outcome::Wrong
@@ -130,7 +130,7 @@
 
 fn outcome_of_error(error: &TransportError) -> Outcome {
     match error.step {
-        Step::ReadBody => Outcome::Cut,
+        Step::ReadBody => Outcome::Truncated,
         _ => Outcome::Failed,
     }
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! A load from its start to its report.
+//! Execution of a load.
 
 use {
     crate::{
@@ -24,24 +24,24 @@
     },
 };
 
-/// Requests of one side that may be unanswered at once; further ones are counted as not sent.
-const MAX_UNANSWERED: u32 = 10_000;
+/// Maximum requests in flight to one target; further ones are counted as not sent.
+const MAX_IN_FLIGHT: u32 = 10_000;
 
-/// Pause before a caller's next attempt.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before the next attempt of a request.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Pause between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(1);
+/// Interval between two progress lines.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests to one side.
+/// Nodes or endpoints that receive the same requests.
 #[derive(Debug)]
 struct Target {
     clients: Vec<Client>,
     template: RequestTemplate,
     tally: SharedTally,
-    unanswered: Arc<Semaphore>,
-    limit: Duration,
-    attempts: u32,
+    in_flight: Arc<Semaphore>,
+    timeout: Duration,
+    max_attempts: u32,
 }
 
 impl Target {
@@ -49,7 +49,7 @@
         addresses: &[SocketAddr],
         template: RequestTemplate,
         args: &LoadArgs,
-        attempts: u32,
+        max_attempts: u32,
     ) -> Self {
         let connections = args.connections.div_ceil(addresses.len().max(1));
         Self {
@@ -59,51 +59,51 @@
                 .collect(),
             template,
             tally: SharedTally::new(),
-            unanswered: Arc::new(Semaphore::new(MAX_UNANSWERED as usize)),
-            limit: Duration::from_millis(args.timeout_ms),
-            attempts,
+            in_flight: Arc::new(Semaphore::new(MAX_IN_FLIGHT as usize)),
+            timeout: Duration::from_millis(args.timeout_ms),
+            max_attempts,
         }
     }
 
-    /// Sends request `number`, with further attempts while they may help.
+    /// Sends request `number` and retries it after outcomes that a retry may improve.
     async fn send(self: Arc<Self>, number: u64, due: Instant, permit: OwnedSemaphorePermit) {
         let mut attempt = 0;
         loop {
-            let turn = usize::try_from(number + u64::from(attempt)).unwrap_or(0);
-            let client = &self.clients[turn % self.clients.len()];
-            let outcome = self.template.send(client, number, self.limit).await;
+            let client_index = usize::try_from(number + u64::from(attempt)).unwrap_or(0);
+            let client = &self.clients[client_index % self.clients.len()];
+            let outcome = self.template.send(client, number, self.timeout).await;
             attempt += 1;
-            let may_help = matches!(
+            let can_retry = matches!(
                 outcome,
                 Outcome::Failed | Outcome::Refused | Outcome::Unknown
             );
-            if !may_help || attempt >= self.attempts {
-                self.tally.note(outcome, due.elapsed(), attempt - 1);
+            if !can_retry || attempt >= self.max_attempts {
+                self.tally.record(outcome, due.elapsed(), attempt - 1);
                 drop(permit);
                 return;
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Runs a load on the current thread's runtime.
 pub async fn run(args: &LoadArgs) -> LoadReport {
-    let name = run_name();
+    let run_name = unique_run_name();
     let nodes = Target::new(
         &args.nodes,
-        RequestTemplate::to_nodes(args, &name),
+        RequestTemplate::for_nodes(args, &run_name),
         args,
         args.attempts,
     );
     let nodes = Arc::new(nodes);
     let direct = (!args.direct.is_empty()).then(|| {
-        let template = RequestTemplate::to_endpoints(args, &name);
+        let template = RequestTemplate::for_endpoints(args, &run_name);
         Arc::new(Target::new(&args.direct, template, args, 1))
     });
-    let before = ProcessUsage::read(&args.pids);
+    let usage_before = ProcessUsage::read(&args.pids);
     let start = Instant::now();
-    let sending = {
+    let sender = {
         let targets: Vec<Arc<Target>> = [Some(&nodes), direct.as_ref()]
             .into_iter()
             .flatten()
@@ -116,33 +116,35 @@
     };
     let progress = args
         .json
-        .then(|| tokio::spawn(show_progress(Arc::clone(&nodes))));
-    let sent = tokio::task::spawn_blocking(move || sending.join()).await;
+        .then(|| tokio::spawn(print_progress(Arc::clone(&nodes))));
+    let sent = tokio::task::spawn_blocking(move || sender.join()).await;
     let not_sent = sent.ok().and_then(Result::ok).unwrap_or(0);
-    let after = ProcessUsage::read(&args.pids);
+    let usage_after = ProcessUsage::read(&args.pids);
     for target in [Some(&nodes), direct.as_ref()].into_iter().flatten() {
-        // Every request has a time limit, so all permits come back.
-        drop(target.unanswered.acquire_many(MAX_UNANSWERED).await);
+        // Every request has a timeout, so all permits are returned.
+        drop(target.in_flight.acquire_many(MAX_IN_FLIGHT).await);
     }
     let elapsed = start.elapsed();
     if let Some(progress) = progress {
         progress.abort();
     }
-    let doubled = match args.platform {
-        Some(platform) => count_duplicate_keys(platform, &name).await,
+    let duplicate_keys = match args.platform {
+        Some(platform) => count_duplicate_keys(platform, &run_name).await,
         None => None,
     };
     LoadReport {
-        nodes: TargetReport::new(&nodes.tally.copy(), elapsed),
-        direct: direct.map(|target| TargetReport::new(&target.tally.copy(), elapsed)),
+        nodes: TargetReport::new(&nodes.tally.snapshot(), elapsed),
+        direct: direct.map(|target| TargetReport::new(&target.tally.snapshot(), elapsed)),
         not_sent,
-        doubled,
+        doubled: duplicate_keys,
         ..LoadReport::default()
     }
-    .with_usage(before, after)
+    .with_usage(usage_before, usage_after)
 }
 
-/// Runs a load and prints its report; the exit code is 1 when an answer was wrong, cut or doubled.
+/// Runs a load and prints its report.
+///
+/// The exit code is 1 if a response was wrong or truncated, or if a request ran more than once.
 #[must_use]
 pub fn execute(args: &LoadArgs) -> ExitCode {
     let runtime = match Builder::new_multi_thread()
@@ -172,16 +174,16 @@
     }
 }
 
-/// Sends `count` requests to each side and returns how many were not sent.
+/// Sends `count` requests to each target and returns how many were not sent.
 fn send_all(targets: &[Arc<Target>], schedule: SendSchedule, count: u64, runtime: &Handle) -> u64 {
     let mut not_sent = 0;
     for number in 0..count {
-        schedule.wait(number);
+        schedule.wait_until_due(number);
         for target in targets {
-            match Arc::clone(&target.unanswered).try_acquire_owned() {
+            match Arc::clone(&target.in_flight).try_acquire_owned() {
                 Ok(permit) => {
                     let target = Arc::clone(target);
-                    runtime.spawn(target.send(number, schedule.due(number), permit));
+                    runtime.spawn(target.send(number, schedule.due_time(number), permit));
                 }
                 Err(_) => not_sent += 1,
             }
@@ -190,15 +192,15 @@
     not_sent
 }
 
-async fn show_progress(target: Arc<Target>) {
+async fn print_progress(target: Arc<Target>) {
     let start = Instant::now();
     loop {
-        tokio::time::sleep(PROGRESS).await;
-        let tally = target.tally.copy();
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
+        let tally = target.tally.snapshot();
         let line = serde_json::json!({
             "event": "progress",
             "elapsed_ms": u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX),
-            "ended": tally.ended(),
+            "ended": tally.ended_count(),
             "answered": tally.answered,
             "refused": tally.refused,
             "failed": tally.failed,
@@ -208,10 +210,10 @@
     }
 }
 
-/// Names a run, so that ids of two runs differ.
-fn run_name() -> String {
-    let since = SystemTime::now()
+/// Returns a name for the run that makes its request ids differ from those of other runs.
+fn unique_run_name() -> String {
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    format!("load-{}", since.as_millis())
+    format!("load-{}", since_epoch.as_millis())
 }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts and latencies of one side.
+//! Outcome counts and latencies of one target.
 
 use {
     crate::request::Outcome,
@@ -9,48 +9,48 @@
     },
 };
 
-/// Highest latency told apart, in microseconds.
-const MAX_US: u64 = 120_000_000;
+/// Maximum latency of the histogram, in microseconds.
+const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// Significant digits of latencies.
-const DIGITS: u8 = 3;
+/// Significant digits of the latency histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Endings and latencies so far.
+/// Outcome counts and latencies so far.
 #[derive(Clone, Debug)]
 pub(crate) struct Tally {
     pub(crate) answered: u64,
     pub(crate) refused: u64,
     pub(crate) unknown: u64,
     pub(crate) wrong: u64,
-    pub(crate) cut: u64,
+    pub(crate) truncated: u64,
     pub(crate) failed: u64,
-    pub(crate) retried: u64,
-    /// Latencies of whole answers, in microseconds.
+    pub(crate) retries: u64,
+    /// Latencies of answered requests, in microseconds.
     pub(crate) latency: Histogram<u64>,
 }
 
 impl Tally {
     fn new() -> Self {
-        let latency = Histogram::new_with_max(MAX_US, DIGITS);
+        let latency = Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
         Self {
             answered: 0,
             refused: 0,
             unknown: 0,
             wrong: 0,
-            cut: 0,
+            truncated: 0,
             failed: 0,
-            retried: 0,
-            latency: latency.expect("the bounds are constants that the histogram allows"),
+            retries: 0,
+            latency: latency.expect("the constants are valid histogram bounds"),
         }
     }
 
-    /// Returns the requests that have ended.
-    pub(crate) fn ended(&self) -> u64 {
-        self.answered + self.refused + self.unknown + self.wrong + self.cut + self.failed
+    /// Returns the number of requests that have ended.
+    pub(crate) fn ended_count(&self) -> u64 {
+        self.answered + self.refused + self.unknown + self.wrong + self.truncated + self.failed
     }
 }
 
-/// Tally that tasks share.
+/// Tally shared between tasks.
 #[derive(Debug)]
 pub(crate) struct SharedTally {
     tally: Mutex<Tally>,
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Counts a request that ended after `latency` and `retries`.
-    pub(crate) fn note(&self, outcome: Outcome, latency: Duration, retries: u32) {
+    /// Records a request that ended after `latency` and `retries`.
+    pub(crate) fn record(&self, outcome: Outcome, latency: Duration, retries: u32) {
         let mut tally = self.lock();
-        tally.retried += u64::from(retries);
+        tally.retries += u64::from(retries);
         match outcome {
             Outcome::Answered => {
                 tally.answered += 1;
@@ -76,13 +76,13 @@
             Outcome::Refused => tally.refused += 1,
             Outcome::Unknown => tally.unknown += 1,
             Outcome::Wrong => tally.wrong += 1,
-            Outcome::Cut => tally.cut += 1,
+            Outcome::Truncated => tally.truncated += 1,
             Outcome::Failed => tally.failed += 1,
         }
     }
 
-    /// Returns a copy.
-    pub(crate) fn copy(&self) -> Tally {
+    /// Returns a copy of the current tally.
+    pub(crate) fn snapshot(&self) -> Tally {
         self.lock().clone()
     }
 
