--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -33,7 +33,8 @@
     /// Responses to another request or with unexpected content.
     pub wrong: u64,
     /// Responses whose body ended early.
-    pub cut: u64,
+    #[serde(rename = "cut")]
+    pub truncated: u64,
     /// Requests that failed before a response arrived.
     pub failed: u64,
     /// Retries of requests.
@@ -53,7 +54,7 @@
             refused: tally.refused,
             unknown: tally.unknown,
             wrong: tally.wrong,
-            cut: tally.truncated,
+            truncated: tally.truncated,
             failed: tally.failed,
             retried: tally.retries,
             answered_per_s: tally.answered * 1_000 / elapsed_ms.max(1),
@@ -78,7 +79,8 @@
     /// Requests not sent because too many were in flight.
     pub not_sent: u64,
     /// Keys that ran more than once, if the platform lists its runs.
-    pub doubled: Option<u64>,
+    #[serde(rename = "doubled")]
+    pub duplicate_keys: Option<u64>,
     /// CPU time of the measured processes for each answered request, in microseconds.
     pub processor_us_per_request: u64,
     /// Resident memory of the measured processes after the last request was sent, in kibibytes.
@@ -96,7 +98,7 @@
     /// Returns whether no response was wrong or truncated and no key ran more than once.
     #[must_use]
     pub fn is_correct(&self) -> bool {
-        self.nodes.wrong == 0 && self.nodes.cut == 0 && self.doubled.unwrap_or(0) == 0
+        self.nodes.wrong == 0 && self.nodes.truncated == 0 && self.duplicate_keys.unwrap_or(0) == 0
     }
 }
 
@@ -135,7 +137,7 @@
             "callers' retries {}, not sent {}, doubled {}",
             self.nodes.retried,
             self.not_sent,
-            self.doubled
+            self.duplicate_keys
                 .map_or_else(|| "not asked".to_owned(), |count| count.to_string())
         )?;
         write!(
@@ -155,7 +157,7 @@
         target.answered_per_s,
         target.refused,
         target.wrong,
-        target.cut,
+        target.truncated,
         target.failed,
         target.unknown,
         target.latency.p50_us,
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -136,7 +136,7 @@
         nodes: TargetReport::new(&nodes.tally.snapshot(), elapsed),
         direct: direct.map(|target| TargetReport::new(&target.tally.snapshot(), elapsed)),
         not_sent,
-        doubled: duplicate_keys,
+        duplicate_keys,
         ..LoadReport::default()
     }
     .with_usage(usage_before, usage_after)
--- a/crates/load/tests/checks.rs
+++ b/crates/load/tests/checks.rs
@@ -49,6 +49,6 @@
         "20",
     ])
     .await;
-    assert_eq!((report.nodes.cut, report.nodes.answered), (20, 0));
+    assert_eq!((report.nodes.truncated, report.nodes.answered), (20, 0));
     assert!(!report.is_correct());
 }
