--- a/crates/load/examples/load.rs
+++ b/crates/load/examples/load.rs
@@ -1,4 +1,4 @@
-//! The load tool by itself.
+//! Runs the load generator from the command line.
 
 use {clap::Parser, lynxwheel_load::LoadArgs, std::process::ExitCode};
 
--- a/crates/load/tests/checks.rs
+++ b/crates/load/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The load tool against stand-in endpoints.
+//! Tests the load generator against stand-in endpoints.
 
 use {
     clap::{Args, FromArgMatches},
@@ -7,14 +7,14 @@
     std::net::SocketAddr,
 };
 
-async fn load(extra: &[&str]) -> LoadReport {
+async fn run_load(extra: &[&str]) -> LoadReport {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::start(any_port, &[VmTemplate::numbered(0)], 100)
         .await
         .expect("platform");
     let endpoint = platform.with_platform(|platform| platform.machines[0].address.clone());
-    // An endpoint takes any path, so it can stand for a node.
-    let mut words = vec![
+    // Endpoints accept any path, so one can act as a node.
+    let mut arguments = vec![
         "load",
         "--node",
         &endpoint,
@@ -23,24 +23,24 @@
         "--seconds",
         "1",
     ];
-    words.extend(extra);
+    arguments.extend(extra);
     let command = LoadArgs::augment_args(clap::Command::new("load"));
-    let matches = command.get_matches_from(words);
+    let matches = command.get_matches_from(arguments);
     run(&LoadArgs::from_arg_matches(&matches).expect("arguments")).await
 }
 
-/// Whole answers count as answered, on both sides.
+/// Complete responses count as answered.
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_answers_are_counted() {
-    let report = load(&["--answer-bytes", "20000", "--max-requests", "100"]).await;
+async fn complete_responses_are_counted() {
+    let report = run_load(&["--answer-bytes", "20000", "--max-requests", "100"]).await;
     assert_eq!(report.nodes.answered, 100);
     assert!(report.is_correct() && report.nodes.latency.p50_us > 0);
 }
 
-/// An endpoint breaks its answers off. The tool must call them cut and fail.
+/// Response bodies that end early count as truncated and make the report incorrect.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_answers_are_called_cut() {
-    let report = load(&[
+async fn truncated_responses_are_counted() {
+    let report = run_load(&[
         "--answer-bytes",
         "100000",
         "--query",
