--- a/crates/experiment/src/inputs.rs
+++ b/crates/experiment/src/inputs.rs
@@ -112,7 +112,7 @@
         let mut jobs = Vec::new();
         for pool in 0..profile.pools {
             draw_jobs(profile, workload, &vms, pool, &mut rng, &mut jobs);
-            draw_urgent(profile, workload, &vms, pool, &mut rng, &mut jobs);
+            draw_urgent_jobs(profile, workload, &vms, pool, &mut rng, &mut jobs);
         }
         draw_cancellations(profile, workload, &mut rng, &mut jobs);
         jobs.sort_by_key(|job| job.arrival_ms);
@@ -132,7 +132,7 @@
 
 fn draw_vms(profile: &Profile, workload: &Workload, rng: &mut ChaCha8Rng) -> Vec<VmInput> {
     let mut vms: Vec<VmInput> = Vec::new();
-    let mut built = vec![0; profile.zones];
+    let mut zone_vm_counts = vec![0; profile.zones];
     for pool in 0..profile.pools {
         let count = rng.random_range(profile.min_pool_vms..=profile.max_pool_vms);
         for member in 0..count {
@@ -141,8 +141,8 @@
                 && index.is_multiple_of(profile.accelerator_interval);
             let region = pool % (profile.zones / ZONES_PER_REGION);
             let zone = region * ZONES_PER_REGION + (pool + member) % ZONES_PER_REGION;
-            let rack = built[zone] / VMS_PER_RACK * profile.zones + zone;
-            built[zone] += 1;
+            let rack = zone_vm_counts[zone] / VMS_PER_RACK * profile.zones + zone;
+            zone_vm_counts[zone] += 1;
             vms.push(VmInput {
                 pool,
                 zone,
@@ -284,7 +284,7 @@
     u32::try_from(value).unwrap_or(u32::MAX).max(1)
 }
 
-fn draw_urgent(
+fn draw_urgent_jobs(
     profile: &Profile,
     workload: &Workload,
     vms: &[VmInput],
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -235,7 +235,8 @@
         job.phase == JobPhase::GivenUp && !input.always_fails && !input.is_unplaceable
     }
 
-    /// Returns how long the jobs of some classes have waited for their first start until now.
+    /// Returns the time to the first start, or until now without one, of each job whose class passes
+    /// `filter`; cancelled and unplaceable jobs are left out.
     fn start_delays_ms(&self, filter: impl Fn(Class) -> bool) -> Vec<u64> {
         let jobs = self
             .simulation
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -123,13 +123,13 @@
         write_row(formatter, "nodes", &self.nodes)?;
         if let Some(direct) = &self.direct {
             write_row(formatter, "direct", direct)?;
-            let (with, without) = (&self.nodes.latency, &direct.latency);
-            let added = |a: u64, b: u64| i128::from(a) - i128::from(b);
+            let (nodes, direct) = (&self.nodes.latency, &direct.latency);
+            let overhead = |a: u64, b: u64| i128::from(a) - i128::from(b);
             writeln!(
                 formatter,
                 "added: p50 {} us, p99 {} us",
-                added(with.p50_us, without.p50_us),
-                added(with.p99_us, without.p99_us)
+                overhead(nodes.p50_us, direct.p50_us),
+                overhead(nodes.p99_us, direct.p99_us)
             )?;
         }
         writeln!(
