--- a/crates/api/tests/api/common.rs
+++ b/crates/api/tests/api/common.rs
@@ -1,12 +1,12 @@
-//! Nodes with their APIs around one platform, all within the test's process.
+//! Nodes with their APIs and a stand-in platform, all in the test process.
 
 use {
     http::Method,
-    lynxwheel_api::{Access, Api},
+    lynxwheel_api::{AccessControl, Api},
     lynxwheel_coordination::{BackgroundThreads, Node, NodeIdentity, NodeSettings},
     lynxwheel_protocol::Kind,
     lynxwheel_standin::{Faults, PlatformServer, VmTemplate},
-    lynxwheel_transport::{Answer, Client, ClientRequest, Server, ServerLimits, Shutdown},
+    lynxwheel_transport::{Client, ClientRequest, ClientResponse, Server, ServerLimits, Shutdown},
     serde_json::{Value, json},
     std::{
         net::SocketAddr,
@@ -15,13 +15,13 @@
     tokio::task::JoinHandle,
 };
 
-/// Time within which anything waited for must happen; far above what it takes.
+/// Timeout of every wait, far above the usual duration.
 pub const LIMIT: Duration = Duration::from_mins(1);
 
-/// Time until a proposal's outcome is called unknown, in milliseconds.
+/// Time after which the outcome of a proposal is unknown, in milliseconds.
 pub const PROPOSE_TIMEOUT_MS: u64 = 1_000;
 
-/// Time for which a peer may take no byte, in milliseconds; short, since a test waits for it.
+/// Write timeout of the server in milliseconds; short, since a test waits for it.
 const WRITE_STALL_MS: u64 = 2_000;
 
 pub struct TestNode {
@@ -50,7 +50,7 @@
     platform.with_platform(|platform| platform.faults = faults);
 }
 
-pub async fn start_node(platform: &PlatformServer, name: &str, access: Access) -> TestNode {
+pub async fn start_node(platform: &PlatformServer, name: &str, access: AccessControl) -> TestNode {
     let mut settings = NodeSettings::new(NodeIdentity::new(name, "zone-1"), platform.address());
     settings.propose_timeout_ms = PROPOSE_TIMEOUT_MS;
     settings.poll_interval_ms = 50;
@@ -60,7 +60,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let server = Server::bind(address).await.expect("bind");
     let server = server.with_limits(ServerLimits {
-        write_stall_ms: WRITE_STALL_MS,
+        write_stall_timeout_ms: WRITE_STALL_MS,
         ..ServerLimits::default()
     });
     let address = server.local_addr().expect("address");
@@ -89,14 +89,14 @@
     }
 }
 
-pub fn json(answer: &Answer) -> Value {
-    serde_json::from_slice(&answer.body).expect("JSON")
+pub fn json(response: &ClientResponse) -> Value {
+    serde_json::from_slice(&response.body).expect("JSON")
 }
 
-/// Status and problem as one text, for snapshots.
-pub fn shown(answer: &Answer) -> String {
-    let body = serde_json::to_string_pretty(&json(answer)).expect("JSON");
-    format!("{}\n{body}", answer.status.as_u16())
+/// Formats status and body for snapshots.
+pub fn format_response(response: &ClientResponse) -> String {
+    let body = serde_json::to_string_pretty(&json(response)).expect("JSON");
+    format!("{}\n{body}", response.status.as_u16())
 }
 
 pub fn pool(size: u32, min_available: u32) -> Value {
@@ -109,27 +109,32 @@
 }
 
 impl TestNode {
-    pub async fn call(&self, request: &ClientRequest) -> Answer {
-        self.client.call(request, LIMIT).await.expect("an answer")
+    pub async fn call(&self, request: &ClientRequest) -> ClientResponse {
+        self.client.call(request, LIMIT).await.expect("a response")
     }
 
-    pub async fn get(&self, path: &str) -> Answer {
+    pub async fn get(&self, path: &str) -> ClientResponse {
         self.call(&ClientRequest::new(Method::GET, path)).await
     }
 
-    pub async fn put(&self, path: &str, document: &Value) -> Answer {
+    pub async fn put(&self, path: &str, document: &Value) -> ClientResponse {
         self.call(&put(path, document)).await
     }
 
-    pub async fn delete(&self, path: &str) -> Answer {
+    pub async fn delete(&self, path: &str) -> ClientResponse {
         self.call(&ClientRequest::new(Method::DELETE, path)).await
     }
 
-    /// Declares, and fails the test when it is refused.
+    /// Declares a resource and asserts that it is accepted; returns its revision.
     pub async fn declare(&self, kind: Kind, name: &str, document: &Value) -> u64 {
-        let answer = self.put(&format!("/v1/{kind}/{name}"), document).await;
-        assert_eq!(answer.status, 200, "{kind}/{name}: {}", shown(&answer));
-        json(&answer)["revision"].as_u64().expect("revision")
+        let response = self.put(&format!("/v1/{kind}/{name}"), document).await;
+        assert_eq!(
+            response.status,
+            200,
+            "{kind}/{name}: {}",
+            format_response(&response)
+        );
+        json(&response)["revision"].as_u64().expect("revision")
     }
 }
 
--- a/crates/controller/src/config_sync.rs
+++ b/crates/controller/src/config_sync.rs
@@ -45,7 +45,7 @@
     };
     let client = node.peers.get(peer);
     let fetched: Result<Option<FleetConfig>, _> =
-        client.exchange(CONFIG_PATH, &request, limit).await;
+        client.post_message(CONFIG_PATH, &request, limit).await;
     match fetched {
         Ok(Some(config)) => node.activate_config(config),
         Ok(None) => {}
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns whether to fetch a newer configuration before answering a request, and records the
+/// Returns whether to fetch a newer configuration before responding to a request, and records the
 /// attempt.
 ///
 /// An authorized request needs no fetch here unless this node is the owner, since the owner checks
--- a/crates/coordination/src/observer.rs
+++ b/crates/coordination/src/observer.rs
@@ -9,7 +9,8 @@
     log::{debug, info},
     lynxwheel_decisions::rendezvous_rank,
     lynxwheel_protocol::{
-        MAX_REPORTS, PoolName, RecordBody, VmEntry, VmList, VmListState, VmName, VmPhase, VmReport,
+        MAX_REPORTS_PER_RECORD, PoolName, RecordBody, VmEntry, VmList, VmListState, VmName,
+        VmPhase, VmReport,
     },
     lynxwheel_state::{FleetState, VmState},
     lynxwheel_transport::Client,
@@ -52,7 +53,7 @@
     probed_ms: u64,
 }
 
-/// Result of a probe; `health` is `None` if the endpoint did not answer.
+/// Result of a probe; `health` is `None` if the endpoint did not respond.
 #[derive(Debug)]
 struct ProbeResult {
     vm: VmName,
@@ -89,7 +90,7 @@
     }
     *last_period = period;
     let timeout = Duration::from_millis(LIST_TIMEOUT_MS);
-    match platform.fetch::<VmList>("/vms", timeout).await {
+    match platform.get_message::<VmList>("/vms", timeout).await {
         Ok(list) => Some(list),
         Err(error) => {
             debug!(event = "vm_list_failed"; "{error}");
@@ -222,7 +223,7 @@
             let mut health = probe(client.as_ref(), &vm.name).await;
             if health.is_none() {
                 // When a paused node resumes, its probes have timed out although the endpoints
-                // answered. The second probe keeps it from reporting healthy VMs as failed.
+                // responded. The second probe keeps it from reporting healthy VMs as failed.
                 probe_ms = clock.now_ms();
                 health = probe(client.as_ref(), &vm.name).await;
             }
@@ -264,7 +265,7 @@
     reports.sort();
     // After the failure of an availability zone all reports in one record would exceed its size
     // limit.
-    for reports in reports.chunks(MAX_REPORTS) {
+    for reports in reports.chunks(MAX_REPORTS_PER_RECORD) {
         info!(event = "vm_reports", count = reports.len(), offset = node.state().offset();
             "reporting changes of VMs");
         let reports = reports.to_vec();
@@ -284,7 +285,7 @@
 /// Returns the report on a probed VM, if it changes anything.
 fn report_from_probe(state: &FleetState, result: &ProbeResult) -> Option<VmReport> {
     let vm = state.vms().get(result.vm.as_str())?;
-    // A leaving VM may still answer as healthy; only its next incarnation is live again.
+    // A leaving VM may still report itself healthy; only its next incarnation is live again.
     let is_leaving = |health: &Health| {
         health.leaving || vm.phase == VmPhase::Leaving && health.incarnation == vm.incarnation
     };
--- a/crates/engine/src/advice.rs
+++ b/crates/engine/src/advice.rs
@@ -117,19 +117,19 @@
             .unwrap_or_default()
     }
 
-    /// Processes an answer: tickets for the endpoints that may run the step, or `None` if the call
+    /// Processes a response: tickets for the endpoints that may run the step, or `None` if the call
     /// failed.
     pub(crate) fn tickets_received(
         &mut self,
         step: &TaskRef,
-        answer: Option<(Vec<Ticket>, u64)>,
+        response: Option<(Vec<Ticket>, u64)>,
         now: Now,
     ) {
         let index = self.advice_index(step);
         let endpoints = &self.endpoints;
         let advice = &mut self.advice[index];
         let requested = std::mem::take(&mut advice.requested);
-        let Some((tickets, valid_ms)) = answer else {
+        let Some((tickets, valid_ms)) = response else {
             advice.next_request_ms = now.steady_ms + REQUEST_RETRY_MS;
             return;
         };
--- a/crates/load/src/request.rs
+++ b/crates/load/src/request.rs
@@ -3,7 +3,7 @@
 use {
     crate::args::LoadArgs,
     http::{Method, StatusCode},
-    lynxwheel_transport::{Answer, Client, ClientRequest, Step, TransportError},
+    lynxwheel_transport::{Client, ClientRequest, ClientResponse, Step, TransportError},
     std::time::Duration,
 };
 
@@ -103,7 +103,7 @@
         }
     }
 
-    fn check_response(&self, number: u64, response: &Answer) -> Outcome {
+    fn check_response(&self, number: u64, response: &ClientResponse) -> Outcome {
         if response.header(DID_NOT_RUN_HEADER) == Some("true") {
             return Outcome::Refused;
         }
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -83,7 +83,7 @@
 }
 
 impl VmState {
-    /// Tells whether the VM counts as available in its pool.
+    /// Returns whether the VM counts as available in its pool.
     #[must_use]
     pub fn is_available(&self) -> bool {
         self.phase == VmPhase::Live && self.claim.is_none()
@@ -123,7 +123,7 @@
     /// Returns the number of VMs that must stay available.
     #[must_use]
     pub fn floor(&self) -> u32 {
-        self.spec.budget.min_available.rounded_up(self.spec.size)
+        self.spec.budget.min_available.vm_count(self.spec.size)
     }
 }
 
