--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,12 +1,13 @@
-//! Seeded experiments that judge the decisions of lynxwheel against baselines.
+//! Seeded experiments that compare the decisions of lynxwheel with baselines.
 //!
-//! A small step loop calls the real decision functions and the real fold. Faults, wrong
-//! declarations and late observation come from the inputs of a seed, which are the same for every
-//! policy; the results are counted from the truth, not from what a policy believes.
+//! A simulation calls the production decision functions and fleet state. Faults and wrong
+//! declarations are drawn from a seed and are identical for every policy. The measures are counted
+//! from the ground truth, which the fleet state follows with a delay.
 
 mod args;
 mod bound;
 mod executor;
+mod ground_truth;
 mod inputs;
 mod measures;
 mod plot;
@@ -14,8 +15,7 @@
 mod profile;
 mod routing;
 mod run;
-mod truth;
-mod world;
+mod simulation;
 
 pub use args::{ExperimentArgs, ExperimentName, execute, run_seed};
 pub use measures::Measures;
--- a/crates/experiment/src/world.rs
+++ b/crates/experiment/src/simulation.rs
@@ -1,10 +1,10 @@
-//! The step loop: the real fold and the truth, joined by late observation.
+//! Simulation step: the fleet state follows the ground truth by delayed reports.
 
 use {
     crate::{
+        ground_truth::{GroundTruth, TaskOutcome},
         inputs::{Inputs, JobInput},
         profile::Profile,
-        truth::{TaskEnd, Truth},
     },
     lynxwheel_protocol::{
         Amount, Budget, JobOutcome, JobSpec, PolicySpec, PoolSpec, Record, RecordBody, Resource,
@@ -14,92 +14,92 @@
     lynxwheel_state::{FleetState, Verdict},
 };
 
-/// Node that writes every record.
-pub const NODE: &str = "node-1";
+/// Name of the node that writes every record.
+pub const NODE_NAME: &str = "node-1";
 
-/// Time from a change of a VM to the record that reports it, in milliseconds.
-const OBSERVE_MS: u64 = 2_000;
+/// Delay from a change of a VM to the record that reports it, in milliseconds.
+const REPORT_DELAY_MS: u64 = 2_000;
 
-/// Time from the start of a task to the report of its use, in milliseconds.
-const USAGE_MS: u64 = 60_000;
+/// Delay from the start of a task to the report of its usage, in milliseconds.
+const USAGE_REPORT_DELAY_MS: u64 = 60_000;
 
-/// Wall-clock time at the start of a run, in milliseconds since the epoch.
-const EPOCH_MS: u64 = 1_000_000_000;
+/// Wall-clock time at the start of a run, in milliseconds since the Unix epoch.
+const START_CLOCK_MS: u64 = 1_000_000_000;
 
 /// Name of the wave.
-pub const WAVE: &str = "wave";
+pub const WAVE_NAME: &str = "wave";
 
-/// A report that is due.
+/// A scheduled report of a VM.
 #[derive(Clone, Copy, Debug)]
-struct Sighting {
+struct PendingReport {
     due_ms: u64,
     vm: usize,
 }
 
-/// Fold and truth of one run.
+/// Fleet state and ground truth of one run.
 #[derive(Clone, Debug)]
-pub struct World<'a> {
-    /// Inputs.
+pub struct Simulation<'a> {
+    /// Inputs of the run.
     pub inputs: &'a Inputs,
-    /// Fold.
+    /// Fleet state, as folded from the submitted records.
     pub state: FleetState,
-    /// Truth.
-    pub truth: Truth,
+    /// Actual state of the machines, tasks and jobs.
+    pub ground_truth: GroundTruth,
     /// Time since the start of the run, in milliseconds.
     pub now_ms: u64,
-    /// Attempts ended for planned or urgent work.
+    /// Attempts that ended with a checkpoint.
     pub job_moves: u64,
-    /// VMs handed over.
+    /// VMs handed over to another pool.
     pub vm_moves: u64,
-    /// Jobs that were asked to stop.
-    pub stopping: Vec<usize>,
+    /// Jobs whose running attempt is to be stopped.
+    pub stopping_jobs: Vec<usize>,
     offset: u64,
-    sightings: Vec<Sighting>,
+    pending_reports: Vec<PendingReport>,
     next_job: usize,
-    next_outage: usize,
-    cancels: Vec<usize>,
+    next_fault: usize,
+    pending_cancellations: Vec<usize>,
 }
 
-impl<'a> World<'a> {
-    /// Declares the fleet and reports every VM as live.
+impl<'a> Simulation<'a> {
+    /// Creates a simulation with the fleet declared and every VM reported as live.
     #[must_use]
     pub fn new(profile: &Profile, inputs: &'a Inputs, budget: Budget) -> Self {
-        let mut cancels: Vec<usize> = (0..inputs.jobs.len())
+        let mut pending_cancellations: Vec<usize> = (0..inputs.jobs.len())
             .filter(|job| inputs.jobs[*job].cancel_ms.is_some())
             .collect();
-        cancels.sort_by_key(|job| std::cmp::Reverse(inputs.jobs[*job].cancel_ms));
-        let mut world = Self {
+        pending_cancellations.sort_by_key(|job| std::cmp::Reverse(inputs.jobs[*job].cancel_ms));
+        let mut simulation = Self {
             inputs,
             state: FleetState::new(),
-            truth: Truth::new(inputs),
+            ground_truth: GroundTruth::new(inputs),
             now_ms: 0,
             job_moves: 0,
             vm_moves: 0,
-            stopping: Vec::new(),
+            stopping_jobs: Vec::new(),
             offset: 0,
-            sightings: Vec::new(),
+            pending_reports: Vec::new(),
             next_job: 0,
-            next_outage: 0,
-            cancels,
+            next_fault: 0,
+            pending_cancellations,
         };
-        world.submit(RecordBody::Join {
-            node: NODE.into(),
+        simulation.submit(RecordBody::Join {
+            node: NODE_NAME.into(),
             fold_version: 1,
         });
-        world.declare_fleet(profile, budget);
+        simulation.declare_fleet(profile, budget);
         for vm in 0..inputs.vms.len() {
-            world.report(vm);
+            simulation.report_vm(vm);
         }
-        world
+        simulation
     }
 
-    /// Returns the fold's time, in milliseconds since the epoch.
+    /// Returns the simulated wall-clock time, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn clock_ms(&self) -> u64 {
-        EPOCH_MS + self.now_ms
+        START_CLOCK_MS + self.now_ms
     }
 
-    /// Appends a record and folds it.
+    /// Writes a record and applies it to the fleet state.
     pub fn submit(&mut self, body: RecordBody) -> Verdict {
         self.offset += 1;
         let record = Record {
@@ -125,7 +125,7 @@
     /// Starts the wave over all pools.
     pub fn start_wave(&mut self, profile: &Profile) {
         let spec = WaveSpec {
-            name: WAVE.into(),
+            name: WAVE_NAME.into(),
             pools: (0..profile.pools)
                 .map(|pool| pool_name(pool).as_str().into())
                 .collect(),
@@ -137,57 +137,58 @@
         self.put(Resource::Wave(spec));
     }
 
-    /// Lets the truth and what is known of it go on to the present time.
+    /// Advances the ground truth to the current time and submits the records that are due.
     pub fn advance(&mut self) {
-        self.fail_machines();
-        for vm in self.truth.come_up(self.now_ms) {
-            self.sight(vm);
+        self.start_faults();
+        for vm in self.ground_truth.restart_due_machines(self.now_ms) {
+            self.schedule_report(vm);
         }
-        self.end_tasks();
-        self.observe();
+        self.report_tasks();
+        self.submit_due_reports();
         self.declare_jobs();
         self.cancel_jobs();
     }
 
-    /// Returns how many VMs of a pool are available by the truth.
+    /// Returns how many unclaimed VMs of a pool are actually up.
     #[must_use]
-    pub fn truly_available(&self, pool: &str) -> u32 {
+    pub fn actual_available_vms(&self, pool: &str) -> u32 {
         let vms = self.state.vms().iter();
         let count = vms
             .filter(|vm| vm.pool.as_str() == pool && vm.claim.is_none())
-            .filter(|vm| self.truth.machines[index_of(vm.name.as_str())].is_up)
+            .filter(|vm| self.ground_truth.machines[parse_index(vm.name.as_str())].is_up)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Asks the VMs of a pool right before a planned step and reports what is news.
+    /// Reports the VMs in the pool of `vm` that are down but still recorded as available.
     pub fn probe_pool(&mut self, vm: &str) {
         let Some(pool) = self.state.vms().get(vm).map(|vm| vm.pool.clone()) else {
             return;
         };
-        let news: Vec<usize> = self
+        let undetected: Vec<usize> = self
             .state
             .vms()
             .iter()
             .filter(|vm| vm.pool == pool && vm.is_available())
-            .map(|vm| index_of(vm.name.as_str()))
-            .filter(|vm| !self.truth.machines[*vm].is_up)
+            .map(|vm| parse_index(vm.name.as_str()))
+            .filter(|vm| !self.ground_truth.machines[*vm].is_up)
             .collect();
-        for vm in news {
-            self.report(vm);
+        for vm in undetected {
+            self.report_vm(vm);
         }
     }
 
     /// Starts the reboot of a VM.
     pub fn reboot(&mut self, vm: usize) {
         let input = &self.inputs.vms[vm];
-        let mut back_ms = self.now_ms + input.reboot_ms;
-        if input.rack == self.inputs.bad_rack && !self.truth.machines[vm].is_repaired {
-            back_ms = self.now_ms + self.inputs.bad_rack_down_ms;
-            self.truth.machines[vm].is_repaired = true;
+        let mut restart_ms = self.now_ms + input.reboot_ms;
+        if input.rack == self.inputs.faulty_rack && !self.ground_truth.machines[vm].had_long_reboot
+        {
+            restart_ms = self.now_ms + self.inputs.faulty_rack_down_ms;
+            self.ground_truth.machines[vm].had_long_reboot = true;
         }
-        self.truth.go_down(vm, self.now_ms, back_ms);
-        self.sight(vm);
+        self.ground_truth.take_down(vm, self.now_ms, restart_ms);
+        self.schedule_report(vm);
     }
 
     fn declare_fleet(&mut self, profile: &Profile, budget: Budget) {
@@ -224,41 +225,42 @@
         }
     }
 
-    fn fail_machines(&mut self) {
-        while let Some(outage) = self.inputs.outages.get(self.next_outage) {
-            if outage.from_ms > self.now_ms {
+    fn start_faults(&mut self) {
+        while let Some(fault) = self.inputs.faults.get(self.next_fault) {
+            if fault.start_ms > self.now_ms {
                 return;
             }
-            self.next_outage += 1;
-            self.truth.go_down(outage.vm, self.now_ms, outage.until_ms);
-            self.sight(outage.vm);
+            self.next_fault += 1;
+            self.ground_truth
+                .take_down(fault.vm, self.now_ms, fault.end_ms);
+            self.schedule_report(fault.vm);
         }
     }
 
-    fn sight(&mut self, vm: usize) {
-        self.sightings.push(Sighting {
-            due_ms: self.now_ms + OBSERVE_MS,
+    fn schedule_report(&mut self, vm: usize) {
+        self.pending_reports.push(PendingReport {
+            due_ms: self.now_ms + REPORT_DELAY_MS,
             vm,
         });
     }
 
-    fn observe(&mut self) {
+    fn submit_due_reports(&mut self) {
         let now_ms = self.now_ms;
-        let due: Vec<Sighting> = self
-            .sightings
-            .extract_if(.., |sighting| sighting.due_ms <= now_ms)
+        let due: Vec<PendingReport> = self
+            .pending_reports
+            .extract_if(.., |report| report.due_ms <= now_ms)
             .collect();
-        for sighting in due {
-            self.report(sighting.vm);
+        for report in due {
+            self.report_vm(report.vm);
         }
     }
 
-    fn report(&mut self, vm: usize) {
+    fn report_vm(&mut self, vm: usize) {
         let input = &self.inputs.vms[vm];
-        let machine = &self.truth.machines[vm];
+        let machine = &self.ground_truth.machines[vm];
         let report = VmReport {
             vm: vm_name(vm),
-            incarnation: machine.life,
+            incarnation: machine.incarnation,
             phase: if machine.is_up {
                 VmPhase::Live
             } else {
@@ -278,7 +280,7 @@
     fn declare_jobs(&mut self) {
         let inputs = self.inputs;
         while let Some(job) = inputs.jobs.get(self.next_job) {
-            if job.at_ms > self.now_ms {
+            if job.arrival_ms > self.now_ms {
                 return;
             }
             let spec = job_spec(self.next_job, job, false);
@@ -288,12 +290,12 @@
     }
 
     fn cancel_jobs(&mut self) {
-        while let Some(job) = self.cancels.last().copied() {
+        while let Some(job) = self.pending_cancellations.last().copied() {
             let input = &self.inputs.jobs[job];
             if input.cancel_ms > Some(self.now_ms) {
                 return;
             }
-            self.cancels.pop();
+            self.pending_cancellations.pop();
             let is_final = self
                 .state
                 .jobs()
@@ -301,65 +303,65 @@
                 .is_none_or(lynxwheel_state::JobState::is_final);
             if !is_final {
                 self.put(Resource::Job(job_spec(job, input, true)));
-                self.stopping.push(job);
+                self.stopping_jobs.push(job);
             }
         }
     }
 
-    /// Reports the ends and the use of tasks, and attempts that are lost with their VM.
-    fn end_tasks(&mut self) {
-        for vm in 0..self.truth.machines.len() {
-            for task in self.truth.take_ended(vm, self.now_ms) {
-                let outcome = match task.end {
-                    TaskEnd::Succeeded => JobOutcome::Succeeded,
-                    TaskEnd::Failed => JobOutcome::Failed,
-                    TaskEnd::Checkpointed => JobOutcome::Checkpointed,
+    /// Reports ended tasks, usage that is due, and attempts that were lost with their VM.
+    fn report_tasks(&mut self) {
+        for vm in 0..self.ground_truth.machines.len() {
+            for task in self.ground_truth.remove_ended_tasks(vm, self.now_ms) {
+                let outcome = match task.outcome {
+                    TaskOutcome::Succeeded => JobOutcome::Succeeded,
+                    TaskOutcome::Failed => JobOutcome::Failed,
+                    TaskOutcome::Checkpointed => JobOutcome::Checkpointed,
                 };
-                if task.end != TaskEnd::Succeeded {
+                if task.outcome != TaskOutcome::Succeeded {
                     self.report_usage(task.job, task.attempt);
                 }
-                self.job_moves += u64::from(task.end == TaskEnd::Checkpointed);
-                self.end(task.job, task.attempt, outcome);
+                self.job_moves += u64::from(task.outcome == TaskOutcome::Checkpointed);
+                self.end_attempt(task.job, task.attempt, outcome);
             }
-            let late = self.now_ms.saturating_sub(USAGE_MS);
-            let mut used = Vec::new();
-            for task in &mut self.truth.machines[vm].tasks {
-                if !task.has_usage && task.started_ms <= late {
-                    task.has_usage = true;
-                    used.push((task.job, task.attempt));
+            let latest_start_ms = self.now_ms.saturating_sub(USAGE_REPORT_DELAY_MS);
+            let mut unreported = Vec::new();
+            for task in &mut self.ground_truth.machines[vm].tasks {
+                if !task.is_usage_reported && task.start_ms <= latest_start_ms {
+                    task.is_usage_reported = true;
+                    unreported.push((task.job, task.attempt));
                 }
             }
-            for (job, attempt) in used {
+            for (job, attempt) in unreported {
                 self.report_usage(job, attempt);
             }
-            self.end_lost(vm);
+            self.report_lost_attempts(vm);
         }
     }
 
-    fn end_lost(&mut self, vm: usize) {
+    fn report_lost_attempts(&mut self, vm: usize) {
         let name = vm_name(vm);
-        let Some(known) = self.state.vms().get(name.as_str()) else {
+        let Some(vm_state) = self.state.vms().get(name.as_str()) else {
             return;
         };
-        if known.attempts.is_empty() {
+        if vm_state.attempts.is_empty() {
             return;
         }
-        let lost: Vec<(usize, u32)> = known
+        let lost: Vec<(usize, u32)> = vm_state
             .attempts
             .iter()
             .filter_map(|name| self.state.jobs().get(name.as_str()))
-            .map(|job| (index_of(job.spec.name.as_str()), job.attempts))
+            .map(|job| (parse_index(job.spec.name.as_str()), job.attempts))
             .filter(|(job, _)| {
-                let tasks = &self.truth.machines[vm].tasks;
+                let tasks = &self.ground_truth.machines[vm].tasks;
                 tasks.iter().all(|task| task.job != *job)
             })
             .collect();
         for (job, attempt) in lost {
-            self.end(job, attempt, JobOutcome::Lost);
+            self.end_attempt(job, attempt, JobOutcome::Lost);
         }
     }
 
-    fn end(&mut self, job: usize, attempt: u32, outcome: JobOutcome) {
+    fn end_attempt(&mut self, job: usize, attempt: u32, outcome: JobOutcome) {
         self.submit(RecordBody::End {
             job: job_name(job).as_str().into(),
             attempt,
@@ -368,7 +370,7 @@
     }
 
     fn report_usage(&mut self, job: usize, attempt: u32) {
-        let used = self.inputs.jobs[job].used;
+        let used = self.inputs.jobs[job].actual_usage;
         self.submit(RecordBody::Usage {
             job: job_name(job).as_str().into(),
             attempt,
@@ -377,9 +379,9 @@
     }
 }
 
-/// Returns the budget of the pools.
+/// Returns the budget of every pool.
 #[must_use]
-pub fn budget() -> Budget {
+pub fn pool_budget() -> Budget {
     Budget {
         min_available: Amount::Percent(75),
         zones_at_once: 1,
@@ -392,9 +394,9 @@
         pool: pool_name(job.pool).as_str().into(),
         team: team_name(job.team).as_str().into(),
         class: job.class,
-        demand: job.declared,
-        run_time_ms: job.declared_ms,
-        checkpoint: job.checkpoint,
+        demand: job.declared_demand,
+        run_time_ms: job.declared_run_ms,
+        checkpoint: job.can_checkpoint,
         max_attempts: 5,
         cancelled,
     }
@@ -420,9 +422,9 @@
     format!("job-{job:06}")
 }
 
-/// Returns the index in a name that the functions above made.
+/// Returns the index at the end of a generated name.
 #[must_use]
-pub fn index_of(name: &str) -> usize {
+pub fn parse_index(name: &str) -> usize {
     let digits = name.rsplit('-').next().unwrap_or_default();
     digits.parse().unwrap_or_default()
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,50 +1,51 @@
-//! What a load shows.
+//! Report of a load.
 
 use {
-    crate::{tally::Tally, usage::Usage},
+    crate::{tally::Tally, usage::ProcessUsage},
     serde::Serialize,
     std::{fmt, time::Duration},
 };
 
-/// Latencies in microseconds.
+/// Latency percentiles, in microseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Latency {
     /// Median.
     pub p50_us: u64,
-    /// Value that 90 % do not exceed.
+    /// 90th percentile.
     pub p90_us: u64,
-    /// Value that 99 % do not exceed.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// Value that 99.9 % do not exceed.
+    /// 99.9th percentile.
     pub p999_us: u64,
-    /// Highest.
+    /// Maximum.
     pub max_us: u64,
 }
 
-/// Results of one side.
+/// Results of one target.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct SideReport {
-    /// Whole answers to the callers' own requests.
+pub struct TargetReport {
+    /// Complete and correct responses.
     pub answered: u64,
-    /// Refusals that say that the request did not run.
+    /// Refusals with a header that states that the request did not run.
     pub refused: u64,
-    /// Refusals and give-ups that do not say so.
+    /// Responses with an error status and no such header.
     pub unknown: u64,
-    /// Answers that are not the caller's own.
+    /// Responses to another request or with unexpected content.
     pub wrong: u64,
-    /// Answers that broke off.
-    pub cut: u64,
-    /// Requests whose connection failed before an answer.
+    /// Responses whose body ended early.
+    #[serde(rename = "cut")]
+    pub truncated: u64,
+    /// Requests that failed before a response arrived.
     pub failed: u64,
-    /// Further attempts of callers.
+    /// Retries of requests.
     pub retried: u64,
-    /// Whole answers a second.
+    /// Complete and correct responses a second.
     pub answered_per_s: u64,
-    /// Latency of whole answers.
+    /// Latency of answered requests.
     pub latency: Latency,
 }
 
-impl SideReport {
+impl TargetReport {
     pub(crate) fn new(tally: &Tally, elapsed: Duration) -> Self {
         let at = |quantile| tally.latency.value_at_quantile(quantile);
         let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
@@ -53,9 +54,9 @@
             refused: tally.refused,
             unknown: tally.unknown,
             wrong: tally.wrong,
-            cut: tally.cut,
+            truncated: tally.truncated,
             failed: tally.failed,
-            retried: tally.retried,
+            retried: tally.retries,
             answered_per_s: tally.answered * 1_000 / elapsed_ms.max(1),
             latency: Latency {
                 p50_us: at(0.5),
@@ -71,32 +72,33 @@
 /// Results of a load.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Through the nodes.
-    pub nodes: SideReport,
-    /// Straight to the endpoints, when asked for.
-    pub direct: Option<SideReport>,
-    /// Requests not sent because too many were unanswered.
+    /// Requests sent through the nodes.
+    pub nodes: TargetReport,
+    /// Requests sent directly to endpoints, if there are any.
+    pub direct: Option<TargetReport>,
+    /// Requests not sent because too many were in flight.
     pub not_sent: u64,
-    /// Keys that ran more than once, when the platform tells.
-    pub doubled: Option<u64>,
-    /// Processor time of the measured processes for one request, in microseconds.
+    /// Keys that ran more than once, if the platform lists its runs.
+    #[serde(rename = "doubled")]
+    pub duplicate_keys: Option<u64>,
+    /// CPU time of the measured processes for each answered request, in microseconds.
     pub processor_us_per_request: u64,
-    /// Resident memory of the measured processes at the end of the sending, in kibibytes.
+    /// Resident memory of the measured processes after the last request was sent, in kibibytes.
     pub memory_kib: u64,
 }
 
 impl LoadReport {
-    pub(crate) fn with_usage(mut self, before: Usage, after: Usage) -> Self {
-        let used_us = after.processor_us.saturating_sub(before.processor_us);
+    pub(crate) fn with_usage(mut self, before: ProcessUsage, after: ProcessUsage) -> Self {
+        let used_us = after.cpu_us.saturating_sub(before.cpu_us);
         self.processor_us_per_request = used_us / self.nodes.answered.max(1);
         self.memory_kib = after.memory_kib;
         self
     }
 
-    /// Tells whether every answer was whole and the caller's own, and nothing ran twice.
+    /// Returns whether no response was wrong or truncated and no key ran more than once.
     #[must_use]
-    pub fn is_truthful(&self) -> bool {
-        self.nodes.wrong == 0 && self.nodes.cut == 0 && self.doubled.unwrap_or(0) == 0
+    pub fn is_correct(&self) -> bool {
+        self.nodes.wrong == 0 && self.nodes.truncated == 0 && self.duplicate_keys.unwrap_or(0) == 0
     }
 }
 
@@ -118,16 +120,16 @@
             "p99.9 us",
             "max us"
         )?;
-        write_side(formatter, "nodes", &self.nodes)?;
+        write_row(formatter, "nodes", &self.nodes)?;
         if let Some(direct) = &self.direct {
-            write_side(formatter, "direct", direct)?;
-            let (with, without) = (&self.nodes.latency, &direct.latency);
-            let added = |a: u64, b: u64| i128::from(a) - i128::from(b);
+            write_row(formatter, "direct", direct)?;
+            let (nodes, direct) = (&self.nodes.latency, &direct.latency);
+            let overhead = |a: u64, b: u64| i128::from(a) - i128::from(b);
             writeln!(
                 formatter,
                 "added: p50 {} us, p99 {} us",
-                added(with.p50_us, without.p50_us),
-                added(with.p99_us, without.p99_us)
+                overhead(nodes.p50_us, direct.p50_us),
+                overhead(nodes.p99_us, direct.p99_us)
             )?;
         }
         writeln!(
@@ -135,7 +137,7 @@
             "callers' retries {}, not sent {}, doubled {}",
             self.nodes.retried,
             self.not_sent,
-            self.doubled
+            self.duplicate_keys
                 .map_or_else(|| "not asked".to_owned(), |count| count.to_string())
         )?;
         write!(
@@ -146,21 +148,21 @@
     }
 }
 
-fn write_side(formatter: &mut fmt::Formatter<'_>, name: &str, side: &SideReport) -> fmt::Result {
+fn write_row(formatter: &mut fmt::Formatter<'_>, name: &str, target: &TargetReport) -> fmt::Result {
     writeln!(
         formatter,
         "{:8} {:>9} {:>8} {:>8} {:>6} {:>5} {:>7} {:>8} {:>8} {:>8} {:>9} {:>9}",
         name,
-        side.answered,
-        side.answered_per_s,
-        side.refused,
-        side.wrong,
-        side.cut,
-        side.failed,
-        side.unknown,
-        side.latency.p50_us,
-        side.latency.p99_us,
-        side.latency.p999_us,
-        side.latency.max_us
+        target.answered,
+        target.answered_per_s,
+        target.refused,
+        target.wrong,
+        target.truncated,
+        target.failed,
+        target.unknown,
+        target.latency.p50_us,
+        target.latency.p99_us,
+        target.latency.p999_us,
+        target.latency.max_us
     )
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,14 +1,14 @@
-//! A load from its start to its report.
+//! Execution of a load.
 
 use {
     crate::{
         args::LoadArgs,
-        doubles::count_doubles,
-        exchange::{Ending, Shape},
-        pace::Pace,
-        report::{LoadReport, SideReport},
+        duplicates::count_duplicate_keys,
+        report::{LoadReport, TargetReport},
+        request::{Outcome, RequestTemplate},
+        schedule::SendSchedule,
         tally::SharedTally,
-        usage::Usage,
+        usage::ProcessUsage,
     },
     lynxwheel_transport::Client,
     std::{
@@ -24,117 +24,127 @@
     },
 };
 
-/// Requests of one side that may be unanswered at once; further ones are counted as not sent.
-const MAX_UNANSWERED: u32 = 10_000;
+/// Maximum requests in flight to one target; further ones are counted as not sent.
+const MAX_IN_FLIGHT: u32 = 10_000;
 
-/// Pause before a caller's next attempt.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before the next attempt of a request.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Pause between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(1);
+/// Interval between two progress lines.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests to one side.
+/// Nodes or endpoints that receive the same requests.
 #[derive(Debug)]
-struct Side {
+struct Target {
     clients: Vec<Client>,
-    shape: Shape,
+    template: RequestTemplate,
     tally: SharedTally,
-    unanswered: Arc<Semaphore>,
-    limit: Duration,
-    attempts: u32,
+    in_flight: Arc<Semaphore>,
+    timeout: Duration,
+    max_attempts: u32,
 }
 
-impl Side {
-    fn new(addresses: &[SocketAddr], shape: Shape, args: &LoadArgs, attempts: u32) -> Self {
+impl Target {
+    fn new(
+        addresses: &[SocketAddr],
+        template: RequestTemplate,
+        args: &LoadArgs,
+        max_attempts: u32,
+    ) -> Self {
         let connections = args.connections.div_ceil(addresses.len().max(1));
         Self {
             clients: addresses
                 .iter()
                 .map(|address| Client::new(*address, connections))
                 .collect(),
-            shape,
+            template,
             tally: SharedTally::new(),
-            unanswered: Arc::new(Semaphore::new(MAX_UNANSWERED as usize)),
-            limit: Duration::from_millis(args.timeout_ms),
-            attempts,
+            in_flight: Arc::new(Semaphore::new(MAX_IN_FLIGHT as usize)),
+            timeout: Duration::from_millis(args.timeout_ms),
+            max_attempts,
         }
     }
 
-    /// Sends request `number`, with further attempts while they may help.
+    /// Sends request `number` and retries it after outcomes that a retry may improve.
     async fn send(self: Arc<Self>, number: u64, due: Instant, permit: OwnedSemaphorePermit) {
         let mut attempt = 0;
         loop {
-            let turn = usize::try_from(number + u64::from(attempt)).unwrap_or(0);
-            let client = &self.clients[turn % self.clients.len()];
-            let ending = self.shape.send(client, number, self.limit).await;
+            let client_index = usize::try_from(number + u64::from(attempt)).unwrap_or(0);
+            let client = &self.clients[client_index % self.clients.len()];
+            let outcome = self.template.send(client, number, self.timeout).await;
             attempt += 1;
-            let may_help = matches!(ending, Ending::Failed | Ending::Refused | Ending::Unknown);
-            if !may_help || attempt >= self.attempts {
-                self.tally.note(ending, due.elapsed(), attempt - 1);
+            let can_retry = matches!(
+                outcome,
+                Outcome::Failed | Outcome::Refused | Outcome::Unknown
+            );
+            if !can_retry || attempt >= self.max_attempts {
+                self.tally.record(outcome, due.elapsed(), attempt - 1);
                 drop(permit);
                 return;
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Runs a load on the current thread's runtime.
 pub async fn run(args: &LoadArgs) -> LoadReport {
-    let name = run_name();
-    let nodes = Side::new(
+    let run_name = unique_run_name();
+    let nodes = Target::new(
         &args.nodes,
-        Shape::to_nodes(args, &name),
+        RequestTemplate::for_nodes(args, &run_name),
         args,
         args.attempts,
     );
     let nodes = Arc::new(nodes);
     let direct = (!args.direct.is_empty()).then(|| {
-        let shape = Shape::to_endpoints(args, &name);
-        Arc::new(Side::new(&args.direct, shape, args, 1))
+        let template = RequestTemplate::for_endpoints(args, &run_name);
+        Arc::new(Target::new(&args.direct, template, args, 1))
     });
-    let before = Usage::read(&args.pids);
+    let usage_before = ProcessUsage::read(&args.pids);
     let start = Instant::now();
-    let sending = {
-        let sides: Vec<Arc<Side>> = [Some(&nodes), direct.as_ref()]
+    let sender = {
+        let targets: Vec<Arc<Target>> = [Some(&nodes), direct.as_ref()]
             .into_iter()
             .flatten()
             .map(Arc::clone)
             .collect();
         let count = (u64::from(args.rate) * args.seconds).min(args.max_requests);
-        let pace = Pace::new(start, args.rate);
+        let schedule = SendSchedule::new(start, args.rate);
         let runtime = Handle::current();
-        thread::spawn(move || send_all(&sides, pace, count, &runtime))
+        thread::spawn(move || send_all(&targets, schedule, count, &runtime))
     };
     let progress = args
         .json
-        .then(|| tokio::spawn(show_progress(Arc::clone(&nodes))));
-    let sent = tokio::task::spawn_blocking(move || sending.join()).await;
+        .then(|| tokio::spawn(print_progress(Arc::clone(&nodes))));
+    let sent = tokio::task::spawn_blocking(move || sender.join()).await;
     let not_sent = sent.ok().and_then(Result::ok).unwrap_or(0);
-    let after = Usage::read(&args.pids);
-    for side in [Some(&nodes), direct.as_ref()].into_iter().flatten() {
-        // Every request has a time limit, so all permits come back.
-        drop(side.unanswered.acquire_many(MAX_UNANSWERED).await);
+    let usage_after = ProcessUsage::read(&args.pids);
+    for target in [Some(&nodes), direct.as_ref()].into_iter().flatten() {
+        // Every request has a timeout, so all permits are returned.
+        drop(target.in_flight.acquire_many(MAX_IN_FLIGHT).await);
     }
     let elapsed = start.elapsed();
     if let Some(progress) = progress {
         progress.abort();
     }
-    let doubled = match args.platform {
-        Some(platform) => count_doubles(platform, &name).await,
+    let duplicate_keys = match args.platform {
+        Some(platform) => count_duplicate_keys(platform, &run_name).await,
         None => None,
     };
     LoadReport {
-        nodes: SideReport::new(&nodes.tally.copy(), elapsed),
-        direct: direct.map(|side| SideReport::new(&side.tally.copy(), elapsed)),
+        nodes: TargetReport::new(&nodes.tally.snapshot(), elapsed),
+        direct: direct.map(|target| TargetReport::new(&target.tally.snapshot(), elapsed)),
         not_sent,
-        doubled,
+        duplicate_keys,
         ..LoadReport::default()
     }
-    .with_usage(before, after)
+    .with_usage(usage_before, usage_after)
 }
 
-/// Runs a load and prints its report; the exit code is 1 when an answer was wrong, cut or doubled.
+/// Runs a load and prints its report.
+///
+/// The exit code is 1 if a response was wrong or truncated, or if a request ran more than once.
 #[must_use]
 pub fn execute(args: &LoadArgs) -> ExitCode {
     let runtime = match Builder::new_multi_thread()
@@ -157,23 +167,23 @@
     } else {
         println!("{report}");
     }
-    if report.is_truthful() {
+    if report.is_correct() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// Sends `count` requests to each side and returns how many were not sent.
-fn send_all(sides: &[Arc<Side>], pace: Pace, count: u64, runtime: &Handle) -> u64 {
+/// Sends `count` requests to each target and returns how many were not sent.
+fn send_all(targets: &[Arc<Target>], schedule: SendSchedule, count: u64, runtime: &Handle) -> u64 {
     let mut not_sent = 0;
     for number in 0..count {
-        pace.wait(number);
-        for side in sides {
-            match Arc::clone(&side.unanswered).try_acquire_owned() {
+        schedule.wait_until_due(number);
+        for target in targets {
+            match Arc::clone(&target.in_flight).try_acquire_owned() {
                 Ok(permit) => {
-                    let side = Arc::clone(side);
-                    runtime.spawn(side.send(number, pace.due(number), permit));
+                    let target = Arc::clone(target);
+                    runtime.spawn(target.send(number, schedule.due_time(number), permit));
                 }
                 Err(_) => not_sent += 1,
             }
@@ -182,15 +192,15 @@
     not_sent
 }
 
-async fn show_progress(side: Arc<Side>) {
+async fn print_progress(target: Arc<Target>) {
     let start = Instant::now();
     loop {
-        tokio::time::sleep(PROGRESS).await;
-        let tally = side.tally.copy();
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
+        let tally = target.tally.snapshot();
         let line = serde_json::json!({
             "event": "progress",
             "elapsed_ms": u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX),
-            "ended": tally.ended(),
+            "ended": tally.ended_count(),
             "answered": tally.answered,
             "refused": tally.refused,
             "failed": tally.failed,
@@ -200,10 +210,10 @@
     }
 }
 
-/// Names a run, so that ids of two runs differ.
-fn run_name() -> String {
-    let since = SystemTime::now()
+/// Returns a name for the run that makes its request ids differ from those of other runs.
+fn unique_run_name() -> String {
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    format!("load-{}", since.as_millis())
+    format!("load-{}", since_epoch.as_millis())
 }
