--- a/crates/api/src/write.rs
+++ b/crates/api/src/write.rs
@@ -113,7 +113,7 @@
                 "the body did not arrive in time",
             )
         })?
-        .map_err(|answer| body_problem(answer.status()))?;
+        .map_err(|response| body_problem(response.status()))?;
     let document = serde_json::from_slice(&bytes)
         .map_err(|error| Problem::new(ProblemReason::BadRequest, format!("no JSON: {error}")))?;
     parse_resource(reference.kind, &reference.name, &document).map_err(invalid_fields)
--- a/crates/lynxctl/src/output.rs
+++ b/crates/lynxctl/src/output.rs
@@ -33,7 +33,7 @@
     line.trim_end().into()
 }
 
-/// Returns the first condition, which tells whether the fleet matches the declaration.
+/// Returns the first condition, which states whether the fleet matches the declaration.
 #[must_use]
 pub fn ready_condition(view: &ResourceView) -> Option<&Condition> {
     view.conditions.first()
--- a/crates/lynxctl/src/watch.rs
+++ b/crates/lynxctl/src/watch.rs
@@ -68,7 +68,7 @@
     Ok(String::new())
 }
 
-/// Tells whether an error may go away by itself.
+/// Returns whether an error may be temporary.
 fn is_transient(error: &CtlError) -> bool {
     match error {
         CtlError::Unreachable { .. } => true,
