--- a/crates/decisions/src/action_step.rs
+++ b/crates/decisions/src/action_step.rs
@@ -10,7 +10,7 @@
 pub enum ActionStep {
     /// The VM is live in a new incarnation; the claim is done.
     Complete,
-    /// Sends the action, again if need be; the platform executes it once for each fencing number.
+    /// Sends the action, again if need be; the platform executes it once for each fencing token.
     Send,
     /// The action's window has passed; the budget is rechecked and a new window opened.
     Recheck,
--- a/crates/decisions/src/claim_review.rs
+++ b/crates/decisions/src/claim_review.rs
@@ -52,7 +52,7 @@
 pub struct ClaimReview {
     /// Claimed VM.
     pub vm: VmName,
-    /// Fencing number of the claim.
+    /// Fencing token of the claim.
     pub fence: u64,
     /// Step to take.
     pub step: ReviewStep,
--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -237,7 +237,7 @@
         #[arg(key)]
         pool: Option<String>,
     },
-    /// Rechecks the budget before the action, with the fencing number that the node last knew.
+    /// Rechecks the budget before the action, with the fencing token that the node last knew.
     Begin {
         /// Name of the VM.
         vm: String,
@@ -265,7 +265,7 @@
         /// Name of the VM.
         vm: String,
     },
-    /// Requests an action from the platform, with the fencing number that the node last knew.
+    /// Requests an action from the platform, with the fencing token that the node last knew.
     Act {
         /// Name of the VM.
         vm: String,
--- a/crates/scenario/src/records.rs
+++ b/crates/scenario/src/records.rs
@@ -9,7 +9,7 @@
 /// Maximum time between the recheck and the start of an action, in milliseconds.
 pub(crate) const ACTION_WINDOW_MS: u64 = 10_000;
 
-/// Returns the record of a step, with the fencing number that the node last knew.
+/// Returns the record of a step, with the fencing token that the node last knew.
 pub(crate) fn step_record(
     node: &SimNode,
     command: &Command,
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -44,9 +44,9 @@
     pub is_draining: bool,
     /// Number of requests in progress.
     pub in_progress: u32,
-    /// Highest fencing number received.
+    /// Highest fencing token received.
     pub fence: u64,
-    /// Fencing number of the last reboot; each number causes at most one reboot.
+    /// Fencing token of the last reboot; each token causes at most one reboot.
     pub last_reboot_fence: u64,
     /// Time of the next restart, in milliseconds since the epoch.
     pub restart_ms: Option<u64>,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Performs an action unless its fencing number is outdated or its time limit has passed.
+    /// Performs an action unless its fencing token is outdated or its time limit has passed.
     ///
     /// # Errors
     ///
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the claim on a VM if `fence` is its current fencing number.
+    /// Returns the claim on a VM if `fence` is its current fencing token.
     ///
     /// This rejects the steps of a holder that was paused while another node took its claim over.
     fn claim_with_fence(&self, name: &VmName, fence: u64) -> Result<&Claim, Rejection> {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Transfers a claim to another node under a new fencing number; its stage is unchanged.
+    /// Transfers a claim to another node under a new fencing token; its stage is unchanged.
     pub(crate) fn take_over(
         &mut self,
         offset: u64,
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -32,7 +32,7 @@
     pub vm_incarnation: u64,
     /// Node that starts the attempt.
     pub holder: NodeName,
-    /// Log offset of the start, which is the fencing number of the lease.
+    /// Log offset of the start, which is the fencing token of the lease.
     pub fence: u64,
     /// Resources reserved on the VM.
     pub reserved: Resources,
--- a/crates/state/src/verdict.rs
+++ b/crates/state/src/verdict.rs
@@ -72,7 +72,7 @@
     StaleFence {
         /// Name of the VM.
         vm: VmName,
-        /// Current fencing number; 0 if there is no claim.
+        /// Current fencing token; 0 if there is no claim.
         fence: u64,
     },
     /// The step is not allowed in the claim's stage, or while attempts run on the VM.
--- a/crates/state/src/vms.rs
+++ b/crates/state/src/vms.rs
@@ -28,7 +28,7 @@
     pub incarnation: u64,
     /// Node that executes the planned work.
     pub holder: NodeName,
-    /// Fencing number, the log offset of the claim or of its last takeover.
+    /// Fencing token, the log offset of the claim or of its last takeover.
     pub fence: u64,
     /// Current stage.
     pub stage: ClaimStage,
--- a/crates/state/tests/encodings.rs
+++ b/crates/state/tests/encodings.rs
@@ -117,7 +117,7 @@
         }));
     }
 
-    /// Claims a VM; returns the fencing number.
+    /// Claims a VM; returns the fencing token.
     fn claim(&mut self, vm: &str, purpose: ClaimPurpose) -> u64 {
         self.take(RecordBody::Claim {
             vm: vm.into(),
