--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -82,12 +82,12 @@
         self.start_node_with(index, self.settings(index)).await
     }
 
-    /// Starts the node at `index` behind a relay that can disconnect it from the platform.
-    pub async fn start_node_behind_relay(&self, index: usize) -> (RunningNode, Relay) {
-        let (relay, address) = Relay::start(self.platform.address()).await;
+    /// Starts the node at `index` behind a proxy that can disconnect it from the platform.
+    pub async fn start_node_behind_proxy(&self, index: usize) -> (RunningNode, Proxy) {
+        let (proxy, address) = Proxy::start(self.platform.address()).await;
         let mut settings = self.settings(index);
         settings.platform = address;
-        (self.start_node_with(index, settings).await, relay)
+        (self.start_node_with(index, settings).await, proxy)
     }
 
     /// Sends a hello to the node at `index` as a peer would.
@@ -161,12 +161,12 @@
         .collect()
 }
 
-/// Relays connections to an address until it is disconnected.
-pub struct Relay {
+/// Forwards connections to an address until it is disconnected.
+pub struct Proxy {
     is_disconnected: watch::Sender<bool>,
 }
 
-impl Relay {
+impl Proxy {
     /// Closes all connections and refuses new ones.
     pub fn disconnect(&self) {
         self.is_disconnected.send_replace(true);
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -145,12 +145,12 @@
 async fn node_isolated_from_the_log_follows_its_peers() {
     let fleet = Fleet::start(2).await;
     let first = fleet.start_node(0).await;
-    let (isolated, relay) = fleet.start_node_behind_relay(1).await;
+    let (isolated, proxy) = fleet.start_node_behind_proxy(1).await;
     wait_until("the node is current before it is isolated", || {
         isolated.node.is_current()
     })
     .await;
-    relay.disconnect();
+    proxy.disconnect();
     declare(&first, "night-shift").await;
     wait_until("the isolated node knows the declaration", || {
         knows(&isolated, "night-shift")
@@ -165,16 +165,16 @@
 async fn trimmed_reader_reloads() {
     let fleet = Fleet::start(2).await;
     let first = fleet.start_node(0).await;
-    let (lagging, relay) = fleet.start_node_behind_relay(1).await;
+    let (lagging, proxy) = fleet.start_node_behind_proxy(1).await;
     wait_until("both are current", || {
         first.node.is_current() && lagging.node.is_current()
     })
     .await;
-    relay.disconnect();
+    proxy.disconnect();
     lagging.node.peers().announce_stop();
     declare(&first, "night-shift").await;
     trim_log(&fleet);
-    relay.reconnect();
+    proxy.reconnect();
     declare(&first, "day-shift").await;
     wait_until("both declarations are known", || {
         knows(&lagging, "night-shift") && knows(&lagging, "day-shift")
--- a/crates/lynxwheel/tests/proof/fleet.rs
+++ b/crates/lynxwheel/tests/proof/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes whose nodes reach the platform and each other through relays.
+//! A fleet of processes whose nodes reach the platform and each other through proxies.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
     lynxwheel_protocol::{
         LogEntry, ReadResponse, Resource, VmList, WaveAction, WaveGoal, WaveSpec, decode_record,
     },
-    lynxwheel_standin::{Faults, Relay, RunEntry},
+    lynxwheel_standin::{Faults, Proxy, RunEntry},
     lynxwheel_state::FleetState,
     lynxwheel_transport::{Client, ClientRequest},
     std::{net::SocketAddr, time::Duration},
@@ -30,13 +30,13 @@
 /// Maximum number of entries of a read.
 const MAX_READ: usize = 4_096;
 
-/// A platform, relays and nodes.
+/// A platform, proxies and nodes.
 pub struct Fleet {
     platform: TestPlatform,
-    /// Relay from each node to the platform.
-    pub relays: Vec<Relay>,
-    /// Relay from the other nodes to each node.
-    pub peer_relays: Vec<Relay>,
+    /// Proxy from each node to the platform.
+    pub proxies: Vec<Proxy>,
+    /// Proxy from the other nodes to each node.
+    pub peer_proxies: Vec<Proxy>,
     pub nodes: Vec<TestNode>,
     ports: Vec<u16>,
     directory: &'static str,
@@ -47,16 +47,16 @@
     pub async fn start(count: usize, directory: &'static str) -> Self {
         let platform = TestPlatform::start(VMS);
         let ports = free_ports(count * 3);
-        let mut relays = Vec::new();
-        let mut peer_relays = Vec::new();
+        let mut proxies = Vec::new();
+        let mut peer_proxies = Vec::new();
         for own in ports.chunks(3) {
-            relays.push(start_relay(platform.client.peer()).await);
-            peer_relays.push(start_relay(SocketAddr::from(([127, 0, 0, 1], own[2]))).await);
+            proxies.push(start_proxy(platform.client.peer()).await);
+            peer_proxies.push(start_proxy(SocketAddr::from(([127, 0, 0, 1], own[2]))).await);
         }
-        let peers: Vec<SocketAddr> = peer_relays.iter().map(Relay::address).collect();
+        let peers: Vec<SocketAddr> = peer_proxies.iter().map(Proxy::address).collect();
         let nodes: Vec<TestNode> = (0..count)
             .map(|number| {
-                let platform = relays[number].address();
+                let platform = proxies[number].address();
                 start_node_with_peers(platform, &ports, &peers, number, directory)
             })
             .collect();
@@ -68,8 +68,8 @@
         }
         Self {
             platform,
-            relays,
-            peer_relays,
+            proxies,
+            peer_proxies,
             nodes,
             ports,
             directory,
@@ -98,8 +98,8 @@
 
     /// Restarts a node that exited, and waits until it is ready.
     pub async fn restart(&mut self, number: usize) {
-        let platform = self.relays[number].address();
-        let peers: Vec<SocketAddr> = self.peer_relays.iter().map(Relay::address).collect();
+        let platform = self.proxies[number].address();
+        let peers: Vec<SocketAddr> = self.peer_proxies.iter().map(Proxy::address).collect();
         let node = start_node_with_peers(platform, &self.ports, &peers, number, self.directory);
         node.wait_until_ready().await;
         self.nodes[number] = node;
@@ -217,6 +217,6 @@
     }
 }
 
-async fn start_relay(target: SocketAddr) -> Relay {
-    Relay::start(target).await.expect("relay")
+async fn start_proxy(target: SocketAddr) -> Proxy {
+    Proxy::start(target).await.expect("proxy")
 }
--- a/crates/lynxwheel/tests/proof/main.rs
+++ b/crates/lynxwheel/tests/proof/main.rs
@@ -130,7 +130,7 @@
     let fleet = Fleet::start(3, "zone_cut").await;
     let load = Load::start(&fleet.callers(), 6);
     load.wait_for_responses(RESPONSES).await;
-    fleet.relays[1].interrupt();
+    fleet.proxies[1].interrupt();
     load.wait_for_responses(RESPONSES).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let id = "charge-in-the-cut";
@@ -140,7 +140,7 @@
         AttemptOutcome::Answered,
         "a charge without the log"
     );
-    fleet.relays[1].resume();
+    fleet.proxies[1].resume();
     load.wait_for_responses(RESPONSES).await;
     let mut records = load.stop().await;
     records.push(record);
@@ -253,15 +253,15 @@
     let fleet = Fleet::start(3, "peers_cut").await;
     let load = Load::start(&fleet.callers(), 4);
     load.wait_for_responses(RESPONSES).await;
-    for relay in &fleet.peer_relays {
-        relay.interrupt();
+    for proxy in &fleet.peer_proxies {
+        proxy.interrupt();
     }
     tokio::time::sleep(PEER_FAILURE_DELAY).await;
     fleet.start_wave("kernel").await;
     load.wait_for_responses(RESPONSES).await;
     fleet.nodes[2].wait_ready("wave/kernel").await;
-    for relay in &fleet.peer_relays {
-        relay.resume();
+    for proxy in &fleet.peer_proxies {
+        proxy.resume();
     }
     load.wait_for_responses(RESPONSES).await;
     fleet.assert_guarantees(&load.stop().await).await;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -16,7 +16,7 @@
 mod log_service;
 mod machine;
 mod platform;
-mod relay;
+mod proxy;
 mod server;
 
 pub use endpoint::RunEntry;
@@ -24,5 +24,5 @@
 pub use log_service::LogService;
 pub use machine::{Machine, Task};
 pub use platform::{Platform, VmTemplate};
-pub use relay::Relay;
+pub use proxy::Proxy;
 pub use server::{PlatformServer, REQUEST_ID_HEADER};
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! TCP relay that simulates network partitions between processes.
+//! TCP proxy that simulates network partitions between processes.
 
 use {
     std::{io, net::SocketAddr, sync::Arc},
@@ -20,13 +20,13 @@
 /// While it is interrupted, no data is forwarded and no connection is closed, as in a network that
 /// drops packets. Data in flight arrives after the interruption.
 #[derive(Debug)]
-pub struct Relay {
+pub struct Proxy {
     address: SocketAddr,
     is_interrupted: Arc<watch::Sender<bool>>,
 }
 
-impl Relay {
-    /// Starts a relay to `target` on a free loopback port.
+impl Proxy {
+    /// Starts a proxy to `target` on a free loopback port.
     ///
     /// # Errors
     ///
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Returns the address of the relay.
+    /// Returns the address of the proxy.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -94,7 +94,7 @@
 }
 
 async fn wait_until_resumed(is_interrupted: &mut watch::Receiver<bool>) {
-    // An error means that the relay was dropped, which also ends the interruption.
+    // An error means that the proxy was dropped, which also ends the interruption.
     drop(
         is_interrupted
             .wait_for(|is_interrupted| !is_interrupted)
