--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -78,7 +78,7 @@
 
     /// Fences lower epochs with an empty append.
     ///
-    /// Returns whether the epoch is in force; `None` if the outcome is unknown.
+    /// Returns whether the epoch is active; `None` if the outcome is unknown.
     pub async fn fence(&mut self, store: &StoreClient) -> Option<bool> {
         let producer = Producer {
             name: PRODUCER_NAME,
@@ -130,7 +130,7 @@
         records.map(Vec::len).sum()
     }
 
-    /// Stores the batch, retrying until it succeeds. Returns `false` if a newer epoch is in force.
+    /// Stores the batch, retrying until it succeeds. Returns `false` if a newer epoch is active.
     pub async fn store(&self, store: &StoreClient) -> bool {
         for (sequence, records) in &self.appends {
             if !self.append(store, *sequence, records).await {
--- a/crates/controller/src/owner.rs
+++ b/crates/controller/src/owner.rs
@@ -54,7 +54,7 @@
     DelegateLost(SocketAddr),
     /// The in-flight batch with this number is stored.
     BatchStored(u64),
-    /// A newer epoch is in force.
+    /// A newer epoch is active.
     Deposed,
     /// The node is stopping, or a larger node asked for the ownership.
     Release,
--- a/crates/controller/src/takeover.rs
+++ b/crates/controller/src/takeover.rs
@@ -81,7 +81,7 @@
     loop {
         match writer.fence(&node.store).await {
             Some(true) => break,
-            Some(false) => return Err("a newer epoch is in force".into()),
+            Some(false) => return Err("a newer epoch is active".into()),
             None if retries < MAX_FENCE_RETRIES => {
                 retries += 1;
                 sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
--- a/crates/controller/tests/assignments.rs
+++ b/crates/controller/tests/assignments.rs
@@ -129,7 +129,7 @@
     assert_eq!(
         assignments.assign(1_000, "a", 0),
         None,
-        "the owner has room"
+        "the owner has free capacity"
     );
 }
 
--- a/crates/controller/tests/ownership.rs
+++ b/crates/controller/tests/ownership.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns a view with an owner of epoch 1 that was last heard at 1,000 ms.
+/// Returns a view with an owner of epoch 1 that was last seen at 1,000 ms.
 fn owned() -> OwnershipView {
     let mut view = OwnershipView::default();
     view.record_read(1_000);
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -34,7 +34,7 @@
 }
 
 impl Tuning {
-    /// Derives the parameters from the weights in force.
+    /// Derives the parameters from the active weights.
     ///
     /// Waiting for a job delays the roll-out and moving it interrupts the job, so the wait grows
     /// with the weights of moves and buffer relative to that of roll-out.
--- a/crates/protocol/src/resource.rs
+++ b/crates/protocol/src/resource.rs
@@ -309,7 +309,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySpec {
-    /// Unique name; the first policy by name is in force.
+    /// Unique name; the first policy by name is active.
     pub name: PolicyName,
     /// Weights of the objectives.
     pub weights: Weights,
--- a/crates/protocol/tests/encodings.rs
+++ b/crates/protocol/tests/encodings.rs
@@ -308,7 +308,7 @@
     put_at_any_revision: RecordBody::Put { resource: Box::new(vm()), if_revision: None } =>
         "939207cd012ccf0000018bcfe5687b81a35075749292a2766d92a4766d2d31a6706f6f6c2d31c0";
 
-    /// Guards against a withdrawn policy staying in force.
+    /// Guards against a withdrawn policy staying active.
     delete_policy: delete(Kind::Policy) =>
         "939207cd012ccf0000018bcfe5687b81a644656c6574659292a6706f6c696379a66e616d652d312a";
 
--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/fleet.rs
@@ -130,7 +130,7 @@
         self.chain
     }
 
-    /// Returns the fold version in force.
+    /// Returns the active fold version.
     #[must_use]
     pub fn fold_version(&self) -> u32 {
         self.fold_version
@@ -189,13 +189,13 @@
         self.services.iter().map(|row| &row.spec)
     }
 
-    /// Returns the policy in force, the first by name.
+    /// Returns the active policy, the first by name.
     #[must_use]
     pub fn policy(&self) -> Option<&PolicySpec> {
         self.policies.first().map(|row| &row.spec)
     }
 
-    /// Returns the weights in force.
+    /// Returns the active weights.
     #[must_use]
     pub fn weights(&self) -> Weights {
         self.policy()
